--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -13,16 +13,22 @@
 
 MOST_REPLICAS = 64
 
+# Keys of the body: they stand in journals and snapshots on disk, apart from the names of fields.
+_SHARD = "shard"
+_FOUNDERS = "founders"
+_VOTERS = "voters"
+_NUMBER = "number"
+
 
 def encode_placement(placement: ShardPlacement) -> bytes:
     """The body of an order that places a shard; equal placements give equal bytes."""
     values = {
-        "shard": placement.shard,
-        "founders": list(placement.founders),
-        "voters": list(placement.voters),
+        _SHARD: placement.shard,
+        _FOUNDERS: list(placement.founders),
+        _VOTERS: list(placement.voters),
     }
     if placement.number:
-        values["number"] = placement.number
+        values[_NUMBER] = placement.number
     return json.dumps(values, separators=(",", ":")).encode()
 
 
@@ -34,10 +40,10 @@
         return None
     if not isinstance(values, dict):
         return None
-    shard, founders, voters = values.get("shard"), values.get("founders"), values.get("voters")
+    shard, founders, voters = values.get(_SHARD), values.get(_FOUNDERS), values.get(_VOTERS)
     if not (is_text(shard) and _are_replicas(founders) and _are_replicas(voters)):
         return None
-    number = values.get("number", 0)
+    number = values.get(_NUMBER, 0)
     if type(number) is not int or number < 0:
         return None
     return ShardPlacement(shard, tuple(founders), tuple(voters), number)
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -46,6 +46,15 @@
 MOST_RETIRING = 4096
 SNAPSHOT_FORM = 1
 
+# Keys of a snapshot's head: they stand in snapshots on disk, apart from the names of fields.
+_FORM = "form"
+_HISTORY = "history"
+_FORGOTTEN = "forgotten"
+_PLACEMENTS = "placements"
+_RETIRING = "retiring"
+_DISKS = "disks"
+_EMPTIED = "emptied"
+
 
 class SnapshotError(Exception):
     """A snapshot can't be read; `code` is one word for counting."""
@@ -278,13 +287,13 @@
     def snapshot(self) -> bytes:
         """The whole state: a line of JSON, then the current document's body as it is."""
         head = {
-            "form": SNAPSHOT_FORM,
-            "history": [[digest.hex(), version] for digest, version in self._history.items()],
-            "forgotten": self._forgotten_version,
-            "placements": [encode_placement(placement).decode() for placement in self.placements],
-            "retiring": list(self.retiring),
-            "disks": [encode_disk(disk).decode() for disk in self._stores.disks],
-            "emptied": [encode_emptied(fact).decode() for fact in self._stores.emptied],
+            _FORM: SNAPSHOT_FORM,
+            _HISTORY: [[digest.hex(), version] for digest, version in self._history.items()],
+            _FORGOTTEN: self._forgotten_version,
+            _PLACEMENTS: [encode_placement(placement).decode() for placement in self.placements],
+            _RETIRING: list(self.retiring),
+            _DISKS: [encode_disk(disk).decode() for disk in self._stores.disks],
+            _EMPTIED: [encode_emptied(fact).decode() for fact in self._stores.emptied],
         }
         return json.dumps(head, separators=(",", ":")).encode() + b"\n" + self.body
 
@@ -293,14 +302,14 @@
         head_line, _, body = bytes(snapshot).partition(b"\n")
         try:
             head = json.loads(head_line)
-            if head["form"] != SNAPSHOT_FORM:
-                raise SnapshotError("unknown_form", f"form {head['form']}")
-            history = {bytes.fromhex(digest): int(version) for digest, version in head["history"]}
-            forgotten_version = int(head.get("forgotten", 0))
-            placements = [decode_placement(text.encode()) for text in head["placements"]]
-            retiring = [str(node) for node in head["retiring"]]
-            disks = [decode_disk(text.encode()) for text in head.get("disks", ())]
-            emptied = [decode_emptied(text.encode()) for text in head.get("emptied", ())]
+            if head[_FORM] != SNAPSHOT_FORM:
+                raise SnapshotError("unknown_form", f"form {head[_FORM]}")
+            history = {bytes.fromhex(digest): int(version) for digest, version in head[_HISTORY]}
+            forgotten_version = int(head.get(_FORGOTTEN, 0))
+            placements = [decode_placement(text.encode()) for text in head[_PLACEMENTS]]
+            retiring = [str(node) for node in head[_RETIRING]]
+            disks = [decode_disk(text.encode()) for text in head.get(_DISKS, ())]
+            emptied = [decode_emptied(text.encode()) for text in head.get(_EMPTIED, ())]
             document = read_accepted(body) if body else None
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             raise SnapshotError("unreadable", f"{type(error).__name__}: {error}") from None
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -20,6 +20,15 @@
 MOST_DISKS = 16384
 MOST_NODE_NAME = 256
 
+# Keys of the bodies below: they stand in journals and snapshots on disk, apart from the names of fields.
+_NODE = "node"
+_REPLICA = "replica"
+_SERVES_STORAGE = "serves_storage"
+_SHARD = "shard"
+_EPOCH = "epoch"
+_GROUP = "group"
+_NUMBER = "number"
+
 
 @attrs.frozen
 class KnownDisk:
@@ -43,13 +52,13 @@
 
 def encode_disk(disk: KnownDisk) -> bytes:
     """The body of an order of kind STORE."""
-    return _encode(attrs.asdict(disk))
+    return _encode({_NODE: disk.node, _REPLICA: disk.replica, _SERVES_STORAGE: disk.serves_storage})
 
 
 def decode_disk(body: bytes) -> KnownDisk | None:
     """The disk that a body names, or None if it names none."""
     values = _decode(body)
-    node, replica, serves = (values.get(name) for name in ("node", "replica", "serves_storage"))
+    node, replica, serves = (values.get(key) for key in (_NODE, _REPLICA, _SERVES_STORAGE))
     if not (_is_node(node) and is_text(replica) and isinstance(serves, bool)):
         return None
     return KnownDisk(node, replica, serves)
@@ -57,14 +66,22 @@
 
 def encode_emptied(emptied: Emptied) -> bytes:
     """The body of an order of kind EMPTIED."""
-    return _encode(attrs.asdict(emptied))
+    return _encode(
+        {
+            _NODE: emptied.node,
+            _SHARD: emptied.shard,
+            _EPOCH: emptied.epoch,
+            _GROUP: list(emptied.group),
+            _NUMBER: emptied.number,
+        }
+    )
 
 
 def decode_emptied(body: bytes) -> Emptied | None:
     """What a body says to be empty, or None if it says nothing of the kind."""
     values = _decode(body)
-    node, shard, group = values.get("node"), values.get("shard"), values.get("group")
-    numbers = (values.get("epoch"), values.get("number"))
+    node, shard, group = (values.get(key) for key in (_NODE, _SHARD, _GROUP))
+    numbers = (values.get(_EPOCH), values.get(_NUMBER))
     if not (_is_node(node) and is_text(shard) and isinstance(group, list) and group):
         return None
     if not (all(map(is_text, group)) and all(type(number) is int and number >= 0 for number in numbers)):
--- a/tests/tier/test_configuration_state.py
+++ b/tests/tier/test_configuration_state.py
@@ -12,7 +12,14 @@
 from kestrelbend.tier.configuration.messages import UNCLEAR, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.state import ConfigurationState, SnapshotError, checked_entry
-from kestrelbend.tier.configuration.stores import Emptied, KnownDisk, encode_disk, encode_emptied
+from kestrelbend.tier.configuration.stores import (
+    Emptied,
+    KnownDisk,
+    decode_disk,
+    decode_emptied,
+    encode_disk,
+    encode_emptied,
+)
 from kestrelbend.tier.membership.messages import ShardPlacement
 from tests.tier.test_configuration_document import body, document, route
 
@@ -319,6 +326,52 @@
         self.assertEqual({"a", "b", "d", "e"}, {known.replica for known in self.state.stores.disks})
 
 
+class StoredBytesTest(testtools.TestCase):
+    """What stands on disks is read by later releases: its bytes never change with the names in the code."""
+
+    def test_given_a_placement_then_its_bytes_are_those_of_earlier_releases(self):
+        stored = b'{"shard":"budget-0","founders":["a","b"],"voters":["b","c"]}'
+        self.assertEqual(stored, encode_placement(PLACED))
+        numbered = attrs.evolve(PLACED, number=7)
+        self.assertEqual(stored[:-1] + b',"number":7}', encode_placement(numbered))
+        self.assertEqual(numbered, decode_placement(encode_placement(numbered)))
+
+    def test_given_a_disk_then_its_bytes_are_those_of_earlier_releases(self):
+        known = KnownDisk("n1", "a", True)
+        stored = b'{"node":"n1","replica":"a","serves_storage":true}'
+        self.assertEqual(stored, encode_disk(known))
+        self.assertEqual(known, decode_disk(stored))
+
+    def test_given_an_emptied_node_then_its_bytes_are_those_of_earlier_releases(self):
+        fact = Emptied("n1", "budget-0", 3, ("b", "c"), 2)
+        stored = b'{"node":"n1","shard":"budget-0","epoch":3,"group":["b","c"],"number":2}'
+        self.assertEqual(stored, encode_emptied(fact))
+        self.assertEqual(fact, decode_emptied(stored))
+
+    def test_given_a_state_then_its_snapshot_has_the_bytes_of_earlier_releases(self):
+        state = ConfigurationState()
+        placed = ShardPlacement("budget-0", ("a",), ("a",), 1)
+        first = ConfigOrder(int(OrderKind.PUT), 0, b'{"Ver":3,"Routes":[],"Services":[]}')
+        for order in (first, disk("n1", "a"), disk("n2", "b"), place(placed), retire(b"n1")):
+            self.assertEqual(200, state.apply(order).status)
+        self.assertEqual(200, state.apply(place(attrs.evolve(placed, voters=("b",), number=2))).status)
+        self.assertEqual(200, state.apply(emptied("n1", ("b",), 2)).status)
+        stored = (
+            b'{"form":1,"history":[["330b8b640afbdf047eae344893419bda",3]],"forgotten":0,'
+            b'"placements":["{\\"shard\\":\\"budget-0\\",\\"founders\\":[\\"a\\"],'
+            b'\\"voters\\":[\\"b\\"],\\"number\\":2}"],"retiring":["n1"],'
+            b'"disks":["{\\"node\\":\\"n1\\",\\"replica\\":\\"a\\",\\"serves_storage\\":true}",'
+            b'"{\\"node\\":\\"n2\\",\\"replica\\":\\"b\\",\\"serves_storage\\":true}"],'
+            b'"emptied":["{\\"node\\":\\"n1\\",\\"shard\\":\\"budget-0\\",\\"epoch\\":3,'
+            b'\\"group\\":[\\"b\\"],\\"number\\":2}"]}\n'
+            b'{"Ver":3,"Routes":[],"Services":[]}'
+        )
+        self.assertEqual(stored, state.snapshot())
+        restored = ConfigurationState()
+        restored.restore(stored)
+        self.assertEqual(stored, restored.snapshot())
+
+
 class SnapshotTest(testtools.TestCase):
     """A restored replica goes on as the one that made the snapshot."""
 
