--- a/kestrelbend/tier/control/directory_stream.py
+++ b/kestrelbend/tier/control/directory_stream.py
@@ -12,7 +12,7 @@
 from ..membership.messages import Directory, Member, ShardReport
 from ..membership.table import LIVE_S, MemberTable
 from ..protocol.codec import encode
-from ..protocol.links import Link
+from ..protocol.peer_connection import PeerConnection
 
 
 class DirectoryStream:
@@ -20,16 +20,16 @@
 
     def __init__(self, members: MemberTable) -> None:
         self._members = members
-        self._told_to: dict[Link, Directory | None] = {}
+        self._told_to: dict[PeerConnection, Directory | None] = {}
         self._newest: Directory | None = None
         self._listed: dict[str, Member] = {}  # by address
 
-    def subscribe(self, link: Link) -> None:
+    def subscribe(self, link: PeerConnection) -> None:
         """A process wants the directory, and each later one."""
         self._told_to[link] = None
         self.send()
 
-    def lost(self, link: Link) -> None:
+    def lost(self, link: PeerConnection) -> None:
         """A connection ended."""
         self._told_to.pop(link, None)
 
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -16,7 +16,7 @@
 from ..membership.messages import Heartbeat, MemberSummary, QuietMember
 from ..membership.table import MemberTable
 from ..protocol.codec import encode
-from ..protocol.links import Link
+from ..protocol.peer_connection import PeerConnection
 
 QUIET_S = 0.3  # without a heartbeat, from which on the silence is told: more than between two
 PROGRESS_S = 5.0  # between two tellings of nothing but how far a member's replicas have come
@@ -38,10 +38,10 @@
         self._sender = sender
         self._members = members
         self._told: dict[str, _Told] = {}
-        self._begun: set[Link] = set()  # connections that hold all that was told
+        self._begun: set[PeerConnection] = set()  # connections that hold all that was told
         self._reported: dict[str, dict[str, int]] = {}  # by sender: incarnations by address
 
-    def send(self, links: Iterable[Link], now: float) -> None:
+    def send(self, links: Iterable[PeerConnection], now: float) -> None:
         """Brings the other control nodes up to date; one encoding serves all that are."""
         changes = self._changes(now)
         for link in links:
@@ -51,7 +51,7 @@
                 self._begun.add(link)
                 link.send(self._whole(now))
 
-    def lost(self, link: Link) -> None:
+    def lost(self, link: PeerConnection) -> None:
         """A connection ended."""
         self._begun.discard(link)
 
--- a/kestrelbend/tier/dataplane/network.py
+++ b/kestrelbend/tier/dataplane/network.py
@@ -12,12 +12,11 @@
 
 import httpcore
 
+from ..socket_options import SilenceLimits, configure_socket
 from . import ports
 
-USER_TIMEOUT_MS = 2000  # bytes that stay unacknowledged for this long break the connection
-PROBE_AFTER_S = 1  # of silence; a peer that is gone is found while its answer is waited for
-PROBE_INTERVAL_S = 1
-PROBES = 2
+# A backend that is gone is found while its answer is waited for.
+SILENCE_LIMITS = SilenceLimits(unacknowledged_ms=2000, probe_after_s=1, probe_interval_s=1, probes=2)
 RECEIVE_HIGH_WATER_BYTES = 256 * 1024
 
 
@@ -152,7 +151,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            _set_options(sock)
+            configure_socket(sock, SILENCE_LIMITS)
             async with asyncio.timeout(timeout_s):
                 await loop.sock_connect(sock, (host, int(port)))
             _, stream = await loop.create_connection(TcpStream, sock=sock)
@@ -160,12 +159,3 @@
             sock.close()
             raise
         return stream
-
-
-def _set_options(sock: socket.socket) -> None:
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
--- a/kestrelbend/tier/fleet/network.py
+++ b/kestrelbend/tier/fleet/network.py
@@ -17,7 +17,7 @@
 
 from .loop import Execution, VirtualLoop
 
-UNACKNOWLEDGED_S = 1.5  # as `protocol.links.prepare` sets it
+UNACKNOWLEDGED_S = 1.5  # until bytes that nobody acknowledges end a connection here
 PROBE_S = 1.0
 PROBES_LOST = 3  # after so many intervals without an answer a connection at rest ends
 CONNECT_AGAIN_S = 1.0
--- a/kestrelbend/tier/fleet/removals/gateways.py
+++ b/kestrelbend/tier/fleet/removals/gateways.py
@@ -5,10 +5,10 @@
 from ...configuration.document import read_accepted
 from ...configuration.routing import RoutingTable
 from ...protocol.codec import DecodeError, decode_with_sequence
-from ...protocol.links import Link
+from ...protocol.peer_connection import PeerConnection
 from ..guards import guard
 
-_take = Link._take
+_take = PeerConnection._take
 
 
 @guard("version-order", "roles.gateway:RoutingHolder.take", "a gateway that goes back")
@@ -48,22 +48,26 @@
     return reply.owner
 
 
-@guard("reply-number", "protocol.links:Link._take", "a reply given to another request")
-def give_to_the_first(link, frame):
+@guard("reply-number", "protocol.peer_connection:PeerConnection._take", "a reply given to another request")
+def give_to_the_first(connection, frame):
     try:
         message, sequence = decode_with_sequence(frame)
     except DecodeError:
-        return _take(link, frame)
-    if sequence >= 0 or not link._waiting:
-        return _take(link, frame)
-    waiting = link._waiting.pop(next(iter(link._waiting)))
+        return _take(connection, frame)
+    if sequence >= 0 or not connection._pending_replies:
+        return _take(connection, frame)
+    waiting = connection._pending_replies.pop(next(iter(connection._pending_replies)))
     if not waiting.done():
         waiting.set_result(message)
     return True
 
 
-@guard("ended-connection", "protocol.links:Link.connection_lost", "callers that wait where nothing can come")
-def let_them_wait(link, exc):
-    link.closed = True
-    link._owner.opened.discard(link)
-    link._owner.lost(link)
+@guard(
+    "ended-connection",
+    "protocol.peer_connection:PeerConnection.connection_lost",
+    "callers that wait where nothing can come",
+)
+def let_them_wait(connection, exc):
+    connection.closed = True
+    connection._endpoint.opened.discard(connection)
+    connection._endpoint.lost(connection)
--- a/kestrelbend/tier/protocol/codec.py
+++ b/kestrelbend/tier/protocol/codec.py
@@ -18,6 +18,7 @@
 from thrift.Thrift import TException
 from thrift.transport.TTransport import TMemoryBuffer
 
+from ..errors import TierError
 from .generated.tier import ttypes
 from .header import HeaderError, read_header, write_header
 from .wire_names import WIRE_NAMES
@@ -25,7 +26,7 @@
 THRIFT_FIELD_NAME = 2  # its place in an item of a generated struct's `thrift_spec`
 
 
-class DecodeError(Exception):
+class DecodeError(TierError):
     """Bytes that are no message of the tier."""
 
     code = "protocol.decode"
--- a/kestrelbend/tier/protocol/header.py
+++ b/kestrelbend/tier/protocol/header.py
@@ -10,17 +10,19 @@
 
 import attrs
 
+from ..errors import TierError
+
 PROTOCOL_ID = 0x82
 ONEWAY_OF_VERSION_1 = 0x81  # the kind of message in the highest three bits
 FIXED_BYTES = 2
 SEQUENCE_RANGE = 1 << 32  # negative numbers are written as their complement
-MOST_SEQUENCE = (1 << 31) - 1
-MOST_VARINT_BYTES = 5
+MAX_SEQUENCE = (1 << 31) - 1
+MAX_VARINT_BYTES = 5
 VARINT_BITS = 0x7F  # of each byte of a number of variable length; the highest bit says that more follow
 
 
-class HeaderError(Exception):
-    """Bytes that begin no message."""
+class HeaderError(TierError):
+    """Bytes that begin no message of the tier."""
 
     code = "protocol.header"
 
@@ -49,7 +51,7 @@
     end = position + size
     if len(data) < end:
         raise HeaderError("the name is cut off")
-    sequence = written if written <= MOST_SEQUENCE else written - SEQUENCE_RANGE
+    sequence = written if written <= MAX_SEQUENCE else written - SEQUENCE_RANGE
     return Header(_text(bytes(data[position:end])), sequence, end)
 
 
@@ -78,7 +80,7 @@
 def _read_varint(data: bytes, position: int) -> tuple[int, int]:
     """The number that begins at `position`, and where it ends."""
     number = 0
-    for place in range(MOST_VARINT_BYTES):
+    for place in range(MAX_VARINT_BYTES):
         if position + place >= len(data):
             break
         byte = data[position + place]
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -43,7 +43,7 @@
 from ..membership.standing import ContactSpan, in_contact, is_current
 from ..membership.status import ShardsWanted, status
 from ..membership.table import LIVE_S, MemberTable
-from ..protocol.links import Link
+from ..protocol.peer_connection import PeerConnection
 from ..replication.group import has_quorum
 from .process import CONTROL_PORT, TierProcess
 
@@ -56,7 +56,7 @@
     role = "control"
     port_offset = CONTROL_PORT
     holds_replicas = True
-    most_control_links = None  # the registry must reach every other control node
+    max_control_connections = None  # the registry must reach every other control node
 
     def __init__(self, settings, settings_path, environment=None):
         self.budgets = BudgetShards()
@@ -65,7 +65,7 @@
         self.members = MemberTable()
         self._summaries = MemberSummaries(self.address, self.members)
         self.registry = BackendRegistry()
-        self.exchange = BackendExchange(self.address, self.registry.all, self._peer_links)
+        self.exchange = BackendExchange(self.address, self.registry.all, self._peer_connections)
         self.backend_reports = BackendReports(
             self.registry, self.exchange, self.now, self._may_acknowledge_leaving
         )
@@ -73,7 +73,7 @@
         self.directory_stream = DirectoryStream(self.members)
         self.configuration = ConfigurationService(
             self.host,
-            self.links,
+            self.connections,
             self.now,
             self.config_stream.until_acknowledged,
             self.environment.run_aside,
@@ -121,13 +121,13 @@
         """The version applied here."""
         return self.configuration.state.version if self.configuration.is_open else 0
 
-    # Links
+    # Connections
 
-    def _peer_links(self) -> list[Link]:
+    def _peer_connections(self) -> list[PeerConnection]:
         """Connections to the other control nodes that stand."""
         addresses = dict.fromkeys(self.control_addresses())
-        links = [self.links.to(address) for address in addresses]
-        return [link for link in links if link is not None]
+        connections = [self.connections.to(address) for address in addresses]
+        return [connection for connection in connections if connection is not None]
 
     def _may_acknowledge_leaving(self, holders: set[str]) -> bool:
         """In contact, and with the control nodes `holders` a majority of the configuration's voters."""
@@ -136,47 +136,47 @@
         held = has_quorum(replica.voters, lambda voter: address_of(voter) in known)
         return held and in_contact(replica, self.now())
 
-    def on_peer(self, link):
+    def on_peer(self, connection):
         """Another control node gets all that is known of backends; it has no need of other streams."""
-        if link.address in self.control_addresses():
-            self.exchange.tell_peer_everything(link)
+        if connection.address in self.control_addresses():
+            self.exchange.tell_peer_everything(connection)
 
-    def on_lost(self, link):
+    def on_lost(self, connection):
         """Ends the streams of a connection."""
-        super().on_lost(link)
-        self._summaries.lost(link)
-        self.exchange.lost(link)
-        self.config_stream.lost(link)
-        self.directory_stream.lost(link)
+        super().on_lost(connection)
+        self._summaries.lost(connection)
+        self.exchange.lost(connection)
+        self.config_stream.lost(connection)
+        self.directory_stream.lost(connection)
 
-    def on_message(self, link, message, sequence):
+    def on_message(self, connection, message, sequence):
         """What others say to a control node."""
         if isinstance(message, Heartbeat):
             self.members.heard(message, self.now())
-            link.send(HeartbeatAck(message.beat, self._is_settled()))
+            connection.send(HeartbeatAck(message.beat, self._is_settled()))
         elif isinstance(message, MemberSummary):
             self._summaries.take(message, self.now())
         elif isinstance(message, Subscribe):
-            self._subscribe(link, message)
+            self._subscribe(connection, message)
         elif isinstance(message, ConfigAck):
-            self.config_stream.take_ack(link, message.version)
+            self.config_stream.take_ack(connection, message.version)
         elif isinstance(message, ConfigFetch):
-            self._send_newer_configuration(link, message.version)
+            self._send_newer_configuration(connection, message.version)
         elif isinstance(message, BackendAck):
-            self.exchange.take_ack(link, message)
+            self.exchange.take_ack(connection, message)
         elif isinstance(message, BackendUpdate):
             self.backend_reports.merge(message.backends)
-            self.exchange.acknowledge_news(link, sequence, message)
+            self.exchange.acknowledge_news(connection, sequence, message)
         elif isinstance(message, ConfigOrder):
-            self._answer(link, sequence, self._decide(message))
+            self._answer(connection, sequence, self._decide(message))
         elif isinstance(message, ReadRequest):
-            self._answer(link, sequence, self.configuration.read_here())
+            self._answer(connection, sequence, self.configuration.read_here())
         elif isinstance(message, BudgetRequest):
-            self.budgets.request(message, lambda reply: link.reply(sequence, reply))
+            self.budgets.request(message, lambda reply: connection.reply(sequence, reply))
 
-    def _answer(self, link, sequence, answering) -> None:
+    def _answer(self, connection, sequence, answering) -> None:
         async def answer():
-            link.reply(sequence, await answering)
+            connection.reply(sequence, await answering)
 
         self.spawn(answer())
 
@@ -185,21 +185,21 @@
             return NOT_OWNER
         return await self.configuration.decide(order, FORWARD_S)
 
-    def _subscribe(self, link: Link, message: Subscribe) -> None:
+    def _subscribe(self, connection: PeerConnection, message: Subscribe) -> None:
         if message.member.serves_front:
-            self.config_stream.subscribe(link, message.config_version, message.whole)
-            self.exchange.subscribe(link, message.whole)
+            self.config_stream.subscribe(connection, message.config_version, message.whole)
+            self.exchange.subscribe(connection, message.whole)
             self._stream_configuration()
         if message.whole:
-            self.directory_stream.subscribe(link)
+            self.directory_stream.subscribe(connection)
         else:
-            self.directory_stream.lost(link)
+            self.directory_stream.lost(connection)
 
-    def _send_newer_configuration(self, link: Link, held: int) -> None:
+    def _send_newer_configuration(self, connection: PeerConnection, held: int) -> None:
         state = self.configuration.state
         if state.version > held:
             current = is_current(self.configuration.replica, self.now())
-            link.send(ConfigUpdate(state.version, current, state.body))
+            connection.send(ConfigUpdate(state.version, current, state.body))
 
     def _is_settled(self) -> bool:
         """Whether whoever is live can be expected to have been heard of here."""
@@ -211,7 +211,7 @@
     def report(self, now):
         """Control nodes report to each other by their summaries."""
         self.members.heard(self.heartbeat(), now)
-        self._summaries.send(self._peer_links(), now)
+        self._summaries.send(self._peer_connections(), now)
 
     def on_tick(self, now):
         """Gateways that wait for a current version get it as soon as this replica is current."""
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -11,7 +11,8 @@
 from ..membership.control_choice import ControlChoice
 from ..membership.messages import Heartbeat, HeartbeatAck, Subscribe
 from ..protocol.codec import encode
-from ..protocol.links import Link, Links
+from ..protocol.peer_connection import PeerConnection
+from ..protocol.peer_connections import PeerConnections
 
 
 class ControlReports:
@@ -20,30 +21,32 @@
     `on_unfollowed(address)` is told of a node whose streams are not wanted whole any more.
     """
 
-    def __init__(self, choice: ControlChoice, links: Links, on_unfollowed: Callable[[str], None]) -> None:
+    def __init__(
+        self, choice: ControlChoice, connections: PeerConnections, on_unfollowed: Callable[[str], None]
+    ) -> None:
         self._choice = choice
-        self._links = links
+        self._connections = connections
         self._on_unfollowed = on_unfollowed
-        self._wanted_whole: dict[Link, bool] = {}
+        self._wanted_whole: dict[PeerConnection, bool] = {}
 
-    def answered(self, link: Link, answer: HeartbeatAck) -> None:
+    def answered(self, connection: PeerConnection, answer: HeartbeatAck) -> None:
         """A control node has answered a heartbeat."""
-        self._choice.answered(link.address, answer.beat, answer.settled)
+        self._choice.answered(connection.address, answer.beat, answer.settled)
 
-    def lost(self, link: Link) -> None:
+    def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
-        self._wanted_whole.pop(link, None)
+        self._wanted_whole.pop(connection, None)
 
     def subscribe(self, order: Sequence[str], wish: Callable[[bool], Subscribe], now: float) -> None:
         """Asks the nearest settled of the control nodes for all of its streams, the others for notices."""
         chosen = self._choice.to_stream_from(order, now)
         for address in order:
-            link = self._links.to(address)
+            connection = self._connections.to(address)
             whole = address in chosen
-            if link is None or self._wanted_whole.get(link) is whole:
+            if connection is None or self._wanted_whole.get(connection) is whole:
                 continue
-            self._wanted_whole[link] = whole
-            link.send(wish(whole))
+            self._wanted_whole[connection] = whole
+            connection.send(wish(whole))
             if not whole:
                 self._on_unfollowed(address)
 
@@ -52,6 +55,6 @@
         self._choice.sent(heartbeat.beat, now)
         data = encode(heartbeat)
         for address in self._choice.to_report_to(order, now):
-            link = self._links.to(address)
-            if link is not None:
-                link.send_encoded(data)
+            connection = self._connections.to(address)
+            if connection is not None:
+                connection.send_encoded(data)
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -89,49 +89,49 @@
         """The version that requests are handled by."""
         return self.routing.version
 
-    def on_message(self, link, message, sequence):
+    def on_message(self, connection, message, sequence):
         """What control nodes stream."""
         if isinstance(message, ConfigUpdate):
-            self._take_configuration(link, message)
+            self._take_configuration(connection, message)
         elif isinstance(message, BackendUpdate):
-            self._take_backends(link, message)
+            self._take_backends(connection, message)
         elif isinstance(message, ContactWord):
-            self.contact.take(link.address, message)
+            self.contact.take(connection.address, message)
 
-    def _take_configuration(self, link, update: ConfigUpdate) -> None:
+    def _take_configuration(self, connection, update: ConfigUpdate) -> None:
         before = self.routing.version
         if update.body:
             self.routing.take(update.version, update.body)
         if self.routing.version < update.version:
-            self._announced.announced(link.address, update.version, self.now())
+            self._announced.announced(connection.address, update.version, self.now())
             return
         if update.current:
             self._current = True
         if self.routing.version > before:
             self._acknowledge_configuration()
         else:
-            link.send(ConfigAck(self.routing.version))
+            connection.send(ConfigAck(self.routing.version))
 
     def _acknowledge_configuration(self) -> None:
         """Each control node that streams or announces here may have an order that waits for this."""
         for address in self.control_addresses():
-            link = self.links.to(address)
-            if link is not None:
-                link.send(ConfigAck(self.routing.version))
+            connection = self.connections.to(address)
+            if connection is not None:
+                connection.send(ConfigAck(self.routing.version))
 
     def _fetch_configuration(self, now: float) -> None:
         """Asks for a version that was announced and has not come."""
         address = self._announced.due(self.routing.version, now)
-        link = None if address is None else self.links.to(address)
-        if link is not None:
-            link.send(ConfigFetch(self.routing.version))
+        connection = None if address is None else self.connections.to(address)
+        if connection is not None:
+            connection.send(ConfigFetch(self.routing.version))
 
-    def _take_backends(self, link, update: BackendUpdate) -> None:
+    def _take_backends(self, connection, update: BackendUpdate) -> None:
         now = self.now()
         self.view.take(update, now)
         if update.whole and self._told_backends_at is None:
             self._told_backends_at = now
-        link.send(BackendAck(update.sender, update.number))
+        connection.send(BackendAck(update.sender, update.number))
 
     def on_directory(self):
         """Budgets can be asked for once every shard is placed: a program always meets the same one."""
@@ -142,9 +142,9 @@
                 self._send_budget, self._budget_addresses, BUDGET_SHARDS, may_wait=self._may_wait
             )
 
-    def wanted_links(self):
+    def wanted_connections(self):
         """Control nodes, and all that may own a budget shard."""
-        wanted = super().wanted_links()
+        wanted = super().wanted_connections()
         for shard in self.directory.placements:
             wanted.update(address_of(voter) for voter in self.directory.voters_of(shard))
         return wanted
@@ -158,11 +158,11 @@
         return [address_of(voter) for voter in ordered]
 
     async def _send_budget(self, address: str, request: BudgetRequest) -> BudgetReply | None:
-        link = self.links.to(address)
-        if link is None:
+        connection = self.connections.to(address)
+        if connection is None:
             return None
         asked_at = self.now()
-        reply = await link.request(request, BUDGET_REPLY_S)
+        reply = await connection.request(request, BUDGET_REPLY_S)
         if not isinstance(reply, BudgetReply):
             return None
         self.contact.replied(address, request.shard, reply.owner, asked_at)
@@ -226,9 +226,9 @@
         replicas = {shard: self._budget_addresses(shard) for shard in budget_shards()}
         self.contact.follow(self.control_addresses(), replicas)
         for address, ticket in self.contact.questions(now).items():
-            link = self.links.to(address)
-            if link is not None:
-                link.send(ContactRequest(ticket))
+            connection = self.connections.to(address)
+            if connection is not None:
+                connection.send(ContactRequest(ticket))
 
     def _equipped(self, now: float) -> bool:
         if not self._current or self.budget_client is None or self._told_backends_at is None:
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -1,4 +1,4 @@
-"""What every process of the tier has: settings, disk, links, heartbeats and its part of the shards.
+"""What every process of the tier has: settings, disk, connections, heartbeats and its part of the shards.
 
 Roles derive from `TierProcess` and add what they serve.  All state is touched from the event loop's thread;
 only the journal's writer is a thread of its own.
@@ -28,7 +28,8 @@
 from ..membership.placement import CONFIGURATION_SHARD, address_of
 from ..membership.standing import Confirmed, in_contact, is_current
 from ..protocol.codec import decode, encode
-from ..protocol.links import Link, Links
+from ..protocol.peer_connection import PeerConnection
+from ..protocol.peer_connections import PeerConnections
 from ..replication.host import ShardHost
 from ..replication.messages import (
     AppendEntries,
@@ -54,7 +55,7 @@
 IDLE_TICK_S = 0.05  # of a process without replicas
 HEARTBEAT_S = 0.25
 SETTINGS_CHECK_S = 1.0
-MOST_CONTROL_LINKS = 8
+MAX_CONTROL_CONNECTIONS = 8
 JOURNAL_CLOSE_S = 0.5
 REPLICA_MESSAGES = (
     RequestVote,
@@ -74,7 +75,7 @@
 
     role = ""
     port_offset = 0
-    most_control_links: int | None = MOST_CONTROL_LINKS  # beside the seeds; None: all
+    max_control_connections: int | None = MAX_CONTROL_CONNECTIONS  # beside the seeds; None: all
     holds_replicas = False  # whether the role uses the machine's disk
 
     def __init__(self, settings: Settings, settings_path: str, environment: Environment | None = None):
@@ -99,14 +100,14 @@
         if settings.data_dir and self.holds_replicas:
             self._open_disk()
         self.member = self._member()
-        self.links = Links(
+        self.connections = PeerConnections(
             Hello(self.address, self.replica_id, self.incarnation),
             self.log,
             self._on_message,
             self._on_peer,
             self.on_lost,
         )
-        self._reports = ControlReports(self._control_choice, self.links, self.directory.forget)
+        self._reports = ControlReports(self._control_choice, self.connections, self.directory.forget)
 
     # Beginning
 
@@ -176,21 +177,21 @@
     def on_applied(self, shard: str) -> None:
         """Commands of a shard were applied."""
 
-    def on_peer(self, link: Link) -> None:
+    def on_peer(self, connection: PeerConnection) -> None:
         """An outgoing connection stands: control nodes are asked for their streams."""
         self._subscribe(self.now())
 
-    def on_lost(self, link: Link) -> None:
+    def on_lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
-        self._reports.lost(link)
-        if link.outgoing and link.address:
-            self.directory.forget(link.address)
+        self._reports.lost(connection)
+        if connection.outgoing and connection.address:
+            self.directory.forget(connection.address)
 
     def config_version(self) -> int:
         """The version of the configuration that this process serves by."""
         return 0
 
-    def on_message(self, link: Link, message, sequence: int) -> None:
+    def on_message(self, connection: PeerConnection, message, sequence: int) -> None:
         """A message that is the role's own."""
 
     async def start(self) -> None:
@@ -205,13 +206,13 @@
     def on_heartbeat(self, now: float) -> None:
         """Called about every `HEARTBEAT_S`."""
 
-    # Links
+    # Connections
 
     def control_addresses(self) -> list[str]:
         """The directory's control nodes, nearest first and not too many, and the settings' seeds."""
         seeds = self.seed_addresses()
         ordered = self._control_choice.order(self.directory.members, seeds)
-        return list(dict.fromkeys(ordered[: self.most_control_links] + seeds))
+        return list(dict.fromkeys(ordered[: self.max_control_connections] + seeds))
 
     def _subscribe(self, now: float) -> None:
         """Asks control nodes for their streams, as far as they are wanted now."""
@@ -221,7 +222,7 @@
             now,
         )
 
-    def wanted_links(self) -> set[str]:
+    def wanted_connections(self) -> set[str]:
         """Addresses to keep connections to."""
         wanted = set(self.control_addresses())
         if self.host is not None:
@@ -235,39 +236,39 @@
 
     def _send_to_replica(self, receiver: str, message) -> None:
         address = address_of(receiver)
-        link = self.links.to(address)
-        if link is None:
-            self.links.add(address)
-        elif link.peer.replica == receiver:
-            link.send(message)
+        connection = self.connections.to(address)
+        if connection is None:
+            self.connections.add(address)
+        elif connection.peer.replica == receiver:
+            connection.send(message)
 
-    def _on_peer(self, link: Link) -> None:
+    def _on_peer(self, connection: PeerConnection) -> None:
         """A new outgoing connection stands: what replicas sent over older ones may be lost."""
-        if self.host is not None and link.peer.replica:
-            self.host.reconnected(link.peer.replica)
-        self.on_peer(link)
+        if self.host is not None and connection.peer.replica:
+            self.host.reconnected(connection.peer.replica)
+        self.on_peer(connection)
 
-    def _on_message(self, link: Link, message, sequence: int) -> None:
+    def _on_message(self, connection: PeerConnection, message, sequence: int) -> None:
         if isinstance(message, REPLICA_MESSAGES):
             if self.host is not None:
                 self.host.receive(message, self.now())
         elif isinstance(message, Directory):
-            self.directory.take(link.address, message)
+            self.directory.take(connection.address, message)
             self.on_directory()
         elif isinstance(message, HeartbeatAck):
-            self._reports.answered(link, message)
+            self._reports.answered(connection, message)
         elif isinstance(message, ContactRequest):
-            link.send(self.contact_word(message.ticket))
+            connection.send(self.contact_word(message.ticket))
         else:
-            self.on_message(link, message, sequence)
+            self.on_message(connection, message, sequence)
 
     def _written(self, tickets: list[int]) -> None:
         self.host.written(tickets, self.now())
 
     def on_directory(self) -> None:
-        """A control node told who is there: replicas placed here begin, links follow."""
+        """A control node told who is there: replicas placed here begin, connections follow."""
         self.follow_placements()
-        self.links.keep(self.wanted_links())
+        self.connections.keep(self.wanted_connections())
 
     def follow_placements(self) -> None:
         """Opens founded replicas, and tells the owners among them which voters are wanted."""
@@ -298,7 +299,7 @@
                 beat_at = now + HEARTBEAT_S
                 self.report(now)
                 self.on_heartbeat(now)
-                self.links.keep(self.wanted_links())
+                self.connections.keep(self.wanted_connections())
             if now >= settings_at:
                 settings_at = now + SETTINGS_CHECK_S
                 self._follow_settings()
@@ -369,7 +370,7 @@
         except SettingsError as fault:
             self.log.error("settings kept as they were: {}", fault)
             return
-        self.links.keep(self.wanted_links())
+        self.connections.keep(self.wanted_connections())
 
     # Life
 
@@ -377,8 +378,8 @@
         """Serves until SIGTERM and the end of what is under way."""
         loop = asyncio.get_running_loop()
         self.environment.on_signals(self.stopping.set, self._follow_settings)
-        await self.links.listen()
-        self.links.keep(self.wanted_links())
+        await self.connections.listen()
+        self.connections.keep(self.wanted_connections())
         if self.host is not None:
             self.open_replicas()
         await self.start()
@@ -391,7 +392,7 @@
         await self.stop()
         ticking.remove_done_callback(self._must_not_end)
         ticking.cancel()
-        await self.links.close()
+        await self.connections.close()
         if self.journal is not None:
             await self.environment.close_journal(self.journal, JOURNAL_CLOSE_S)
 
--- a/kestrelbend/tier/roles/store.py
+++ b/kestrelbend/tier/roles/store.py
@@ -28,10 +28,10 @@
     def on_applied(self, shard):
         """Nothing waits for it but the proposers."""
 
-    def on_message(self, link, message, sequence):
+    def on_message(self, connection, message, sequence):
         """Requests on budgets come from gateways."""
         if isinstance(message, BudgetRequest):
-            self.budgets.request(message, lambda reply: link.reply(sequence, reply))
+            self.budgets.request(message, lambda reply: connection.reply(sequence, reply))
 
     async def stop(self):
         """Hands over what is owned here."""
--- a/tests/tier/link_doubles.py
+++ b/tests/tier/link_doubles.py
@@ -1,4 +1,4 @@
-"""What a link needs around it in tests: a transport that keeps what is written, and a process."""
+"""What a connection needs around it in tests: a transport that keeps what is written, and a process."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
         self.aborted = True
 
 
-class LinkProcess:
-    """What a link asks of its process; keeps what was received as (link, message, sequence)."""
+class EndpointDouble:
+    """The process at one end; keeps what was received as (connection, message, sequence)."""
 
     def __init__(self, address="a"):
         self.hello = Hello(address, f"{address}#d", 1)
@@ -48,11 +48,11 @@
     def warning(self, *arguments):
         """Takes a line of the log."""
 
-    def greeted(self, link):
+    def greeted(self, connection):
         pass
 
-    def lost(self, link):
+    def lost(self, connection):
         pass
 
-    def received(self, link, message, sequence):
-        self.got.append((link, message, sequence))
+    def received(self, connection, message, sequence):
+        self.got.append((connection, message, sequence))
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -13,15 +13,15 @@
 from kestrelbend.tier.protocol.framing import (
     CHUNK_BYTES,
     SMALL_BYTES,
-    WORD,
+    HEADER_WORD,
     FrameReader,
     FrameWriter,
     FramingError,
 )
-from kestrelbend.tier.protocol.links import ANY_ORDER, Link
+from kestrelbend.tier.protocol.peer_connection import ANY_ORDER, PeerConnection
 from kestrelbend.tier.replication.messages import AppendEntries, Entry, TransferOwnership
 from tests.tier import virtual_time
-from tests.tier.link_doubles import LinkProcess, MemoryTransport
+from tests.tier.link_doubles import EndpointDouble, MemoryTransport
 
 NARROW = 15_000_000 / 8  # bytes a second
 PACKET_BYTES = 1460
@@ -165,15 +165,15 @@
         self.assertRaises(FramingError, FrameWriter().acknowledged, 1, 0.0)
 
     def test_a_frame_or_a_message_that_is_too_long_is_refused(self):
-        self.assertRaises(FramingError, list, FrameReader().feed(WORD.pack((1 << 30) - 1)))
+        self.assertRaises(FramingError, list, FrameReader().feed(HEADER_WORD.pack((1 << 30) - 1)))
         reader = FrameReader()
-        chunk = WORD.pack(1 << 30 | 1 << 24) + bytes(1 << 24)
+        chunk = HEADER_WORD.pack(1 << 30 | 1 << 24) + bytes(1 << 24)
         list(reader.feed(chunk + chunk))
         self.assertRaises(FramingError, list, reader.feed(chunk))
 
 
 class NarrowTransport(MemoryTransport):
-    """A transport whose bytes reach the other link at the pace of a narrow path, in virtual time."""
+    """A transport whose bytes reach the other connection at the pace of a narrow path, in virtual time."""
 
     def __init__(self):
         super().__init__()
@@ -189,16 +189,19 @@
 class LinkStories(testtools.TestCase):
     def test_given_a_transfer_when_a_request_gets_no_reply_then_the_connection_stays(self):
         async def play():
-            links = [Link(LinkProcess(), outgoing=True), Link(LinkProcess(), outgoing=False)]
+            connections = [
+                PeerConnection(EndpointDouble(), outgoing=True),
+                PeerConnection(EndpointDouble(), outgoing=False),
+            ]
             transports = [NarrowTransport(), NarrowTransport()]
             for side in (0, 1):
-                transports[side].far = links[1 - side]
-                links[side].connection_made(transports[side])
-            links[0].send(append(BODY))
+                transports[side].far = connections[1 - side]
+                connections[side].connection_made(transports[side])
+            connections[0].send(append(BODY))
             await asyncio.sleep(0.5)
-            self.assertIsNone(await links[0].request(TransferOwnership("s", "a", 1), 0.35))
+            self.assertIsNone(await connections[0].request(TransferOwnership("s", "a", 1), 0.35))
             self.assertFalse(transports[0].aborted)
             await asyncio.sleep(2.0)
-            self.assertEqual(2, len(links[1]._owner.got))
+            self.assertEqual(2, len(connections[1]._endpoint.got))
 
         virtual_time.run(play())
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -35,7 +35,7 @@
 from tests.tier import virtual_time
 from tests.tier.dataplane_world import STAMP, World
 from tests.tier.replication_harness import SHARD, Cluster
-from tests.tier.test_protocol_replies import Connection
+from tests.tier.test_protocol_replies import ConnectionPair
 from tests.tier.test_snapshots import pieces_of
 
 FOUND_BY_MODEL = {  # guard: script, faults
@@ -357,10 +357,10 @@
 class TestEndedConnections(testtools.TestCase):
     def test_who_waits_for_a_reply_hears_of_it_at_once(self):
         async def play():
-            connection = Connection(process("a:1"), process("b:1"))
-            asked = asyncio.ensure_future(connection.near.request(ConfigAck(1), timeout=5.0))
-            await connection.carry()
-            connection.end()
+            pair = ConnectionPair(process("a:1"), process("b:1"))
+            asked = asyncio.ensure_future(pair.near.request(ConfigAck(1), timeout=5.0))
+            await pair.carry()
+            pair.end()
             self.assertIsNone(await asked)
             self.assertEqual(0.0, asyncio.get_running_loop().time())
 
@@ -368,7 +368,7 @@
 
 
 def process(address):
-    """What a link asks of its process, which does nothing."""
+    """The endpoint of a connection, which does nothing."""
     return mock.Mock(hello=Hello(address, f"{address}#d", 1), opened=set(), sent_bytes=0)
 
 
--- a/tests/tier/test_protocol.py
+++ b/tests/tier/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages as bytes, and links that carry them, over transports in memory."""
+"""Messages as bytes, and connections that carry them, over transports in memory."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from kestrelbend.tier.protocol.codec import MESSAGES, DecodeError, decode, decode_with_sequence, encode
-from kestrelbend.tier.protocol.framing import MOST_MESSAGE_BYTES, WORD
-from kestrelbend.tier.protocol.links import Link
+from kestrelbend.tier.protocol.framing import MAX_MESSAGE_BYTES, HEADER_WORD
+from kestrelbend.tier.protocol.peer_connection import PeerConnection
 from kestrelbend.tier.replication.messages import AppendEntries, DurableRecord, Entry, TransferOwnership
-from tests.tier.link_doubles import LinkProcess, MemoryTransport
+from tests.tier.link_doubles import EndpointDouble, MemoryTransport
 
 PLAIN = {int: 7, str: "näme", bytes: b"\x00\xff", bool: True}
 
@@ -70,21 +70,23 @@
                 pass
 
 
-class _Echo(LinkProcess):
+class _Echo(EndpointDouble):
     """Answers each message with itself."""
 
-    def received(self, link, message, sequence):
-        super().received(link, message, sequence)
-        link.reply(sequence, message)
+    def received(self, connection, message, sequence):
+        super().received(connection, message, sequence)
+        connection.reply(sequence, message)
 
 
 class LinkTest(testtools.TestCase):
     def given_two_links(self):
         self.owners = [_Echo("a:1"), _Echo("b:1")]
-        self.links = [Link(owner, outgoing=index == 0) for index, owner in enumerate(self.owners)]
+        self.connections = [
+            PeerConnection(owner, outgoing=index == 0) for index, owner in enumerate(self.owners)
+        ]
         self.transports = [MemoryTransport(), MemoryTransport()]
-        for link, transport in zip(self.links, self.transports, strict=True):
-            link.connection_made(transport)
+        for connection, transport in zip(self.connections, self.transports, strict=True):
+            connection.connection_made(transport)
 
     async def pump(self, chunk=1 << 20):
         """Carries bytes both ways, in chunks, until nothing is left to carry."""
@@ -93,7 +95,7 @@
             for index, transport in enumerate(self.transports):
                 data, transport.written = bytes(transport.written), bytearray()
                 for begin in range(0, len(data), chunk):
-                    self.links[1 - index].data_received(data[begin : begin + chunk])
+                    self.connections[1 - index].data_received(data[begin : begin + chunk])
             await asyncio.sleep(0)
 
     def story(self, play):
@@ -107,17 +109,17 @@
         async def play():
             sent = [TransferOwnership("s", "a", epoch) for epoch in range(5)]
             for message in sent:
-                self.links[0].send(message)
+                self.connections[0].send(message)
             await self.pump(chunk=1)
             self.assertEqual(sent, [message for _, message, _ in self.owners[1].got])
-            self.assertEqual("a:1", self.links[1].peer.address)
+            self.assertEqual("a:1", self.connections[1].peer.address)
 
         self.story(play)
 
     def test_given_two_requests_when_answered_then_each_gets_its_own_reply(self):
         async def play():
             requests = [TransferOwnership("s", "a", epoch) for epoch in (1, 2)]
-            asked = [asyncio.ensure_future(self.links[0].request(one, 5)) for one in requests]
+            asked = [asyncio.ensure_future(self.connections[0].request(one, 5)) for one in requests]
             await self.pump()
             await self.pump()
             self.assertEqual(requests, await asyncio.gather(*asked))
@@ -126,25 +128,25 @@
 
     def test_given_a_request_under_way_when_the_connection_ends_then_there_is_no_reply(self):
         async def play():
-            asked = asyncio.ensure_future(self.links[0].request(TransferOwnership("s", "a", 1), 5))
+            asked = asyncio.ensure_future(self.connections[0].request(TransferOwnership("s", "a", 1), 5))
             await asyncio.sleep(0)
-            self.links[0].connection_lost(None)
+            self.connections[0].connection_lost(None)
             self.assertIsNone(await asked)
-            self.assertFalse(self.links[0].send(TransferOwnership("s", "a", 2)))
+            self.assertFalse(self.connections[0].send(TransferOwnership("s", "a", 2)))
 
         self.story(play)
 
     def test_given_a_peer_that_says_nothing_when_a_request_times_out_then_the_connection_is_given_up(self):
         async def play():
-            self.assertIsNone(await self.links[0].request(TransferOwnership("s", "a", 1), 0))
+            self.assertIsNone(await self.connections[0].request(TransferOwnership("s", "a", 1), 0))
             self.assertTrue(self.transports[0].aborted)
 
         self.story(play)
 
     def test_given_nonsense_or_a_frame_too_long_when_it_comes_then_the_connection_ends(self):
         async def play():
-            self.links[0].data_received(WORD.pack(MOST_MESSAGE_BYTES + 1))
-            self.links[1].data_received(WORD.pack(3) + b"abc")
+            self.connections[0].data_received(HEADER_WORD.pack(MAX_MESSAGE_BYTES + 1))
+            self.connections[1].data_received(HEADER_WORD.pack(3) + b"abc")
             self.assertEqual([True, True], [transport.aborted for transport in self.transports])
 
         self.story(play)
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -14,8 +14,8 @@
 from kestrelbend.tier.membership.ring import monitors
 
 
-class FakeLink:
-    """A link that remembers what was sent on it."""
+class FakeConnection:
+    """A connection that remembers what was sent on it."""
 
     def __init__(self, address=""):
         self.address = address
@@ -40,7 +40,7 @@
     def setUp(self):
         super().setUp()
         self.stream = ConfigStream()
-        self.link = FakeLink()
+        self.link = FakeConnection()
 
     def test_given_a_subscriber_when_versions_come_late_or_twice_then_they_only_rise(self):
         self.stream.subscribe(self.link, 0)
@@ -68,7 +68,7 @@
 
     def test_given_two_gateways_when_both_acknowledge_or_leave_then_the_wait_ends(self):
         async def play():
-            other = FakeLink()
+            other = FakeConnection()
             for link in (self.link, other):
                 self.stream.subscribe(link, 0)
             waiting = asyncio.ensure_future(self.stream.until_acknowledged(4))
@@ -88,7 +88,7 @@
 
 class BackendExchangeTest(testtools.TestCase):
     def given_an_exchange(self):
-        self.gateway, self.peer = FakeLink(), FakeLink()
+        self.gateway, self.peer = FakeConnection(), FakeConnection()
         self.exchange = BackendExchange("c:1", lambda: [backend(0)], lambda: [self.peer])
         self.exchange.subscribe(self.gateway)
 
@@ -103,7 +103,7 @@
 
     def test_given_a_gateway_that_wants_notices_then_it_hears_of_those_that_leave_alone(self):
         self.given_an_exchange()
-        other = FakeLink()
+        other = FakeConnection()
         self.exchange.subscribe(other, whole=False)
         self.exchange.stream([backend(0), backend(1)])
         self.exchange.stream([backend(0, 3)])
@@ -111,7 +111,7 @@
 
     def test_given_a_gateway_that_wants_all_later_then_it_gets_everything_and_numbers_go_on(self):
         self.given_an_exchange()
-        other = FakeLink()
+        other = FakeConnection()
         self.exchange.subscribe(other, whole=False)
         self.exchange.stream([backend(1)])
         self.exchange.subscribe(other, whole=True)
