--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -41,7 +41,7 @@
     sticky: bool = True
     resumable: bool = True
     retain_s: int = 60
-    gap_aim_ms: float = 200
+    inter_token_target_ms: float = 200
     targets: tuple = (("models", 1),)
 
 
--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -15,10 +15,10 @@
 import attrs
 import schema
 
-from kestrelbend.tier.configuration import forms
-from kestrelbend.tier.configuration.fields import shown
+from kestrelbend.tier.configuration import schemas
+from kestrelbend.tier.configuration.field_checks import abbreviated
 
-MOST_DEPTH = 32  # of objects and lists in one another
+MAX_DEPTH = 32  # of objects and lists in one another
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
     reason: str
 
 
-class Invalid(Exception):
+class InvalidDocument(Exception):
     """Carries a rejection from a check to the public functions of `document`; never leaves that module."""
 
     def __init__(self, rejected: ConfigRejected) -> None:
@@ -37,9 +37,9 @@
         self.rejected = rejected
 
 
-def invalid(code: str, reason: str) -> Invalid:
+def invalid(code: str, reason: str) -> InvalidDocument:
     """The exception of a new rejection."""
-    return Invalid(ConfigRejected(code, reason))
+    return InvalidDocument(ConfigRejected(code, reason))
 
 
 def host_key(host: str) -> str:
@@ -67,7 +67,7 @@
 
 
 def validate(form: schema.Schema, values: Any, what: str) -> None:
-    """Raises `Invalid` with the first fault of the form."""
+    """Raises `InvalidDocument` with the first fault of the form."""
     try:
         form.validate(values)
     except schema.SchemaError as error:
@@ -75,33 +75,33 @@
 
 
 def check_document(values: dict[str, Any]) -> None:
-    """Raises `Invalid` for a configuration that is not valid as a whole."""
-    validate(forms.DOCUMENT, values, "configuration")
+    """Raises `InvalidDocument` for a configuration that is not valid as a whole."""
+    validate(schemas.DOCUMENT, values, "configuration")
     for fault in _faults_between(values):
-        raise Invalid(fault)
+        raise InvalidDocument(fault)
 
 
 def check_names(kind: str, items: list[Any]) -> None:
-    """Raises `Invalid` where two items of a list share a name."""
+    """Raises `InvalidDocument` where two items of a list share a name."""
     for fault in _name_faults(kind, items):
-        raise Invalid(fault)
+        raise InvalidDocument(fault)
 
 
 def document_faults(body: bytes) -> tuple[ConfigRejected, ...]:
     """Everything that is wrong with a whole configuration; routes of a wrong form end there."""
     try:
         values = decode(body)
-    except Invalid as fault:
+    except InvalidDocument as fault:
         return (fault.rejected,)
-    faults = [_wrong_form("configuration", text).rejected for text in forms.CONFIGURATION.faults(values)]
-    return (*faults, *_faults_between(_usable_parts(values) if faults else values))
+    faults = [_wrong_form("configuration", text).rejected for text in schemas.CONFIGURATION.faults(values)]
+    return (*faults, *_faults_between(_well_formed_parts(values) if faults else values))
 
 
-def _usable_parts(values: dict[str, Any]) -> dict[str, Any]:
+def _well_formed_parts(values: dict[str, Any]) -> dict[str, Any]:
     """What of a document with a wrong form can be looked at together."""
     parts = {kind: items for kind, items in values.items() if isinstance(items, list)}
     routes = parts.get("Routes", [])
-    parts["Routes"] = [route for route in routes if not any(forms.ROUTE.faults(route))]
+    parts["Routes"] = [route for route in routes if not any(schemas.ROUTE.faults(route))]
     if "Services" not in parts:
         parts.update(Routes=[], Services=[])
     return parts
@@ -124,7 +124,9 @@
         if name is None:
             continue
         if name in seen:
-            yield ConfigRejected("same_name", f"{shown(kind)}: two items share the name {shown(name)}")
+            yield ConfigRejected(
+                "same_name", f"{abbreviated(kind)}: two items share the name {abbreviated(name)}"
+            )
         seen.add(name)
 
 
@@ -133,7 +135,7 @@
     for route in routes:
         place = (host_key(route["Hostname"]), route["PathPrefix"])
         if place in places:
-            name = shown(route["Name"])
+            name = abbreviated(route["Name"])
             yield ConfigRejected("same_place", f"route {name}: another route has its host and prefix")
         places.add(place)
         yield from _target_faults(route, services)
@@ -141,7 +143,7 @@
 
 def _target_faults(route: dict[str, Any], services: set[str | None]) -> Iterator[ConfigRejected]:
     """A route names services that exist, one at least, and its weights add up to more than 0."""
-    name = shown(route["Name"])
+    name = abbreviated(route["Name"])
     split = route.get("Split")
     upstream = route.get("Upstream")
     named = [target["Upstream"] for target in split or ()]
@@ -149,7 +151,9 @@
         named.append(upstream)
     for service in named:
         if service not in services:
-            yield ConfigRejected("unknown_service", f"route {name}: service {shown(service)} is unknown")
+            yield ConfigRejected(
+                "unknown_service", f"route {name}: service {abbreviated(service)} is unknown"
+            )
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
         yield ConfigRejected("no_weight", f"route {name}: its weights add up to 0")
     if not named:
@@ -162,7 +166,7 @@
     return name if isinstance(name, str) else None
 
 
-def _wrong_form(what: str, text: str) -> Invalid:
+def _wrong_form(what: str, text: str) -> InvalidDocument:
     return invalid("wrong_form", f"{what}: {text}")
 
 
@@ -183,11 +187,11 @@
 def _check_depth(values: dict[str, Any]) -> None:
     """A bound of its own, as the interpreter's depends on the depth of the caller."""
     level: list[Any] = [values]
-    for _ in range(MOST_DEPTH):
+    for _ in range(MAX_DEPTH):
         level = [inner for outer in level for inner in _containers(outer)]
         if not level:
             return
-    raise invalid("too_deep", f"objects lie more than {MOST_DEPTH} deep in one another")
+    raise invalid("too_deep", f"objects lie more than {MAX_DEPTH} deep in one another")
 
 
 def _containers(outer: dict[str, Any] | list[Any]) -> list[Any]:
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -12,10 +12,10 @@
 
 import attrs
 
-from kestrelbend.tier.configuration import forms
+from kestrelbend.tier.configuration import schemas
 from kestrelbend.tier.configuration.checks import (
     ConfigRejected,
-    Invalid,
+    InvalidDocument,
     check_document,
     check_names,
     decode,
@@ -23,7 +23,7 @@
     name_of,
     validate,
 )
-from kestrelbend.tier.configuration.fields import shown
+from kestrelbend.tier.configuration.field_checks import abbreviated
 
 
 @attrs.frozen(eq=False)
@@ -63,7 +63,7 @@
     try:
         values = decode(body)
         check_document(values)
-    except Invalid as fault:
+    except InvalidDocument as fault:
         return fault.rejected
     return Document(version=values["Ver"], body=bytes(body), values=values)
 
@@ -72,11 +72,11 @@
     """Reads a patch and checks its own form, whatever the document that it is meant for."""
     try:
         values = decode(body)
-        validate(forms.PATCH, values, "patch")
+        validate(schemas.PATCH, values, "patch")
         for kind, items in (values.get("Upsert") or {}).items():
             if isinstance(items, list):
                 check_names(kind, items)
-    except Invalid as fault:
+    except InvalidDocument as fault:
         return fault.rejected
     return Patch(version=values["Ver"], values=values)
 
@@ -89,7 +89,7 @@
     try:
         merged = _merge(current.values, patch.values)
         check_document(merged)
-    except Invalid as fault:
+    except InvalidDocument as fault:
         return fault.rejected
     encoded = json.dumps(merged, separators=(",", ":")).encode()
     return Document(version=patch.version, body=encoded, values=merged)
@@ -131,14 +131,14 @@
     if items is None:
         return []
     if not isinstance(items, list):
-        raise invalid("wrong_form", f"patch: {shown(kind)} is no list of items")
+        raise invalid("wrong_form", f"patch: {abbreviated(kind)} is no list of items")
     return items
 
 
 def _overlaid(values: dict[str, Any], kind: str, changes: dict[str, Any]) -> dict[str, Any]:
     present = values.get(kind) or {}
     if not isinstance(present, dict):
-        raise invalid("wrong_form", f"patch: {shown(kind)} is no object")
+        raise invalid("wrong_form", f"patch: {abbreviated(kind)} is no object")
     return {**present, **changes}
 
 
--- a/kestrelbend/tier/configuration/fields.py
+++ b/kestrelbend/tier/configuration/field_checks.py
@@ -1,8 +1,8 @@
 """Checks of the fields of JSON objects that come from outside.
 
-`Fields`, `ListOf` and `MapOf` are parts of a `schema.Schema` (they have its `validate` method) that take a
-small part of the time of plain schemas on documents of hundreds of items, and whose errors never quote more
-than a few characters of the data.
+`ObjectSchema`, `ListSchema` and `MapSchema` are parts of a `schema.Schema` (they have its `validate`
+method) that take a small part of the time of plain schemas on documents of hundreds of items, and whose
+errors never quote more than a few characters of the data.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 import attrs
 import schema
 
-MOST_TEXT = 1024  # characters
-MOST_SHOWN = 60  # characters of a wrong value in an error
-MOST_NUMBER = 1e15
-MOST_PORT = 65535
+MAX_TEXT = 1024  # characters
+MAX_ABBREVIATED = 60  # characters of a wrong value in an error
+MAX_NUMBER = 1e15
+MAX_PORT = 65535
 
 
 @attrs.frozen
@@ -32,7 +32,7 @@
         return cls(name, check, hasattr(check, "validate"))
 
 
-class Fields:
+class ObjectSchema:
     """Checks an object's known fields; unknown ones pass, and an optional one may be null."""
 
     def __init__(self, required: dict[str, Any], optional: dict[str, Any]) -> None:
@@ -70,7 +70,7 @@
                 yield from _field_faults(field.name, field.check, data[field.name])
 
 
-class ListOf:
+class ListSchema:
     """Checks that the data is a list, and each of its items."""
 
     def __init__(self, item: Any) -> None:
@@ -93,7 +93,7 @@
             yield from _field_faults(str(index), self._item, item)
 
 
-class MapOf:
+class MapSchema:
     """Checks that the data is an object, and each of its values."""
 
     def __init__(self, value: Any) -> None:
@@ -104,14 +104,14 @@
         if not isinstance(data, dict):
             raise schema.SchemaError("is not an object")
         for name, value in data.items():
-            _check_field(shown(name), self._value, value)
+            _check_field(abbreviated(name), self._value, value)
         return data
 
 
 def _check_field(name: str, check: Any, value: Any) -> None:
     if not hasattr(check, "validate"):
         if not check(value):
-            raise schema.SchemaError(f"{name}: {shown(value)} is not allowed")
+            raise schema.SchemaError(f"{name}: {abbreviated(value)} is not allowed")
         return
     try:
         check.validate(value)
@@ -124,33 +124,33 @@
         for fault in check.faults(value):
             yield f"{name}: {fault}"
     elif not check(value):
-        yield f"{name}: {shown(value)} is not allowed"
+        yield f"{name}: {abbreviated(value)} is not allowed"
 
 
-def shown(value: Any) -> str:
+def abbreviated(value: Any) -> str:
     """A few ASCII characters that tell a value; containers are named only."""
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
-    if is_whole(value) or not isinstance(value, int):
+    if is_integer(value) or not isinstance(value, int):
         text = ascii(value)
-        return text if len(text) <= MOST_SHOWN else text[: MOST_SHOWN - 3] + "..."
+        return text if len(text) <= MAX_ABBREVIATED else text[: MAX_ABBREVIATED - 3] + "..."
     return str(value).lower() if isinstance(value, bool) else "a number out of range"
 
 
 def is_text(value: Any) -> bool:
     """A short non-empty string of printable characters (so that it can be encoded everywhere)."""
-    return isinstance(value, str) and 0 < len(value) <= MOST_TEXT and value.isprintable()
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT and value.isprintable()
 
 
 def is_number(value: Any) -> bool:
     """A finite number of reasonable size, not a truth value."""
     kind = type(value)
-    return (kind is int or kind is float) and -MOST_NUMBER <= value <= MOST_NUMBER
+    return (kind is int or kind is float) and -MAX_NUMBER <= value <= MAX_NUMBER
 
 
-def is_whole(value: Any) -> bool:
+def is_integer(value: Any) -> bool:
     """A whole number of reasonable size, not a truth value."""
-    return type(value) is int and -MOST_NUMBER <= value <= MOST_NUMBER
+    return type(value) is int and -MAX_NUMBER <= value <= MAX_NUMBER
 
 
 def is_positive(value: Any) -> bool:
@@ -165,12 +165,12 @@
 
 def is_count(value: Any) -> bool:
     """A whole number, 0 or above."""
-    return is_whole(value) and value >= 0
+    return is_integer(value) and value >= 0
 
 
 def is_positive_count(value: Any) -> bool:
     """A whole number above 0."""
-    return is_whole(value) and value > 0
+    return is_integer(value) and value > 0
 
 
 def is_flag(value: Any) -> bool:
@@ -195,6 +195,6 @@
 @functools.lru_cache(maxsize=4096)
 def _is_address_text(value: str) -> bool:
     ip, _, port = value.rpartition(":")
-    if not port.isascii() or not port.isdigit() or len(port) > len(str(MOST_PORT)):
+    if not port.isascii() or not port.isdigit() or len(port) > len(str(MAX_PORT)):
         return False
-    return 0 < int(port) <= MOST_PORT and is_ip(ip)
+    return 0 < int(port) <= MAX_PORT and is_ip(ip)
--- a/kestrelbend/tier/configuration/messages.py
+++ b/kestrelbend/tier/configuration/messages.py
@@ -7,7 +7,7 @@
 import attrs
 
 
-UNCLEAR = 0  # a status: it can't be said here now, so the call may be sent again, to any node
+UNDETERMINED = 0  # a status: it can't be said here now, so the call may be sent again, to any node
 
 
 class OrderKind(enum.IntEnum):
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class ConfigOutcome:
-    """`status` as the operator's API answers it, or `UNCLEAR`."""
+    """`status` as the operator's API answers it, or `UNDETERMINED`."""
 
     status: int
     version: int
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -1,6 +1,6 @@
 """The HTTP interface for the operator and for backends' heartbeats, as an ASGI application.
 
-Invariant: a call is answered 2xx only if the port said so, and 4xx only as `refusals` allows; what can't be
+Invariant: a call is answered 2xx only if the port said so, and 4xx only as `rejections` allows; what can't be
 said now is a 503, which promises nothing.  Every body is read to its end, or to a bound, before the answer.
 """
 
@@ -14,29 +14,29 @@
 
 import attrs
 
-from kestrelbend.tier.configuration.fields import is_positive
-from kestrelbend.tier.configuration.forms import MOST_VERSION
+from kestrelbend.tier.configuration.field_checks import is_positive
+from kestrelbend.tier.configuration.schemas import MAX_VERSION
 from kestrelbend.tier.configuration.messages import ConfigOrder, OrderKind
-from kestrelbend.tier.configuration.refusals import is_refusal, may_refuse
+from kestrelbend.tier.configuration.rejections import is_rejection, may_reject
 from kestrelbend.tier.configuration.ports import ControlPort, ReportOutcome, RetireOutcome, RetireState
 
-MOST_ORDER_BYTES = 8 * 1024 * 1024
-MOST_REPORT_BYTES = 64 * 1024
-MOST_DISCARDED_BYTES = 64 * 1024 * 1024
+MAX_ORDER_BYTES = 8 * 1024 * 1024
+MAX_REPORT_BYTES = 64 * 1024
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024
 BODY_TIMEOUT_S = 20.0
 RETRY_AFTER_S = "0.2"
-MOST_NAME = 256
+MAX_NAME = 256
 BASE_VERSION = b"x-kestrelbend-base-version"
 CALL = re.compile(r"/api/(?P<call>[A-Za-z]+(?:\.[A-Za-z]+)?)(?:/(?P<name>[^/]+))?")
 
 UNAVAILABLE = 503
 REPORT_STATUS = {
-    ReportOutcome.TAKEN: 200,
+    ReportOutcome.ACCEPTED: 200,
     ReportOutcome.MALFORMED: 400,
     ReportOutcome.UNAVAILABLE: UNAVAILABLE,
 }
 RETIRE_STATUS = {
-    RetireOutcome.TAKEN: 200,
+    RetireOutcome.ACCEPTED: 200,
     RetireOutcome.UNKNOWN_NODE: 404,
     RetireOutcome.TOO_FEW_LEFT: 409,
     RetireOutcome.UNAVAILABLE: UNAVAILABLE,
@@ -69,7 +69,7 @@
     call: str
     method: str
     takes_name: bool
-    most_bytes: int
+    max_bytes: int
     run: Callable[[Call], Awaitable[Answer]]
 
 
@@ -83,12 +83,12 @@
     def __init__(self, port: ControlPort) -> None:
         self._port = port
         handlers = (
-            _Handler("Config.Put", "POST", False, MOST_ORDER_BYTES, self._put),
-            _Handler("Config.Patch", "POST", False, MOST_ORDER_BYTES, self._patch),
+            _Handler("Config.Put", "POST", False, MAX_ORDER_BYTES, self._put),
+            _Handler("Config.Patch", "POST", False, MAX_ORDER_BYTES, self._patch),
             _Handler("Config.Get", "GET", False, 0, self._get),
-            _Handler("Instances.Heartbeat", "POST", True, MOST_REPORT_BYTES, self._beat),
-            _Handler("Instances.Leave", "POST", True, MOST_REPORT_BYTES, self._leave),
-            _Handler("Retire.Start", "POST", True, MOST_REPORT_BYTES, self._retire_start),
+            _Handler("Instances.Heartbeat", "POST", True, MAX_REPORT_BYTES, self._beat),
+            _Handler("Instances.Leave", "POST", True, MAX_REPORT_BYTES, self._leave),
+            _Handler("Retire.Start", "POST", True, MAX_REPORT_BYTES, self._retire_start),
             _Handler("Retire.Get", "GET", True, 0, self._retire_get),
             _Handler("Status", "GET", False, 0, self._status),
         )
@@ -103,12 +103,12 @@
 
     async def _serve_http(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         found = self._find(scope)
-        most_bytes = 0 if isinstance(found, Answer) else found[0].most_bytes
+        max_bytes = 0 if isinstance(found, Answer) else found[0].max_bytes
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
-                body = await _read_body(receive, most_bytes)
+                body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, _refusal(408, "the body did not come in time"))
+            await _send(send, _rejection(408, "the body did not come in time"))
             return
         except _Disconnected:
             return
@@ -122,17 +122,17 @@
         match = CALL.fullmatch(scope["path"])
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
-        if handler is None or handler.takes_name != bool(name) or len(name) > MOST_NAME:
-            return _refusal(404, "no such call")
+        if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
+            return _rejection(404, "no such call")
         if scope["method"] != handler.method:
-            return attrs.evolve(_refusal(405, f"the call takes {handler.method}"), allow=handler.method)
+            return attrs.evolve(_rejection(405, f"the call takes {handler.method}"), allow=handler.method)
         return handler, name
 
     async def _answer(
         self, handler: _Handler, name: str, scope: dict[str, Any], body: bytes | None
     ) -> Answer:
         if body is None:
-            return _refusal(413, "the body is too large")
+            return _rejection(413, "the body is too large")
         base = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION]
         answer = await handler.run(Call(name, base[0] if len(base) == 1 else None, body))
         return _allowed(handler.call, answer)
@@ -146,7 +146,7 @@
     async def _order(self, kind: OrderKind, call: Call) -> Answer:
         base = _base_version(call.base)
         if base is None:
-            return _refusal(400, "X-Kestrelbend-Base-Version is missing or no whole number")
+            return _rejection(400, "X-Kestrelbend-Base-Version is missing or no whole number")
         outcome = await self._port.order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == 200:
             return _json(200, {"Ver": outcome.version})
@@ -159,16 +159,16 @@
         if not reply.owner:
             return _unavailable()
         if not reply.body:
-            return _refusal(404, "there is no configuration yet")
+            return _rejection(404, "there is no configuration yet")
         return Answer(200, bytes(reply.body))
 
     async def _beat(self, call: Call) -> Answer:
         report = _object(call.body)
         if report is None:
-            return _refusal(400, "the report is no JSON object")
+            return _rejection(400, "the report is no JSON object")
         outcome = await self._port.beat(call.name, report)
         url = self._port.beat_url()
-        if outcome is ReportOutcome.TAKEN and url:
+        if outcome is ReportOutcome.ACCEPTED and url:
             return _json(200, {"BeatUrl": url})
         return _plain(REPORT_STATUS[outcome])
 
@@ -179,7 +179,7 @@
         order = _object(call.body)
         deadline = order.get("DeadlineS") if order is not None else None
         if not is_positive(deadline):
-            return _refusal(400, "DeadlineS is no positive number of seconds")
+            return _rejection(400, "DeadlineS is no positive number of seconds")
         return _plain(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline))])
 
     async def _retire_get(self, call: Call) -> Answer:
@@ -187,7 +187,7 @@
         if state is RetireState.UNAVAILABLE:
             return _unavailable()
         if state is RetireState.NOT_ORDERED:
-            return _refusal(404, "nobody asked for the node to be emptied")
+            return _rejection(404, "nobody asked for the node to be emptied")
         return _json(200, {"State": state.value})
 
     async def _status(self, call: Call) -> Answer:
@@ -195,17 +195,17 @@
 
 
 def _allowed(call: str, answer: Answer) -> Answer:
-    """The answer, or a 503 in place of a refusal that the call may not get."""
-    if is_refusal(answer.status) and not may_refuse(call, answer.status):
+    """The answer, or a 503 in place of a rejection that the call may not get."""
+    if is_rejection(answer.status) and not may_reject(call, answer.status):
         return _unavailable()
     return answer
 
 
 def _base_version(value: bytes | None) -> int | None:
-    if value is None or not value.isdigit() or len(value) > len(str(MOST_VERSION)):
+    if value is None or not value.isdigit() or len(value) > len(str(MAX_VERSION)):
         return None
     version = int(value)
-    return version if version < MOST_VERSION else None
+    return version if version < MAX_VERSION else None
 
 
 def _object(body: bytes) -> dict[str, Any] | None:
@@ -220,12 +220,12 @@
     return Answer(status, json.dumps(values, separators=(",", ":")).encode())
 
 
-def _refusal(status: int, reason: str) -> Answer:
+def _rejection(status: int, reason: str) -> Answer:
     return _json(status, {"Error": reason})
 
 
 def _unavailable() -> Answer:
-    return _refusal(UNAVAILABLE, "can't be answered here now")
+    return _rejection(UNAVAILABLE, "can't be answered here now")
 
 
 def _plain(status: int) -> Answer:
@@ -234,28 +234,28 @@
     return _json(status, {} if status < 300 else {"Error": "refused"})
 
 
-async def _read_body(receive: Receive, most_bytes: int) -> bytes | None:
+async def _read_body(receive: Receive, max_bytes: int) -> bytes | None:
     """The whole body, or None if it was longer; what is too long is read and dropped, so that the caller,
     which may still be writing, gets its answer."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
             raise _Disconnected
-        piece = event.get("body", b"")
-        size += len(piece)
-        if size <= most_bytes:
-            pieces.append(piece)
+        chunk = event.get("body", b"")
+        size += len(chunk)
+        if size <= max_bytes:
+            chunks.append(chunk)
         else:
-            pieces.clear()
-        if size > MOST_DISCARDED_BYTES:
+            chunks.clear()
+        if size > MAX_DISCARDED_BYTES:
             return None
         if not event.get("more_body", False):
             break
-    if most_bytes and size > most_bytes:
+    if max_bytes and size > max_bytes:
         return None
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
 async def _send(send: Send, answer: Answer) -> None:
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -8,10 +8,10 @@
 import json
 from typing import Any
 
-from kestrelbend.tier.configuration.fields import is_text
+from kestrelbend.tier.configuration.field_checks import is_text
 from kestrelbend.tier.membership.messages import ShardPlacement
 
-MOST_REPLICAS = 64
+MAX_REPLICAS = 64
 
 # Keys of the body: they stand in journals and snapshots on disk, apart from the names of fields.
 _SHARD = "shard"
@@ -51,6 +51,6 @@
 
 def _are_replicas(value: Any) -> bool:
     """A list of one or more replicas, none of them twice."""
-    if not isinstance(value, list) or not 0 < len(value) <= MOST_REPLICAS:
+    if not isinstance(value, list) or not 0 < len(value) <= MAX_REPLICAS:
         return False
     return all(is_text(replica) for replica in value) and len(set(value)) == len(value)
--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -11,7 +11,7 @@
 class ReportOutcome(enum.Enum):
     """What became of a backend's report of itself."""
 
-    TAKEN = "taken"  # known wherever it must be known
+    ACCEPTED = "taken"  # known wherever it must be known
     MALFORMED = "malformed"  # wherever it is sent again
     UNAVAILABLE = "unavailable"  # this node can't vouch for it: ask another
 
@@ -19,7 +19,7 @@
 class RetireOutcome(enum.Enum):
     """What became of an order to empty a storage node."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     UNKNOWN_NODE = "unknown node"
     TOO_FEW_LEFT = "too few left"
     UNAVAILABLE = "unavailable"
@@ -44,7 +44,7 @@
         """The newest configuration, as its shard's owner has it."""
 
     async def beat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
-        """Takes a backend's heartbeat; TAKEN once it is safe to acknowledge it."""
+        """Takes a backend's heartbeat; `ACCEPTED` once it is safe to acknowledge it."""
 
     async def leave(self, identity: str) -> ReportOutcome:
         """Takes a backend's word that it is gone."""
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -38,7 +38,7 @@
     retain_s: int  # for which a program of the route may stay away and come back
     sticky: bool
     resumable: bool
-    gap_aim_ms: float
+    inter_token_target_ms: float
     targets: tuple[tuple[str, int], ...]
 
 
@@ -149,7 +149,7 @@
         retain_s=math.ceil(_value(item, "RetainS", 0)),
         sticky=_value(item, "Sticky", False),
         resumable=_value(item, "Resumable", False),
-        gap_aim_ms=_value(item, "gap_aim_ms", 0),
+        inter_token_target_ms=_value(item, "gap_aim_ms", 0),
         targets=_targets(item),
     )
 
--- a/kestrelbend/tier/configuration/forms.py
+++ b/kestrelbend/tier/configuration/schemas.py
@@ -9,25 +9,25 @@
 
 import schema
 
-from kestrelbend.tier.configuration.fields import (
-    Fields,
-    ListOf,
-    MapOf,
+from kestrelbend.tier.configuration.field_checks import (
+    ObjectSchema,
+    ListSchema,
+    MapSchema,
     is_count,
     is_flag,
     is_not_negative,
     is_positive,
     is_positive_count,
     is_text,
-    is_whole,
+    is_integer,
 )
 
-MOST_VERSION = 2**62
+MAX_VERSION = 2**62
 
 
 def is_version(value: Any) -> bool:
     """The version of a document: a whole number above 0."""
-    return type(value) is int and 0 < value < MOST_VERSION
+    return type(value) is int and 0 < value < MAX_VERSION
 
 
 def is_prefix(value: Any) -> bool:
@@ -40,8 +40,8 @@
     return is_text(value) and value[0] == "/"
 
 
-TARGET = Fields(required={"Upstream": is_text, "Weight": is_not_negative}, optional={})
-ROUTE = Fields(
+TARGET = ObjectSchema(required={"Upstream": is_text, "Weight": is_not_negative}, optional={})
+ROUTE = ObjectSchema(
     required={
         "Name": is_text,
         "Hostname": is_text,
@@ -51,9 +51,9 @@
     },
     optional={
         "Upstream": is_text,
-        "Split": ListOf(TARGET),
+        "Split": ListSchema(TARGET),
         "SloMs": is_not_negative,
-        "Prio": is_whole,
+        "Prio": is_integer,
         "Retries": is_count,
         "Stored": is_flag,
         "RetainS": is_not_negative,
@@ -62,15 +62,15 @@
         "gap_aim_ms": is_not_negative,
     },
 )
-ENGINE = Fields(
+ENGINE = ObjectSchema(
     required={},
     optional={"Slots": is_positive_count, "KvTokens": is_count, "Stride": is_positive_count},
 )
-SERVICE = Fields(
+SERVICE = ObjectSchema(
     required={"Name": is_text},
     optional={"HealthPath": is_path, "MaxConns": is_positive_count, "Engine": ENGINE},
 )
-LIMITS = Fields(
+LIMITS = ObjectSchema(
     required={},
     optional={
         "MaxHeaderBytes": is_positive_count,
@@ -79,13 +79,13 @@
         "IdleTimeoutMs": is_positive,
     },
 )
-CONFIGURATION = Fields(
-    required={"Ver": is_version, "Routes": ListOf(ROUTE), "Services": ListOf(SERVICE)},
+CONFIGURATION = ObjectSchema(
+    required={"Ver": is_version, "Routes": ListSchema(ROUTE), "Services": ListSchema(SERVICE)},
     optional={"Limits": LIMITS},
 )
 DOCUMENT = schema.Schema(CONFIGURATION)
 
-_NAMED_ITEMS = ListOf(Fields(required={"Name": is_text}, optional={}))
+_NAMED_ITEMS = ListSchema(ObjectSchema(required={"Name": is_text}, optional={}))
 
 
 class _Changes:
@@ -97,8 +97,12 @@
 
 
 PATCH = schema.Schema(
-    Fields(
+    ObjectSchema(
         required={"Ver": is_version},
-        optional={"Upsert": MapOf(_Changes()), "Remove": MapOf(ListOf(is_text)), "Limits": Fields({}, {})},
+        optional={
+            "Upsert": MapSchema(_Changes()),
+            "Remove": MapSchema(ListSchema(is_text)),
+            "Limits": ObjectSchema({}, {}),
+        },
     )
 )
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -1,7 +1,7 @@
 """Orders on the configuration, at whichever control node they arrive.
 
-The shard's owner decides.  A refusal is given only after the owner has confirmed that it still is the owner,
-since a former one would refuse by an old version; an acceptance is a committed entry.
+The shard's owner decides.  A rejection is given only after the owner has confirmed that it still is the
+owner, since a former one would reject by an old version; an acceptance is a committed entry.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 from ..protocol.codec import decode, encode
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from .messages import UNCLEAR, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
+from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
 from .state import ConfigurationState, checked_entry
 
-ANSWER_S = 0.9  # callers go on to another node after a second
-FORWARD_S = 0.85
-PAUSE_S = 0.03
+ANSWER_TIMEOUT_S = 0.9  # callers go on to another node after a second
+FORWARD_TIMEOUT_S = 0.85
+ATTEMPT_INTERVAL_S = 0.03
 OK = 200
-NOT_OWNER = ConfigOutcome(UNCLEAR, 0, "not the owner")
-NOT_IN_TIME = ConfigOutcome(UNCLEAR, 0, "not committed in time")
+NOT_OWNER = ConfigOutcome(UNDETERMINED, 0, "not the owner")
+NOT_IN_TIME = ConfigOutcome(UNDETERMINED, 0, "not committed in time")
 NOT_READ = ReadReply(False, 0, b"")
 OPERATORS_KINDS = (OrderKind.PUT, OrderKind.PATCH)
 LARGE_BYTES = 64 * 1024  # of an order and the document that it changes
-MOST_EXAMINATIONS = 3  # of one order, where other changes come between
+MAX_EVALUATIONS = 3  # of one order, where other changes come between
 
 RunAside = Callable[[Callable[[], object]], Awaitable[object]]
 """Runs a function that touches nothing of the caller's beside the event loop."""
@@ -104,57 +104,57 @@
         return self._host.replica(CONFIGURATION_SHARD)
 
     async def order(self, order: ConfigOrder) -> ConfigOutcome:
-        """The outcome; UNCLEAR where no owner said anything clear in time."""
-        ends = self._now() + ANSWER_S
+        """The outcome; `UNDETERMINED` where no owner said anything clear in time."""
+        ends = self._now() + ANSWER_TIMEOUT_S
         while True:
-            outcome = await self._try(order, ends)
-            if outcome.status != UNCLEAR or self._now() + PAUSE_S >= ends:
+            outcome = await self._attempt(order, ends)
+            if outcome.status != UNDETERMINED or self._now() + ATTEMPT_INTERVAL_S >= ends:
                 return outcome
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
-    async def _try(self, order: ConfigOrder, ends: float) -> ConfigOutcome:
+    async def _attempt(self, order: ConfigOrder, ends: float) -> ConfigOutcome:
         if self.replica.is_owner:
             return await self.decide(order, ends - self._now())
         reply = await self._ask_owner(order, ends)
         return reply if isinstance(reply, ConfigOutcome) else NOT_OWNER
 
     async def decide(self, order: ConfigOrder, within: float = float("inf")) -> ConfigOutcome:
-        """As the owner: accept by a committed entry, refuse after a confirmation or by such an entry.
+        """As the owner: accept by a committed entry, reject after a confirmation or by such an entry.
 
         An operator's order that is committed is acknowledged once the gateways subscribed here serve by it,
         or the time is over.
         """
         ends = self._now() + within
-        await self._examine_aside(order)
-        refusal = self._refusal(order)
-        if refusal is not None:
+        await self._evaluate_aside(order)
+        rejection = self._rejection(order)
+        if rejection is not None:
             if not await self._confirmed():
                 return NOT_OWNER
-            refusal = self._refusal(order)
-        if refusal is not None:
-            return refusal
+            rejection = self._rejection(order)
+        if rejection is not None:
+            return rejection
         outcome = await self._propose(checked_entry(order), ends - self._now())
         if outcome.status == OK and order.kind in OPERATORS_KINDS:
             await self._accepted(outcome.version, ends - self._now())
         return outcome
 
-    async def _examine_aside(self, order: ConfigOrder) -> None:
+    async def _evaluate_aside(self, order: ConfigOrder) -> None:
         """Has a large order checked beside the loop: an owner that stands still loses its ownership."""
         state = self.state
         if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
             return
-        for _ in range(MOST_EXAMINATIONS):
-            if not state.needs_examination(order):
+        for _ in range(MAX_EVALUATIONS):
+            if not state.needs_evaluation(order):
                 return
             version = state.version
-            state.keep_examined(order, version, await self._run_aside(state.examination(order)))
+            state.keep_evaluation(order, version, await self._run_aside(state.evaluation(order)))
 
-    def _refusal(self, order: ConfigOrder) -> ConfigOutcome | None:
+    def _rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
         """The answer to an order that changes nothing, by the state or by what the owner alone can tell."""
         return self.state.check(order) or self.owner_check(order)
 
     async def _propose(self, order: ConfigOrder, within: float) -> ConfigOutcome:
-        """The committed entry's outcome; UNCLEAR where it may or may not be committed, now or later."""
+        """The committed entry's outcome; `UNDETERMINED` where it may be committed, now or later, or not."""
         future = asyncio.get_running_loop().create_future()
 
         def done(outcome):
@@ -180,21 +180,21 @@
         if not self._host.confirm(CONFIGURATION_SHARD, done, self._now()):
             return False
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await future
         except TimeoutError:
             return False
 
     async def read(self) -> ReadReply:
         """The newest configuration, by the owner's word."""
-        ends = self._now() + ANSWER_S
+        ends = self._now() + ANSWER_TIMEOUT_S
         while True:
-            reply = await self._try_read(ends)
-            if reply.owner or self._now() + PAUSE_S >= ends:
+            reply = await self._attempt_read(ends)
+            if reply.owner or self._now() + ATTEMPT_INTERVAL_S >= ends:
                 return reply
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
-    async def _try_read(self, ends: float) -> ReadReply:
+    async def _attempt_read(self, ends: float) -> ReadReply:
         if self.replica.is_owner:
             return await self.read_here()
         reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), ends)
@@ -212,4 +212,4 @@
         link = self._links.to(address_of(owner)) if owner else None
         if link is None:
             return None
-        return await link.request(message, max(0.01, min(FORWARD_S, ends - self._now())))
+        return await link.request(message, max(0.01, min(FORWARD_TIMEOUT_S, ends - self._now())))
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -2,7 +2,7 @@
 
 Invariants: every replica that applies the same orders in the same sequence holds the same state and answers
 the same.  An order once taken is never refused: it is answered 200 for as long as it is among the last
-`MOST_HISTORY` taken, and after that without a clear answer.  An order once refused is never taken: every
+`MAX_HISTORY` taken, and after that without a clear answer.  An order once refused is never taken: every
 refusal holds for all later versions, and where one might not, there is no clear answer either.
 """
 
@@ -25,11 +25,11 @@
     parse_put,
     read_accepted,
 )
-from kestrelbend.tier.configuration.messages import UNCLEAR, ConfigOrder, ConfigOutcome, OrderKind
+from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.ports import RetireState
 from kestrelbend.tier.configuration.stores import (
-    MOST_NODE_NAME,
+    MAX_NODE_NAME,
     StoreRecords,
     decode_disk,
     decode_emptied,
@@ -40,10 +40,10 @@
 
 CHECKED_KINDS = {OrderKind.PUT: OrderKind.CHECKED_PUT, OrderKind.PATCH: OrderKind.CHECKED_PATCH}
 SENT_KINDS = {checked: sent for sent, checked in CHECKED_KINDS.items()}
-MOST_HISTORY = 4096
-MOST_CHECKED = 16
-MOST_CHECKED_BYTES = 4 * 1024 * 1024  # of bodies whose documents are kept decoded
-MOST_RETIRING = 4096
+MAX_HISTORY = 4096
+MAX_EVALUATIONS_KEPT = 16
+MAX_EVALUATION_BYTES_KEPT = 4 * 1024 * 1024  # of bodies whose documents are kept decoded
+MAX_RETIRING = 4096
 SNAPSHOT_FORM = 1
 
 # Keys of a snapshot's head: they stand in snapshots on disk, apart from the names of fields.
@@ -146,9 +146,9 @@
         elif order.kind == OrderKind.RETIRE:
             self._stores.retire(order.body.decode())
         elif order.kind == OrderKind.STORE:
-            self._stores.add_disk(decode_disk(order.body), self._placed_replicas())
+            self._stores.record_disk(decode_disk(order.body), self._placed_replicas())
         elif order.kind == OrderKind.EMPTIED:
-            self._stores.note(decode_emptied(order.body))
+            self._stores.record_emptied(decode_emptied(order.body))
         else:
             self._take(order, self._look_at(order))
         return self._outcome(200, "taken")
@@ -178,23 +178,23 @@
             raise AssertionError("an order is taken only after its check")
         self._document = document
         self._history[_digest(order)] = document.version
-        while len(self._history) > MOST_HISTORY:
+        while len(self._history) > MAX_HISTORY:
             self._forgotten_version = self._history.pop(next(iter(self._history)))
         self._checked.clear()
 
-    def needs_examination(self, order: ConfigOrder) -> bool:
+    def needs_evaluation(self, order: ConfigOrder) -> bool:
         """Whether `check` would have to read the whole order now."""
         digest = _digest(order)
         checked = self._checked.get(digest)
         is_known = checked is not None and checked.version == self.version
         return not is_known and self._taken_before(digest) is None
 
-    def examination(self, order: ConfigOrder) -> Callable[[], Document | ConfigOutcome]:
+    def evaluation(self, order: ConfigOrder) -> Callable[[], Document | ConfigOutcome]:
         """The reading and checking of an order, to be run anywhere: it touches nothing of this state."""
-        return functools.partial(examine, order, self._document, self._forgotten_version)
+        return functools.partial(evaluate, order, self._document, self._forgotten_version)
 
-    def keep_examined(self, order: ConfigOrder, version: int, result: Document | ConfigOutcome) -> None:
-        """Keeps what an examination begun at `version` came to."""
+    def keep_evaluation(self, order: ConfigOrder, version: int, result: Document | ConfigOutcome) -> None:
+        """Keeps what an evaluation begun at `version` came to."""
         self._keep(_digest(order), _Checked(version, result))
 
     def _look_at(self, order: ConfigOrder) -> Document | ConfigOutcome:
@@ -205,7 +205,7 @@
             return ConfigOutcome(200, taken, "taken before")
         checked = self._checked.get(digest)
         if checked is None or checked.version != self.version:
-            checked = _Checked(self.version, self.examination(order)())
+            checked = _Checked(self.version, self.evaluation(order)())
             self._keep(digest, checked)
         return checked.result
 
@@ -218,7 +218,9 @@
         self._checked.pop(digest, None)
         self._checked[digest] = checked
         size = sum(kept.size for kept in self._checked.values())
-        while len(self._checked) > MOST_CHECKED or (size > MOST_CHECKED_BYTES and len(self._checked) > 1):
+        while len(self._checked) > MAX_EVALUATIONS_KEPT or (
+            size > MAX_EVALUATION_BYTES_KEPT and len(self._checked) > 1
+        ):
             oldest = next(iter(self._checked))
             size -= self._checked.pop(oldest).size
 
@@ -247,7 +249,7 @@
             return self._outcome(400, "not the name of a node")
         if node in self.retiring:
             return self._outcome(200, "taken before")
-        if len(self.retiring) >= MOST_RETIRING:
+        if len(self.retiring) >= MAX_RETIRING:
             return self._outcome(409, "too many nodes are being emptied")
         return None
 
@@ -263,7 +265,7 @@
             return self._outcome(400, "not a node that is empty")
         if self._stores.is_emptied(fact.node, fact.shard):
             return self._outcome(200, "taken before")
-        if not self._stores.may_note(fact, self.placement(fact.shard)):
+        if not self._stores.may_record(fact, self.placement(fact.shard)):
             return self._outcome(412, f"{fact.node} may hold {fact.shard}")
         return None
 
@@ -323,7 +325,9 @@
         self._checked.clear()
 
 
-def examine(order: ConfigOrder, current: Document | None, forgotten_version: int) -> Document | ConfigOutcome:
+def evaluate(
+    order: ConfigOrder, current: Document | None, forgotten_version: int
+) -> Document | ConfigOutcome:
     """The document that an order leads to on the current one, or why there is none."""
     version = current.version if current else 0
     change = _read(order)
@@ -358,7 +362,7 @@
     gets no clear answer.
     """
     if order.base_version > version or order.base_version < forgotten_version:
-        return ConfigOutcome(UNCLEAR, version, f"version {version} is current")
+        return ConfigOutcome(UNDETERMINED, version, f"version {version} is current")
     return ConfigOutcome(412, version, f"version {version} is current")
 
 
@@ -383,7 +387,7 @@
         node = order.body.decode()
     except UnicodeDecodeError:
         return ""
-    return node if len(node) <= MOST_NODE_NAME else ""
+    return node if len(node) <= MAX_NODE_NAME else ""
 
 
 def _digest(order: ConfigOrder) -> bytes:
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -13,12 +13,12 @@
 
 import attrs
 
-from kestrelbend.tier.configuration.fields import is_text
+from kestrelbend.tier.configuration.field_checks import is_text
 from kestrelbend.tier.membership.messages import ShardPlacement
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD
 
-MOST_DISKS = 16384
-MOST_NODE_NAME = 256
+MAX_DISKS = 16384
+MAX_NODE_NAME = 256
 
 # Keys of the bodies below: they stand in journals and snapshots on disk, apart from the names of fields.
 _NODE = "node"
@@ -141,7 +141,7 @@
         shards = [CONFIGURATION_SHARD, *(placed.shard for placed in placements)]
         return node in self._retiring and all(self.is_emptied(node, shard) for shard in shards)
 
-    def may_note(self, fact: Emptied, placed: ShardPlacement | None) -> bool:
+    def may_record(self, fact: Emptied, placed: ShardPlacement | None) -> bool:
         """Whether a fact stays true from here on; `placed` is where its shard should be."""
         gone = self.replicas_of(fact.node)
         if fact.node not in self._retiring or not self._disks.keys() >= set(fact.group):
@@ -152,10 +152,10 @@
             return False
         return gone.isdisjoint(fact.group) and gone.isdisjoint(placed.voters)
 
-    def add_disk(self, disk: KnownDisk, placed: set[str]) -> None:
+    def record_disk(self, disk: KnownDisk, placed: set[str]) -> None:
         """Notes a disk; beyond the bound the oldest that no placement names is forgotten."""
         self._disks[disk.replica] = disk
-        if len(self._disks) > MOST_DISKS:
+        if len(self._disks) > MAX_DISKS:
             oldest = next((known for known in self._disks if known not in placed), None)
             self._disks.pop(oldest, None)
 
@@ -163,13 +163,13 @@
         """Notes that a node is to be emptied."""
         self._retiring[node] = None
 
-    def note(self, fact: Emptied) -> None:
+    def record_emptied(self, fact: Emptied) -> None:
         """Notes that a shard is gone from a node."""
         self._emptied[fact.node, fact.shard] = fact
 
 
 def _is_node(value: Any) -> bool:
-    return is_text(value) and 0 < len(value) <= MOST_NODE_NAME
+    return is_text(value) and 0 < len(value) <= MAX_NODE_NAME
 
 
 def _encode(values: dict[str, Any]) -> bytes:
--- a/kestrelbend/tier/configuration/stream.py
+++ b/kestrelbend/tier/configuration/stream.py
@@ -16,7 +16,7 @@
 from ..protocol.codec import encode
 from ..membership.messages import ConfigUpdate
 
-ACK_WAIT_S = 0.4
+ACK_TIMEOUT_S = 0.4
 
 
 @attrs.define(eq=False)
@@ -25,7 +25,7 @@
     with_bodies: bool
     sent: int
     acknowledged: int
-    told_current: bool = False
+    notified_current: bool = False
 
 
 class ConfigStream:
@@ -44,7 +44,7 @@
         if self._subscribers.pop(link, None) is not None:
             self._release()
 
-    def take_ack(self, link, version: int) -> None:
+    def acknowledged(self, link, version: int) -> None:
         """A gateway serves by this version."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
@@ -56,7 +56,7 @@
         whole = notice = None
         for subscriber in self._subscribers.values():
             newer = version > subscriber.sent
-            confirms = current and not subscriber.told_current and version >= subscriber.sent > 0
+            confirms = current and not subscriber.notified_current and version >= subscriber.sent > 0
             if not newer and not confirms:
                 continue
             if newer and subscriber.with_bodies:
@@ -66,15 +66,15 @@
                 notice = notice or encode(ConfigUpdate(version, current, b""))
                 subscriber.link.send_encoded(notice)
             subscriber.sent = version
-            subscriber.told_current = subscriber.told_current or current
+            subscriber.notified_current = subscriber.notified_current or current
 
-    async def until_acknowledged(self, version: int, within: float = ACK_WAIT_S) -> None:
-        """Returns once all gateways here serve by `version`, or after `within`, `ACK_WAIT_S` at most."""
+    async def until_acknowledged(self, version: int, within: float = ACK_TIMEOUT_S) -> None:
+        """Returns once all gateways here serve by `version`, or after `within`, `ACK_TIMEOUT_S` at most."""
         if within <= 0 or self._all_have(version):
             return
         future = asyncio.get_running_loop().create_future()
         self._waiting.append((version, future))
-        await asyncio.wait([future], timeout=min(within, ACK_WAIT_S))
+        await asyncio.wait([future], timeout=min(within, ACK_TIMEOUT_S))
 
     def _all_have(self, version: int) -> bool:
         return all(subscriber.acknowledged >= version for subscriber in self._subscribers.values())
--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -73,7 +73,7 @@
             return ReportOutcome.UNAVAILABLE if outcome.code == FULL else ReportOutcome.MALFORMED
         self._reported.add(outcome.identity)
         if self._registry.urgent_number <= self._streamed and outcome.state == BackendState.READY:
-            return ReportOutcome.TAKEN
+            return ReportOutcome.ACCEPTED
         changes = self._changes()
         if outcome.state != BackendState.READY and self._vouched.get(outcome.identity, 0) < outcome.state:
             return await self._vouch_for(outcome, changes)
@@ -81,7 +81,7 @@
             await self._exchange.tell_all(changes)
         else:
             self._spread(changes)
-        return ReportOutcome.TAKEN
+        return ReportOutcome.ACCEPTED
 
     def _spread(self, changes: list[Backend]) -> None:
         """To the gateways all of it, to the other control nodes what backends themselves told here."""
@@ -101,7 +101,7 @@
             await asyncio.sleep(PAUSE_S)
             holders = await self._exchange.tell_peers_again([leaving], holders, left - PAUSE_S)
         self._note_vouched(leaving)
-        return ReportOutcome.TAKEN
+        return ReportOutcome.ACCEPTED
 
     def _note_vouched(self, leaving: Backend) -> None:
         self._vouched.pop(leaving.identity, None)
--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -21,7 +21,7 @@
 SHORT_TROUBLE_S = 30.0  # for which a silent store counts among those that will be left
 
 OUTCOMES = {
-    OK: RetireOutcome.TAKEN,
+    OK: RetireOutcome.ACCEPTED,
     NOT_FOUND: RetireOutcome.UNKNOWN_NODE,
     CONFLICT: RetireOutcome.TOO_FEW_LEFT,
 }
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -33,7 +33,7 @@
             if report is None or state.stores.is_emptied(node, shard):
                 continue
             fact = emptied_by(node, report)
-            if fact is not None and state.stores.may_note(fact, state.placement(shard)):
+            if fact is not None and state.stores.may_record(fact, state.placement(shard)):
                 orders.append(ConfigOrder(OrderKind.EMPTIED, 0, encode_emptied(fact)))
     return orders
 
--- a/kestrelbend/tier/dataplane/forward.py
+++ b/kestrelbend/tier/dataplane/forward.py
@@ -241,7 +241,9 @@
     if not (exchange.streaming and exchange.route.resumable):
         return None
     route = exchange.route
-    return max(SILENCE_S, route.slo_ms / 1000 * SILENCE_AIMS, route.gap_aim_ms / 1000 * SILENCE_GAPS)
+    return max(
+        SILENCE_S, route.slo_ms / 1000 * SILENCE_AIMS, route.inter_token_target_ms / 1000 * SILENCE_GAPS
+    )
 
 
 def _course(exchange: Exchange, rank: Rank) -> _Course:
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -28,7 +28,7 @@
     sticky: bool
     resumable: bool
     retain_s: int
-    gap_aim_ms: float
+    inter_token_target_ms: float
     targets: tuple[tuple[str, int], ...]
 
 
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -8,8 +8,8 @@
 import attrs
 import schema
 
-from kestrelbend.tier.configuration.fields import (
-    Fields,
+from kestrelbend.tier.configuration.field_checks import (
+    ObjectSchema,
     is_address,
     is_number,
     is_positive_count,
@@ -55,7 +55,7 @@
 
 
 REPORT = schema.Schema(
-    Fields(
+    ObjectSchema(
         required={
             "Upstream": is_name,
             "Address": is_address,
--- a/kestrelbend/tier/fleet/http.py
+++ b/kestrelbend/tier/fleet/http.py
@@ -106,7 +106,7 @@
     async def _run(self, call: _Call, application, scope: dict, body: bytes) -> None:
         received = False
         status = 0
-        pieces = []
+        chunks = []
 
         async def receive():
             nonlocal received
@@ -120,9 +120,9 @@
             if event["type"] == "http.response.start":
                 status = event["status"]
                 return
-            pieces.append(event.get("body", b""))
+            chunks.append(event.get("body", b""))
             if not event.get("more_body", False):
-                self._answer(call, Reply(status, b"".join(pieces)))
+                self._answer(call, Reply(status, b"".join(chunks)))
 
         await application(scope, receive, send)
 
--- a/kestrelbend/tier/fleet/removals/groups.py
+++ b/kestrelbend/tier/fleet/removals/groups.py
@@ -61,7 +61,7 @@
     placement._wished = target
 
 
-@guard("emptied-stays", "configuration.stores:StoreRecords.may_note", "a fact that does not stay true")
+@guard("emptied-stays", "configuration.stores:StoreRecords.may_record", "a fact that does not stay true")
 def note_any_fact(stores, fact, placed):
     return True
 
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from ..configuration.messages import UNCLEAR, ConfigOrder, ConfigOutcome, OrderKind
+from ..configuration.messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind
 from ..configuration.shard_service import ConfigurationMachine, ConfigurationService
 from ..configuration.state import checked_entry
 from ..fleet.operator import marker_route, route, services
@@ -117,9 +117,9 @@
         service = ConfigurationService(carrier, None, lambda: self.nodes[name].clock, _at_once)
         asked_at = self.nodes[name].clock
         outcome = await service.decide(ORDERS[order])
-        if outcome.status not in (OK, UNCLEAR):
+        if outcome.status not in (OK, UNDETERMINED):
             self.rules.refuses(self.nodes[name], asked_at)
-        if carrier is self.carriers[name] and outcome.status != UNCLEAR:
+        if carrier is self.carriers[name] and outcome.status != UNDETERMINED:
             self._answered(order, outcome)
 
     def _answered(self, order: str, outcome: ConfigOutcome) -> None:
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -15,7 +15,7 @@
 from ..configuration.operator_api import OperatorApi
 from ..configuration.ports import ReportOutcome, RetireOutcome, RetireState
 from ..configuration.shard_service import (
-    FORWARD_S,
+    FORWARD_TIMEOUT_S,
     NOT_OWNER,
     ConfigurationMachine,
     ConfigurationService,
@@ -159,7 +159,7 @@
         elif isinstance(message, Subscribe):
             self._subscribe(connection, message)
         elif isinstance(message, ConfigAck):
-            self.config_stream.take_ack(connection, message.version)
+            self.config_stream.acknowledged(connection, message.version)
         elif isinstance(message, ConfigFetch):
             self._send_newer_configuration(connection, message.version)
         elif isinstance(message, BackendAck):
@@ -183,7 +183,7 @@
     async def _decide(self, order: ConfigOrder) -> ConfigOutcome:
         if not self.configuration.replica.is_owner:
             return NOT_OWNER
-        return await self.configuration.decide(order, FORWARD_S)
+        return await self.configuration.decide(order, FORWARD_TIMEOUT_S)
 
     def _subscribe(self, connection: PeerConnection, message: Subscribe) -> None:
         if message.member.serves_front:
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -7,7 +7,7 @@
 from ..budgets.client import BudgetClient
 from ..budgets.names import ReservationNames
 from ..budgets.messages import BudgetReply, BudgetRequest, Reserve, ReserveOutcome, Settle, Verdict
-from ..configuration.announced import AnnouncedVersions
+from ..configuration.announced_versions import AnnouncedVersions
 from ..configuration.document import read_accepted
 from ..configuration.routing import RoutingTable
 from ..dataplane.app import assemble
@@ -103,7 +103,7 @@
         if update.body:
             self.routing.take(update.version, update.body)
         if self.routing.version < update.version:
-            self._announced.announced(connection.address, update.version, self.now())
+            self._announced.record(connection.address, update.version, self.now())
             return
         if update.current:
             self._current = True
@@ -121,7 +121,7 @@
 
     def _fetch_configuration(self, now: float) -> None:
         """Asks for a version that was announced and has not come."""
-        address = self._announced.due(self.routing.version, now)
+        address = self._announced.next_to_ask(self.routing.version, now)
         connection = None if address is None else self.connections.to(address)
         if connection is not None:
             connection.send(ConfigFetch(self.routing.version))
--- a/kestrelbend/tier/roles/settings.py
+++ b/kestrelbend/tier/roles/settings.py
@@ -14,7 +14,7 @@
 import schema
 import yaml
 
-from kestrelbend.tier.configuration.fields import MOST_NUMBER, MOST_PORT, is_address, is_ip, is_text
+from kestrelbend.tier.configuration.field_checks import MAX_NUMBER, MAX_PORT, is_address, is_ip, is_text
 
 _Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _YAML_ERRORS = (
@@ -199,7 +199,7 @@
 
 def _is_number(value: Any) -> bool:
     """A finite number, not a truth value."""
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) <= MOST_NUMBER
+    return isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) <= MAX_NUMBER
 
 
 def _is_whole(value: Any) -> bool:
@@ -209,7 +209,7 @@
 def _is_port_range(value: Any) -> bool:
     if not isinstance(value, list) or len(value) != 2 or not all(_is_whole(port) for port in value):
         return False
-    return 0 < value[0] <= value[1] <= MOST_PORT
+    return 0 < value[0] <= value[1] <= MAX_PORT
 
 
 def _positive(unit: str) -> _Form:
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -380,8 +380,8 @@
 def route(name: str, kind: str, service: str, **changes) -> Route:
     values = dict(
         name=name, hostname="a.example", path_prefix=f"/{name}/", kind=kind, timeout_ms=2000, slo_ms=200,
-        priority=1, retries=1, stored=False, retain_s=60, sticky=False, resumable=False, gap_aim_ms=200,
-        targets=((service, 1),),
+        priority=1, retries=1, stored=False, retain_s=60, sticky=False, resumable=False,
+        inter_token_target_ms=200, targets=((service, 1),),
     )  # fmt: skip
     return Route(**{**values, **changes})
 
--- a/tests/tier/test_announced.py
+++ b/tests/tier/test_announced.py
@@ -2,7 +2,11 @@
 
 import testtools
 
-from kestrelbend.tier.configuration.announced import PATIENCE_S, RETRY_S, AnnouncedVersions
+from kestrelbend.tier.configuration.announced_versions import (
+    FETCH_DELAY_S,
+    FETCH_INTERVAL_S,
+    AnnouncedVersions,
+)
 
 
 class AnnouncedStories(testtools.TestCase):
@@ -11,21 +15,24 @@
         self.announced = AnnouncedVersions()
 
     def test_given_the_body_comes_in_time_then_nobody_is_asked(self):
-        self.announced.announced("a", 5, 0.0)
-        self.assertIsNone(self.announced.due(5, PATIENCE_S))
-        self.assertIsNone(self.announced.due(5, 10.0))
+        self.announced.record("a", 5, 0.0)
+        self.assertIsNone(self.announced.next_to_ask(5, FETCH_DELAY_S))
+        self.assertIsNone(self.announced.next_to_ask(5, 10.0))
 
     def test_given_it_does_not_come_then_announcers_are_asked_in_turn(self):
-        self.announced.announced("a", 5, 0.0)
-        self.announced.announced("b", 5, 0.01)
-        self.assertIsNone(self.announced.due(4, PATIENCE_S - 0.01))
-        first = self.announced.due(4, PATIENCE_S)
-        self.assertIsNone(self.announced.due(4, PATIENCE_S + 0.01))
-        second = self.announced.due(4, PATIENCE_S + RETRY_S)
+        self.announced.record("a", 5, 0.0)
+        self.announced.record("b", 5, 0.01)
+        self.assertIsNone(self.announced.next_to_ask(4, FETCH_DELAY_S - 0.01))
+        first = self.announced.next_to_ask(4, FETCH_DELAY_S)
+        self.assertIsNone(self.announced.next_to_ask(4, FETCH_DELAY_S + 0.01))
+        second = self.announced.next_to_ask(4, FETCH_DELAY_S + FETCH_INTERVAL_S)
         self.assertEqual({"a", "b"}, {first, second})
 
     def test_given_one_who_announced_an_older_version_then_it_is_not_asked(self):
-        self.announced.announced("old", 4, 0.0)
-        self.announced.announced("new", 5, 0.0)
-        asked = {self.announced.due(4, PATIENCE_S + turn * (RETRY_S + 0.01)) for turn in range(4)}
+        self.announced.record("old", 4, 0.0)
+        self.announced.record("new", 5, 0.0)
+        asked = {
+            self.announced.next_to_ask(4, FETCH_DELAY_S + turn * (FETCH_INTERVAL_S + 0.01))
+            for turn in range(4)
+        }
         self.assertEqual({"new"}, asked)
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -98,7 +98,7 @@
     def test_given_a_calm_time_then_a_backend_that_drains_is_acknowledged_at_once(self):
         async def story():
             outcome, took = await self.drain()
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertTrue(took < 0.05, took)
             self.assertEqual(BackendState.DRAINING, self.far.news[-1].backends[0].state)
 
@@ -131,7 +131,7 @@
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
             self.in_contact = True
             outcome, _ = await self.drain(4)
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
 
         self.play(story)
 
@@ -140,7 +140,7 @@
             self.in_contact = False
             asyncio.get_running_loop().call_later(0.3, setattr, self, "in_contact", True)
             outcome, took = await self.drain()
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertTrue(0.3 <= took < ANSWER_S, took)
 
         self.play(story)
@@ -149,7 +149,7 @@
         async def story():
             self.far.delay = None
             outcome, took = await self.drain()
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertTrue(took <= ACK_WAIT_S + 0.01, took)
 
         self.play(story)
@@ -160,7 +160,7 @@
             self.near.delay = None
             asyncio.get_running_loop().call_later(0.5, setattr, self.near, "delay", 0.01)
             outcome, _ = await self.drain()
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertEqual(3, len(self.near.news))
 
         self.play(story)
@@ -179,7 +179,7 @@
             await self.drain(2)
             self.near.delay = self.far.delay = None
             outcome, took = await self.drain(3)
-            self.assertEqual((ReportOutcome.TAKEN, 0.0), (outcome, took))
+            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, took))
             outcome, _ = await self.timed(self.reports.leave("i-1"))
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
 
@@ -190,7 +190,7 @@
             self.in_contact = False
             self.near.delay = self.far.delay = None
             outcome, took = await self.beat()
-            self.assertEqual((ReportOutcome.TAKEN, 0.0), (outcome, took))
+            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, took))
 
         self.play(story)
 
@@ -220,7 +220,7 @@
             gateway = Gateway()
             self.exchange.subscribe(gateway)
             outcome, took = await self.drain()
-            self.assertIs(ReportOutcome.TAKEN, outcome)
+            self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertAlmostEqual(ACK_WAIT_S, took, 3)
             self.assertEqual(BackendState.DRAINING, gateway.updates[-1].backends[0].state)
 
--- a/tests/tier/test_configuration_operator_api.py
+++ b/tests/tier/test_configuration_operator_api.py
@@ -9,7 +9,7 @@
 from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, OrderKind, ReadReply
 from kestrelbend.tier.configuration.operator_api import OperatorApi
 from kestrelbend.tier.configuration.ports import ReportOutcome, RetireOutcome, RetireState
-from kestrelbend.tier.configuration.refusals import ANY_CALL, REFUSALS, Proof, is_refusal
+from kestrelbend.tier.configuration.rejections import ANY_CALL, REJECTIONS, Proof, is_rejection
 
 
 class Port:
@@ -19,8 +19,8 @@
         self.calls = []
         self.outcome = ConfigOutcome(200, 7, "")
         self.reply = ReadReply(True, 7, b'{"Ver": 7}')
-        self.report_outcome = ReportOutcome.TAKEN
-        self.retire_outcome = RetireOutcome.TAKEN
+        self.report_outcome = ReportOutcome.ACCEPTED
+        self.retire_outcome = RetireOutcome.ACCEPTED
         self.state = RetireState.RUNNING
         self.url = None
         self.told = {"Node": "front-1", "InTouch": True}
@@ -62,12 +62,12 @@
         self.port = Port()
         self.headers = {}
 
-    def call(self, method, path, *pieces, base=None, ends=True):
+    def call(self, method, path, *chunks, base=None, ends=True):
         """(status, JSON) of one call; None if there was no answer."""
         headers = [] if base is None else [(b"X-Kestrelbend-Base-Version", base)]
         scope = {"type": "http", "method": method, "path": path, "headers": headers}
-        pieces = pieces or (b"",)
-        events = [{"type": "http.request", "body": piece, "more_body": True} for piece in pieces]
+        chunks = chunks or (b"",)
+        events = [{"type": "http.request", "body": chunk, "more_body": True} for chunk in chunks]
         events[-1]["more_body"] = not ends
         events.append({"type": "http.disconnect"})
         sent = []
@@ -118,14 +118,14 @@
 
     def test_given_the_table_of_refusals_then_each_names_a_call_and_its_proof(self):
         calls = {*OperatorApi(self.port)._handlers, ANY_CALL}
-        for refusal in REFUSALS:
-            self.assertIn(refusal.call, calls)
-            self.assertTrue(refusal.proofs and is_refusal(refusal.status), refusal)
-        by_call_alone = {r.status for r in REFUSALS if r.proofs == (Proof.CALL,)}
+        for rejection in REJECTIONS:
+            self.assertIn(rejection.call, calls)
+            self.assertTrue(rejection.proofs and is_rejection(rejection.status), rejection)
+        by_call_alone = {r.status for r in REJECTIONS if r.proofs == (Proof.CALL,)}
         self.assertEqual({400, 404, 405, 408, 413}, by_call_alone)
 
     def test_given_a_body_that_is_too_large_then_it_is_read_and_refused(self):
-        self.patch(operator_api, "MOST_ORDER_BYTES", 10)
+        self.patch(operator_api, "MAX_ORDER_BYTES", 10)
         answer = self.call("POST", "/api/Config.Put", b"x" * 6, b"x" * 5, b"x" * 90, base=b"1")
         self.assertEqual((413, []), (answer[0], self.port.calls))
 
--- a/tests/tier/test_configuration_state.py
+++ b/tests/tier/test_configuration_state.py
@@ -9,7 +9,7 @@
 
 from kestrelbend.tier.configuration import state as state_module
 from kestrelbend.tier.configuration import stores as stores_module
-from kestrelbend.tier.configuration.messages import UNCLEAR, ConfigOrder, OrderKind
+from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.state import ConfigurationState, SnapshotError, checked_entry
 from kestrelbend.tier.configuration.stores import (
@@ -126,14 +126,14 @@
         self.assertEqual([400], self.answers(ConfigOrder(9, 0, body(document()))))
 
     def test_given_an_order_whose_base_may_become_current_then_it_is_not_refused_before_that(self):
-        self.assertEqual([UNCLEAR, 200, 200], self.answers(put(3, 7), put(0, 3), put(3, 7)))
+        self.assertEqual([UNDETERMINED, 200, 200], self.answers(put(3, 7), put(0, 3), put(3, 7)))
 
     def test_given_an_order_that_can_never_be_taken_then_its_base_does_not_matter(self):
         self.answers(put(0, 5))
         self.assertEqual([400, 400, 400], self.answers(put(7, 5), put(7, 7), patch(9, 8)))
 
     def test_given_any_orders_again_and_again_then_who_was_refused_once_is_never_taken(self):
-        self.patch(state_module, "MOST_HISTORY", 4)
+        self.patch(state_module, "MAX_HISTORY", 4)
         for seed in range(30):
             rng = random.Random(seed)
             self.state = ConfigurationState()
@@ -144,34 +144,34 @@
                     sent.append(put(base, base + rng.randrange(3), Extra=rng.randrange(3)))
                 order = rng.choice(sent[-30:])
                 status = self.state.apply(order).status
-                if status != UNCLEAR:
+                if status != UNDETERMINED:
                     taken = clear.setdefault(order, status == 200)
                     self.assertEqual(taken, status == 200, order)
             self.assertTrue(self.state.version > 10)
 
     def test_given_many_orders_then_only_the_last_are_remembered(self):
-        self.patch(state_module, "MOST_HISTORY", 3)
+        self.patch(state_module, "MAX_HISTORY", 3)
         orders = [put(version, version + 1) for version in range(6)]
         self.answers(*orders)
-        self.assertEqual([UNCLEAR] * 3 + [200] * 3, self.answers(*orders))
+        self.assertEqual([UNDETERMINED] * 3 + [200] * 3, self.answers(*orders))
 
     def test_given_an_order_that_was_taken_and_forgotten_then_it_is_never_refused(self):
-        self.patch(state_module, "MOST_HISTORY", 3)
+        self.patch(state_module, "MAX_HISTORY", 3)
         orders = [put(version, version + 1) for version in range(8)]
         self.answers(*orders)
         restored = ConfigurationState()
         restored.restore(self.state.snapshot())
         for state in (self.state, restored):
             for order in orders:
-                self.assertIn(state.apply(order).status, (UNCLEAR, 200))
+                self.assertIn(state.apply(order).status, (UNDETERMINED, 200))
             self.assertEqual(412, state.apply(put(5, 6, Extra=1)).status)
 
     def test_given_the_newest_order_then_its_repeat_is_taken_however_few_are_remembered(self):
-        self.patch(state_module, "MOST_HISTORY", 1)
+        self.patch(state_module, "MAX_HISTORY", 1)
         self.assertEqual([200, 200, 200], self.answers(put(0, 3), put(3, 7), put(3, 7)))
 
     def test_given_large_documents_then_few_are_kept_decoded(self):
-        self.patch(state_module, "MOST_CHECKED_BYTES", 3000)
+        self.patch(state_module, "MAX_EVALUATION_BYTES_KEPT", 3000)
         orders = [put(0, version, Padding="x" * 1000) for version in range(1, 9)]
         for order in orders:
             self.assertIsNone(self.state.check(order))
@@ -246,7 +246,7 @@
                 snapshot = follower.snapshot()
                 follower = ConfigurationState()
                 follower.restore(snapshot)
-        self.assertEqual({200, 400, 412, UNCLEAR}, counts.keys())
+        self.assertEqual({200, 400, 412, UNDETERMINED}, counts.keys())
         self.assertEqual(plain.snapshot(), owner.snapshot())
         self.assertEqual(plain.snapshot(), follower.snapshot())
 
@@ -321,7 +321,7 @@
                 self.assertEqual([400], self.answers(ConfigOrder(int(kind), 0, data)))
 
     def test_given_more_disks_than_the_bound_then_the_oldest_that_holds_nothing_is_forgotten(self):
-        self.patch(stores_module, "MOST_DISKS", 4)
+        self.patch(stores_module, "MAX_DISKS", 4)
         self.answers(disk("n5", "e"))
         self.assertEqual({"a", "b", "d", "e"}, {known.replica for known in self.state.stores.disks})
 
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -15,7 +15,7 @@
 from kestrelbend.tier.budgets.line import ShardLine
 from kestrelbend.tier.budgets.messages import BudgetReply, Reserve, ReserveOutcome, Verdict
 from kestrelbend.tier.budgets.route import ClientSettings
-from kestrelbend.tier.configuration.messages import UNCLEAR, ConfigOrder, OrderKind
+from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import NOT_OWNER
 from kestrelbend.tier.configuration.state import ConfigurationState, checked_entry
 from kestrelbend.tier.control.retirement import HEARD_ALL_S, NOT_FOUND, Retirement
@@ -293,7 +293,7 @@
     def test_one_whose_base_may_become_current_is_not_refused(self):
         document = {"Ver": 7, "Routes": [], "Services": []}
         order = ConfigOrder(int(OrderKind.PUT), 3, json.dumps(document).encode())
-        self.assertEqual(UNCLEAR, ConfigurationState().apply(checked_entry(order)).status)
+        self.assertEqual(UNDETERMINED, ConfigurationState().apply(checked_entry(order)).status)
 
 
 class TestFounding(testtools.TestCase):
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -9,7 +9,7 @@
 import testtools
 
 from kestrelbend.tier.configuration import state as state_module
-from kestrelbend.tier.configuration.messages import UNCLEAR, ConfigOrder, OrderKind
+from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import (
     LARGE_BYTES,
     ConfigurationMachine,
@@ -180,7 +180,7 @@
         self.tell(story, seeds=(1, 2, 3))
 
     def test_a_taken_order_past_the_history_is_never_refused(self):
-        self.patch(state_module, "MOST_HISTORY", 2)
+        self.patch(state_module, "MAX_HISTORY", 2)
 
         async def story(world):
             orders = twins(world)
@@ -318,9 +318,9 @@
             tasks = self.begin(put(0, 3), put(0, 3, Extra=1))
             await asyncio.sleep(0.01)
             self.host.lose()
-            self.assertEqual([UNCLEAR, UNCLEAR], await self.statuses(tasks))
+            self.assertEqual([UNDETERMINED, UNDETERMINED], await self.statuses(tasks))
             late = self.begin(ConfigOrder(int(OrderKind.PUT), 0, b"{"), put(0, 3))
-            self.assertEqual([UNCLEAR, UNCLEAR], await self.statuses(late))
+            self.assertEqual([UNDETERMINED, UNDETERMINED], await self.statuses(late))
 
         self.play(story)
 
@@ -329,7 +329,7 @@
             tasks = self.begin(put(0, 3), put(3, 5))
             await asyncio.sleep(0.01)
             self.host.commit()
-            self.assertEqual([200, UNCLEAR], await self.statuses(tasks))
+            self.assertEqual([200, UNDETERMINED], await self.statuses(tasks))
             again = self.begin(put(3, 5))
             await asyncio.sleep(0.01)
             self.host.commit()
@@ -340,7 +340,7 @@
     def test_given_disks_that_stall_then_the_caller_is_answered_in_time_and_the_order_counts_later(self):
         async def story():
             tasks = self.begin(put(0, 3))
-            self.assertEqual([UNCLEAR], await self.statuses(tasks))
+            self.assertEqual([UNDETERMINED], await self.statuses(tasks))
             self.assertAlmostEqual(0.85, asyncio.get_running_loop().time() - self.began, 3)
             self.host.commit()
             self.assertEqual([200], await self.statuses(self.begin(put(0, 3))))
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -73,7 +73,7 @@
                 self.stream.subscribe(link, 0)
             waiting = asyncio.ensure_future(self.stream.until_acknowledged(4))
             await asyncio.sleep(0)
-            self.stream.take_ack(self.link, 4)
+            self.stream.acknowledged(self.link, 4)
             await asyncio.sleep(0)
             self.assertFalse(waiting.done())
             self.stream.lost(other)
