--- a/kestrelbend/tier/budgets/bounds.py
+++ b/kestrelbend/tier/budgets/bounds.py
@@ -10,11 +10,11 @@
 
 import attrs
 
-from kestrelbend.tier.budgets.messages import Reserve, Settle
+from kestrelbend.tier.budgets.messages import Reserve, Settlement
 
-NAME_BYTES = 256
-TOKENS_MOST = 2**48
-RETAIN_MOST_S = 2**31 - 1
+MAX_NAME_BYTES = 256
+MAX_TOKENS = 2**48
+MAX_RETAIN_S = 2**31 - 1
 _FINGERPRINT_RANGE = 2**63
 
 
@@ -26,13 +26,13 @@
         session=bounded_name(reserve.session),
         reservation=bounded_name(reserve.reservation),
         fingerprint=reserve.fingerprint % _FINGERPRINT_RANGE,
-        most_tokens=_bounded_tokens(reserve.most_tokens),
+        max_tokens=_bounded_tokens(reserve.max_tokens),
         budget=_bounded_tokens(reserve.budget),
-        retain_s=min(max(reserve.retain_s, 0), RETAIN_MOST_S),
+        retain_s=min(max(reserve.retain_s, 0), MAX_RETAIN_S),
     )
 
 
-def bounded_settle(settle: Settle) -> Settle:
+def bounded_settlement(settle: Settlement) -> Settlement:
     """The command with its names and figures within bounds."""
     return attrs.evolve(
         settle,
@@ -45,7 +45,7 @@
 def bounded_name(name: str) -> str:
     """The name itself, or a digest of one that is too long or is no Unicode text."""
     encoded = name.encode("utf-8", "surrogatepass")
-    if len(encoded) <= NAME_BYTES and not _has_surrogate(name):
+    if len(encoded) <= MAX_NAME_BYTES and not _has_surrogate(name):
         return name
     return hashlib.sha256(encoded).hexdigest()
 
@@ -55,4 +55,4 @@
 
 
 def _bounded_tokens(tokens: int) -> int:
-    return min(max(tokens, 0), TOKENS_MOST)
+    return min(max(tokens, 0), MAX_TOKENS)
--- a/kestrelbend/tier/budgets/client.py
+++ b/kestrelbend/tier/budgets/client.py
@@ -10,20 +10,20 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from kestrelbend.tier.budgets.bounds import bounded_name, bounded_reserve, bounded_settle
-from kestrelbend.tier.budgets.line import ShardLine, silent
+from kestrelbend.tier.budgets.bounds import bounded_name, bounded_reserve, bounded_settlement
+from kestrelbend.tier.budgets.shard_queue import ShardRequestQueue, unanswered
 from kestrelbend.tier.budgets.messages import (
     BudgetReply,
     BudgetRequest,
     Reserve,
     ReserveOutcome,
-    Settle,
+    Settlement,
     Verdict,
 )
 from kestrelbend.tier.budgets.route import ClientSettings
 from kestrelbend.tier.budgets.shards import shard_of
 
-PROGRAMS_SEEN = 10_000
+MAX_PROGRAMS_REMEMBERED = 10_000
 
 Send = Callable[[str, BudgetRequest], Awaitable[BudgetReply | None]]
 """Sends a request to an address; None where there was no reply.  Cancelled once its time is over."""
@@ -52,41 +52,41 @@
         self._shard_count = shard_count
         self._settings = settings or ClientSettings()
         self._may_wait = may_wait
-        self._lines: dict[str, ShardLine] = {}
+        self._lines: dict[str, ShardRequestQueue] = {}
         self._settled_seen: dict[str, int] = {}
 
     async def reserve(self, reserve: Reserve, within: float | None = None) -> ReserveOutcome:
-        """Asks for a turn's tokens; SILENT where no owner answered within the time in seconds, and at once
+        """Asks for a turn's tokens; NO_ANSWER where no owner answered within the time in seconds, and at once
         where none can be reached."""
-        limit = self._settings.reserve_s if within is None else within
+        limit = self._settings.reserve_timeout_s if within is None else within
         reserve = bounded_reserve(reserve)
         if not self._may_wait(shard_of(reserve.program, self._shard_count)):
-            return silent(reserve)
+            return unanswered(reserve)
         outcome = await self._line(reserve.program).reserve(reserve, limit)
-        if outcome.verdict != Verdict.SILENT:
-            self._note_settled(reserve.program, outcome.settled)
+        if outcome.verdict != Verdict.NO_ANSWER:
+            self._record_settled(reserve.program, outcome.settled)
         return outcome
 
-    def give_up_waiting(self, shard: str) -> None:
-        """No owner of the shard can be reached: whoever waits for one gets SILENT now."""
+    def fail_pending(self, shard: str) -> None:
+        """No owner of the shard can be reached: whoever waits for one gets NO_ANSWER now."""
         line = self._lines.get(shard)
         if line is not None:
-            line.give_up_waiting()
+            line.fail_pending()
 
-    def settle(self, settle: Settle) -> None:
+    def settle(self, settle: Settlement) -> None:
         """Reports how a turn ended; returns at once."""
-        settle = bounded_settle(settle)
+        settle = bounded_settlement(settle)
         self._line(settle.program).settle(settle)
 
-    def spent_locally(self, program: str, most_tokens: int, budget: int) -> bool:
+    def spent_locally(self, program: str, max_tokens: int, budget: int) -> bool:
         """Whether the tokens last seen as handed out leave no room for the turn: these never fall, so the
         owner would say the same."""
-        return 0 < budget < self._settled_seen.get(bounded_name(program), 0) + most_tokens
+        return 0 < budget < self._settled_seen.get(bounded_name(program), 0) + max_tokens
 
     @property
-    def settlements_waiting(self) -> int:
+    def pending_settlements(self) -> int:
         """Settlements that no owner has recorded yet."""
-        return sum(line.settlements_waiting for line in self._lines.values())
+        return sum(line.pending_settlements for line in self._lines.values())
 
     async def close(self, within: float) -> bool:
         """Brings the settlements that wait to their owners, within a time in seconds; whether all arrived."""
@@ -94,16 +94,16 @@
         closed = await asyncio.gather(*(line.close(within) for line in lines))
         return all(closed)
 
-    def _line(self, program: str) -> ShardLine:
+    def _line(self, program: str) -> ShardRequestQueue:
         shard = shard_of(program, self._shard_count)
         line = self._lines.get(shard)
         if line is None:
-            line = ShardLine(shard, self._send, self._replicas, self._settings)
+            line = ShardRequestQueue(shard, self._send, self._replicas, self._settings)
             self._lines[shard] = line
         return line
 
-    def _note_settled(self, program: str, settled: int) -> None:
+    def _record_settled(self, program: str, settled: int) -> None:
         known = self._settled_seen.pop(program, 0)
         self._settled_seen[program] = max(known, settled)
-        if len(self._settled_seen) > PROGRAMS_SEEN:
+        if len(self._settled_seen) > MAX_PROGRAMS_REMEMBERED:
             del self._settled_seen[next(iter(self._settled_seen))]
--- a/kestrelbend/tier/budgets/messages.py
+++ b/kestrelbend/tier/budgets/messages.py
@@ -13,7 +13,7 @@
     ADMITTED = 0
     SPENT = 1  # answered 402
     RETRY_LATER = 2  # the retry budget is used up: a refusal with a retry-after
-    SILENT = 3  # the counter did not answer: the turn is not sent (given by the client side alone)
+    NO_ANSWER = 3  # the counter did not answer: the turn is not sent (given by the client side alone)
 
 
 class TurnEnd(enum.IntEnum):
@@ -30,22 +30,23 @@
 
     `reservation` is unique to one try of a client (a repeat of the same command changes nothing and gets the
     same outcome, or a refusal once it is forgotten; see `names.py`).  `fingerprint` tells a turn's repeat
-    from the session's next turn.  `spare` says that the quota alone decides: a backend has room, so the retry
-    budget does not act.  `retain_s` is how long the program may stay away and come back, 0 where it is unset.
+    from the session's next turn.  `spare_capacity` says that the quota alone decides: a backend has
+    capacity, so the retry budget does not act.
+    `retain_s` is how long the program may stay away and come back, 0 where it is unset.
     """
 
     program: str
     session: str
     reservation: str
     fingerprint: int
-    most_tokens: int
+    max_tokens: int
     budget: int
-    spare: bool
+    spare_capacity: bool
     retain_s: int = 0
 
 
 @attrs.frozen
-class Settle:
+class Settlement:
     """Replaces a reservation's tokens by those handed to the client."""
 
     program: str
@@ -71,7 +72,7 @@
 
     shard: str
     reserves: tuple[Reserve, ...]
-    settles: tuple[Settle, ...]
+    settlements: tuple[Settlement, ...]
 
 
 @attrs.frozen
--- a/kestrelbend/tier/budgets/names.py
+++ b/kestrelbend/tier/budgets/names.py
@@ -10,7 +10,7 @@
 
 import itertools
 
-LIVES_KEPT = 4096
+MAX_INCARNATIONS = 4096
 _SEPARATOR = "."
 
 
@@ -40,7 +40,7 @@
         life, number = parsed
         number = max(number, self.highest.pop(life, 0))
         self.highest[life] = number
-        if len(self.highest) > LIVES_KEPT:
+        if len(self.highest) > MAX_INCARNATIONS:
             del self.highest[next(iter(self.highest))]
 
     def __contains__(self, name: str) -> bool:
--- a/kestrelbend/tier/budgets/program.py
+++ b/kestrelbend/tier/budgets/program.py
@@ -9,13 +9,13 @@
 
 import attrs
 
-from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settle, TurnEnd, Verdict
+from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, TurnEnd, Verdict
 
-RETRY_SHARE = 0.20
-FLOOR_TURNS = 4
+MAX_RETRY_SHARE = 0.20
+RETRY_FLOOR_TURNS = 4
 RETRY_AFTER_MS = 1000
-CLOSED_KEPT = 64
-SESSIONS_KEPT = 64
+MAX_CLOSED_RESERVATIONS = 64
+MAX_SESSIONS = 64
 
 
 @attrs.define
@@ -35,7 +35,7 @@
 class OpenTurn:
     """A reservation that is not settled."""
 
-    most_tokens: int
+    max_tokens: int
     session: str
     retry: bool
 
@@ -87,7 +87,7 @@
             self._close(reserve.reservation, verdict)
         return self._outcome(reserve, verdict)
 
-    def settle(self, settle: Settle) -> None:
+    def settle(self, settle: Settlement) -> None:
         """Replaces a reservation by what was handed out; one that is closed stays as it is.
 
         A settlement may come before its reservation, where that was sent twice.  The turn has ended, so a
@@ -95,10 +95,10 @@
         """
         turn = self.open_turns.pop(settle.reservation, None)
         if turn is not None:
-            self.reserved -= turn.most_tokens
+            self.reserved -= turn.max_tokens
             self.settled += max(0, settle.used_tokens)
             if turn.retry and settle.end == TurnEnd.NOT_RUN:
-                self.retries -= turn.most_tokens
+                self.retries -= turn.max_tokens
             self._end_turn(turn.session, settle)
         if settle.reservation not in self.closed:
             self._close(settle.reservation, Verdict.RETRY_LATER)
@@ -111,32 +111,32 @@
 
     def _judge(self, reserve: Reserve, retry: bool) -> Verdict:
         """At the limit a retry is refused as spent, before it could count as a retry."""
-        total = self.total + reserve.most_tokens
+        total = self.total + reserve.max_tokens
         if 0 < reserve.budget < total:
             return Verdict.SPENT
-        if not retry or reserve.spare or total <= FLOOR_TURNS * reserve.most_tokens:
+        if not retry or reserve.spare_capacity or total <= RETRY_FLOOR_TURNS * reserve.max_tokens:
             return Verdict.ADMITTED
-        retries = self.retries + reserve.most_tokens
-        return Verdict.RETRY_LATER if retries > RETRY_SHARE * total else Verdict.ADMITTED
+        retries = self.retries + reserve.max_tokens
+        return Verdict.RETRY_LATER if retries > MAX_RETRY_SHARE * total else Verdict.ADMITTED
 
     def _admit(self, reserve: Reserve, retry: bool) -> None:
-        self.open_turns[reserve.reservation] = OpenTurn(reserve.most_tokens, reserve.session, retry)
-        self.reserved += reserve.most_tokens
+        self.open_turns[reserve.reservation] = OpenTurn(reserve.max_tokens, reserve.session, retry)
+        self.reserved += reserve.max_tokens
         if retry:
-            self.retries += reserve.most_tokens
+            self.retries += reserve.max_tokens
         self.sessions.pop(reserve.session, None)
         self.sessions[reserve.session] = SessionTurn(reserve.fingerprint, reserve.reservation)
-        if len(self.sessions) > SESSIONS_KEPT:
+        if len(self.sessions) > MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
 
-    def _end_turn(self, session: str, settle: Settle) -> None:
+    def _end_turn(self, session: str, settle: Settlement) -> None:
         last = self.sessions.get(session)
         if last is not None and last.reservation == settle.reservation:
             last.end = TurnEnd(settle.end)
 
     def _close(self, reservation: str, verdict: Verdict) -> None:
         self.closed[reservation] = verdict
-        if len(self.closed) > CLOSED_KEPT:
+        if len(self.closed) > MAX_CLOSED_RESERVATIONS:
             oldest = next(iter(self.closed))
             del self.closed[oldest]
             self.forgotten.append(oldest)
--- a/kestrelbend/tier/budgets/route.py
+++ b/kestrelbend/tier/budgets/route.py
@@ -17,15 +17,17 @@
 class ClientSettings:
     """Times in seconds."""
 
-    reserve_s: float = 1.8  # until a reservation without an answer is given up
-    attempt_s: float = 0.3  # until a request without a reply goes to the next replica
-    silent_s: float = 0.5  # for which a replica that did not reply is left out
-    pause_first_s: float = 0.02  # before the replicas are asked anew; doubles up to the most
-    pause_quick_s: float = 0.08  # the most while the search is young: an election takes half a second
-    quick_rounds: int = 20
-    pause_most_s: float = 0.3
-    settle_linger_s: float = 0.02  # settlements wait this long for others, unless a reservation goes
-    settlements_most: int = 4_000  # for each shard; beyond it the oldest go: their tokens stay reserved
+    reserve_timeout_s: float = 1.8  # until a reservation without an answer is given up
+    attempt_timeout_s: float = 0.3  # until a request without a reply goes to the next replica
+    exclusion_s: float = 0.5  # for which a replica that did not reply is left out
+    initial_backoff_s: float = 0.02  # before the replicas are asked anew; doubles up to the most
+    max_early_backoff_s: float = 0.08  # the most while the search is young: an election takes half a second
+    early_rounds: int = 20
+    max_backoff_s: float = 0.3
+    settlement_linger_s: float = 0.02  # settlements wait this long for others, unless a reservation goes
+    max_pending_settlements: int = (
+        4_000  # for each shard; beyond it the oldest go: their tokens stay reserved
+    )
 
 
 class OwnerRoute:
@@ -35,58 +37,58 @@
         self._settings = settings
         self._likely = ""  # the last that replied as owner, or that another named
         self._last = ""
-        self._asked: set[str] = set()  # in this round
+        self._requested: set[str] = set()  # in this round
         self._rounds = 0  # without an owner
         self._epoch = 0  # the highest that a reply came from
-        self._silent_until: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     def target(self, replicas: Sequence[str], now: float) -> str | None:
         """Whom to ask next; None after a round without success, which begins another: pause before it."""
-        if self._likely and self._silent_until.get(self._likely, now) <= now:
+        if self._likely and self._excluded_until.get(self._likely, now) <= now:
             return self._likely
-        fresh = [replica for replica in _from_next(replicas, self._last) if replica not in self._asked]
+        fresh = [replica for replica in _from_next(replicas, self._last) if replica not in self._requested]
         for replica in fresh:
-            if self._silent_until.get(replica, now) <= now:
+            if self._excluded_until.get(replica, now) <= now:
                 return replica
-        self._asked.clear()
+        self._requested.clear()
         self._rounds += 1
         return None
 
     def pause(self) -> float:
         """Seconds to wait between rounds."""
         settings = self._settings
-        if self._rounds > settings.quick_rounds:
-            return settings.pause_most_s
-        return min(settings.pause_quick_s, settings.pause_first_s * 2 ** min(self._rounds - 1, 6))
+        if self._rounds > settings.early_rounds:
+            return settings.max_backoff_s
+        return min(settings.max_early_backoff_s, settings.initial_backoff_s * 2 ** min(self._rounds - 1, 6))
 
     def owner(self, replica: str, epoch: int = 0) -> None:
         """The replica has replied as the owner: that is committed, also where a later epoch is known."""
         if epoch < self._epoch:
-            self._note_asked(replica)
+            self._record_asked(replica)
             return
         self._epoch = epoch
         self._likely = self._last = replica
-        self._asked.clear()
-        self._silent_until.clear()
+        self._requested.clear()
+        self._excluded_until.clear()
         self._rounds = 0
 
     def not_owner(self, replica: str, hint: str, epoch: int = 0) -> None:
         """The replica does not own the shard; a hint is followed once in a round, an outdated one never."""
-        self._note_asked(replica)
+        self._record_asked(replica)
         outdated = epoch < self._epoch
         self._epoch = max(self._epoch, epoch)
-        self._likely = "" if outdated or hint in self._asked else hint
+        self._likely = "" if outdated or hint in self._requested else hint
 
-    def no_reply(self, replica: str, asked_at: float, now: float) -> None:
+    def no_reply(self, replica: str, requested_at: float, now: float) -> None:
         """The replica took too long; or it can't be reached, which is told at once and costs no time."""
-        self._note_asked(replica)
+        self._record_asked(replica)
         self._likely = ""
-        if now - asked_at >= self._settings.attempt_s / 2:
-            self._silent_until[replica] = now + self._settings.silent_s
+        if now - requested_at >= self._settings.attempt_timeout_s / 2:
+            self._excluded_until[replica] = now + self._settings.exclusion_s
 
-    def _note_asked(self, replica: str) -> None:
+    def _record_asked(self, replica: str) -> None:
         self._last = replica
-        self._asked.add(replica)
+        self._requested.add(replica)
 
 
 def _from_next(replicas: Sequence[str], last: str) -> list[str]:
--- a/kestrelbend/tier/budgets/line.py
+++ b/kestrelbend/tier/budgets/shard_queue.py
@@ -17,13 +17,13 @@
     BudgetRequest,
     Reserve,
     ReserveOutcome,
-    Settle,
+    Settlement,
     TurnEnd,
     Verdict,
 )
 from kestrelbend.tier.budgets.route import ClientSettings, OwnerRoute
 
-COMMANDS_A_REQUEST = 256
+MAX_COMMANDS_PER_REQUEST = 256
 
 _Key = tuple[str, str]  # a program and one of its reservations
 
@@ -37,7 +37,7 @@
     sent: bool = False
 
 
-class ShardLine:
+class ShardRequestQueue:
     """The queue of one shard and the task that works through it while there is anything in it."""
 
     def __init__(
@@ -52,19 +52,19 @@
         self._replicas = replicas
         self._settings = settings
         self._reserves: dict[_Key, _Waiting] = {}
-        self._settles: dict[_Key, Settle] = {}
+        self._settlements: dict[_Key, Settlement] = {}
         self._urgent = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._closing = False
         self._route = OwnerRoute(settings)
 
     @property
-    def settlements_waiting(self) -> int:
+    def pending_settlements(self) -> int:
         """Settlements that no owner has recorded yet."""
-        return len(self._settles)
+        return len(self._settlements)
 
     async def reserve(self, reserve: Reserve, within: float) -> ReserveOutcome:
-        """The owner's outcome, or SILENT."""
+        """The owner's outcome, or NO_ANSWER."""
         waiting = _Waiting(reserve, asyncio.get_running_loop().create_future())
         self._reserves[_key(reserve)] = waiting
         self._work(urgent=True)
@@ -73,23 +73,23 @@
                 return await waiting.outcome
         except TimeoutError:
             self._give_up(waiting)
-            return silent(reserve)
+            return unanswered(reserve)
         except asyncio.CancelledError:
             self._give_up(waiting)
             raise
 
-    def give_up_waiting(self) -> None:
-        """Answers all reservations that wait with SILENT; those that were sent are settled as not run."""
+    def fail_pending(self) -> None:
+        """Answers all reservations that wait with NO_ANSWER; those that were sent are settled as not run."""
         for waiting in list(self._reserves.values()):
             if not waiting.outcome.done():
-                waiting.outcome.set_result(silent(waiting.reserve))
+                waiting.outcome.set_result(unanswered(waiting.reserve))
                 self._give_up(waiting)
 
-    def settle(self, settle: Settle) -> None:
+    def settle(self, settle: Settlement) -> None:
         """Queues a settlement."""
-        self._settles[_key(settle)] = settle
-        if len(self._settles) > self._settings.settlements_most:
-            del self._settles[next(iter(self._settles))]
+        self._settlements[_key(settle)] = settle
+        if len(self._settlements) > self._settings.max_pending_settlements:
+            del self._settlements[next(iter(self._settlements))]
         self._work(urgent=False)
 
     async def close(self, within: float) -> bool:
@@ -100,7 +100,7 @@
         self._urgent.set()
         await asyncio.wait([self._task], timeout=within)
         self._task.cancel()
-        return not self._settles
+        return not self._settlements
 
     def _give_up(self, waiting: _Waiting) -> None:
         """Takes back a reservation whose caller has not got the outcome, even if one is there just now."""
@@ -108,7 +108,7 @@
         if self._reserves.get(_key(reserve)) is waiting:
             del self._reserves[_key(reserve)]
         if waiting.sent:
-            self.settle(Settle(reserve.program, reserve.reservation, 0, TurnEnd.NOT_RUN))
+            self.settle(Settlement(reserve.program, reserve.reservation, 0, TurnEnd.NOT_RUN))
 
     def _work(self, urgent: bool) -> None:
         if urgent:
@@ -117,7 +117,7 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        while self._reserves or self._settles:
+        while self._reserves or self._settlements:
             if not self._reserves and not self._closing:
                 await self._linger()
             await self._send_one()
@@ -126,7 +126,7 @@
         """Lets settlements gather, until a reservation comes."""
         self._urgent.clear()
         try:
-            async with asyncio.timeout(self._settings.settle_linger_s):
+            async with asyncio.timeout(self._settings.settlement_linger_s):
                 await self._urgent.wait()
         except TimeoutError:
             pass
@@ -137,11 +137,11 @@
         if target is None:
             await asyncio.sleep(self._route.pause())
             return
-        settles = tuple(islice(self._settles.values(), COMMANDS_A_REQUEST))
-        waiting = list(islice(self._reserves.values(), COMMANDS_A_REQUEST))
+        settlements = tuple(islice(self._settlements.values(), MAX_COMMANDS_PER_REQUEST))
+        waiting = list(islice(self._reserves.values(), MAX_COMMANDS_PER_REQUEST))
         for one in waiting:
             one.sent = True
-        request = BudgetRequest(self._shard, tuple(one.reserve for one in waiting), settles)
+        request = BudgetRequest(self._shard, tuple(one.reserve for one in waiting), settlements)
         reply = await self._ask(target, request)
         if reply is None:
             self._route.no_reply(target, now, asyncio.get_running_loop().time())
@@ -149,19 +149,19 @@
             self._route.not_owner(target, reply.owner_hint, reply.epoch)
         else:
             self._route.owner(target, reply.epoch)
-            self._take(reply, waiting, settles)
+            self._take(reply, waiting, settlements)
 
     async def _ask(self, target: str, request: BudgetRequest) -> BudgetReply | None:
         try:
-            async with asyncio.timeout(self._settings.attempt_s):
+            async with asyncio.timeout(self._settings.attempt_timeout_s):
                 return await self._send(target, request)
         except (TimeoutError, OSError):
             return None
 
-    def _take(self, reply: BudgetReply, waiting: list[_Waiting], settles: tuple[Settle, ...]) -> None:
-        for settle in settles:
-            if self._settles.get(_key(settle)) is settle:
-                del self._settles[_key(settle)]
+    def _take(self, reply: BudgetReply, waiting: list[_Waiting], settlements: tuple[Settlement, ...]) -> None:
+        for settle in settlements:
+            if self._settlements.get(_key(settle)) is settle:
+                del self._settlements[_key(settle)]
         for one, outcome in zip(waiting, reply.outcomes, strict=True):
             if not one.outcome.done():  # else its caller has gone, and gives it up in a moment
                 del self._reserves[_key(one.reserve)]
@@ -172,14 +172,14 @@
     """Whether an owner replies to this very request: its shard, and its reservations one by one."""
     if not reply.owner or reply.shard != request.shard:
         return False
-    asked = [reserve.reservation for reserve in request.reserves]
-    return asked == [outcome.reservation for outcome in reply.outcomes]
+    requested = [reserve.reservation for reserve in request.reserves]
+    return requested == [outcome.reservation for outcome in reply.outcomes]
 
 
-def silent(reserve: Reserve) -> ReserveOutcome:
+def unanswered(reserve: Reserve) -> ReserveOutcome:
     """The outcome of a reservation that no owner has answered."""
-    return ReserveOutcome(reserve.reservation, Verdict.SILENT, 0, 0, 0)
+    return ReserveOutcome(reserve.reservation, Verdict.NO_ANSWER, 0, 0, 0)
 
 
-def _key(command: Reserve | Settle) -> _Key:
+def _key(command: Reserve | Settlement) -> _Key:
     return command.program, command.reservation
--- a/kestrelbend/tier/budgets/shard_service.py
+++ b/kestrelbend/tier/budgets/shard_service.py
@@ -15,7 +15,7 @@
 from .commands import decode_commands, elapsed_ms_of, encode_commands
 from .messages import BudgetReply, BudgetRequest, ReserveOutcome
 from .table import BudgetTable
-from .table_image import TableImage
+from .table_snapshot import TableSnapshot
 
 Reply = Callable[[BudgetReply], None]
 
@@ -29,12 +29,12 @@
     def apply(self, command: bytes) -> tuple[ReserveOutcome, ...]:
         """Applies one request's commands, settlements first."""
         self.table.advance(elapsed_ms_of(command))
-        settles, reserves = decode_commands(command)
-        for settle in settles:
+        settlements, reserves = decode_commands(command)
+        for settle in settlements:
             self.table.apply(settle)
         return tuple(self.table.apply(reserve) for reserve in reserves)
 
-    def begin_snapshot(self) -> TableImage:
+    def begin_snapshot(self) -> TableSnapshot:
         """The table as it is now, to be saved in steps."""
         return self.table.begin_snapshot()
 
@@ -85,11 +85,11 @@
 
         now = 0.0 if self._host is None else self._now()
         elapsed_ms = self._elapsed_ms(shard, now)
-        data = encode_commands(request.settles, request.reserves, elapsed_ms)
+        data = encode_commands(request.settlements, request.reserves, elapsed_ms)
         if self._host is None or not self._host.propose(shard, data, done, now):
             reply(self._not_owner(shard))
             return
-        self._note_proposed(shard, elapsed_ms, now)
+        self._record_proposed(shard, elapsed_ms, now)
         self._host.flush(shard)
 
     def _elapsed_ms(self, shard: str, now: float) -> int:
@@ -101,7 +101,7 @@
         last = self._last_proposed(shard)
         return 0 if last is None else max(0, int((now - last.at) * 1000))
 
-    def _note_proposed(self, shard: str, elapsed_ms: int, now: float) -> None:
+    def _record_proposed(self, shard: str, elapsed_ms: int, now: float) -> None:
         """The rest of a millisecond goes to the next entry."""
         last = self._last_proposed(shard)
         at = now if last is None else last.at + elapsed_ms / 1000
--- a/kestrelbend/tier/budgets/saved_programs.py
+++ b/kestrelbend/tier/budgets/snapshot_codec.py
@@ -1,9 +1,9 @@
 """A program's counter as a line of a saved table, and back.
 
 A table is saved as lines of JSON: an object with the table's time and its forgotten names, an array for each
-program in use, in the order of last use, then objects with up to `IDLE_A_LINE` laid-aside programs each, in
-the order in which they were laid aside: one flat list of names and figures, which is read faster than a list
-for each.
+program in use, in the order of last use, then objects with up to
+`IDLE_PROGRAMS_PER_LINE` idle programs each, in the order in which they became idle: one flat list of
+names and figures, which is read faster than a list for each.
 
 Invariant: equal tables give equal bytes, however many steps they were made in; a counter that was read and
 not changed is written as the bytes that it was read from.
@@ -21,11 +21,11 @@
 from kestrelbend.tier.budgets.messages import TurnEnd, Verdict
 from kestrelbend.tier.budgets.program import OpenTurn, ProgramBudget, SessionTurn
 
-IDLE_A_LINE = 1_000
-IDLE_COLUMNS = 5  # the name and `IdleFigures`
+IDLE_PROGRAMS_PER_LINE = 1_000
+IDLE_COLUMNS = 5  # the name and `IdleProgram`
 
 
-class IdleFigures(NamedTuple):
+class IdleProgram(NamedTuple):
     """What is kept of a program that was laid aside."""
 
     total: int
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class TableHead:
+class TableHeader:
     """What a table holds besides its programs."""
 
     now_ms: int = 0
@@ -51,7 +51,7 @@
 
 
 @attrs.define(eq=False)
-class KeptProgram:
+class ActiveProgram:
     """A program in use: its counter, its line, or both where the line is that of the counter as it is."""
 
     name: str
@@ -84,50 +84,50 @@
         return 1 + len(counter.open_turns) + len(counter.sessions) + len(counter.closed)
 
 
-def read_program(line: bytes) -> KeptProgram:
+def decode_active(line: bytes) -> ActiveProgram:
     """A program of a saved table, whose counter is not looked at yet."""
     name, _ = _decoder.raw_decode(line.decode(), 1)
-    return KeptProgram(name, line=line)
+    return ActiveProgram(name, line=line)
 
 
-def idle_lines(idle: list[tuple[str, IdleFigures]]) -> Iterator[bytes]:
+def encode_idle(idle: list[tuple[str, IdleProgram]]) -> Iterator[bytes]:
     """The lines of the laid-aside programs, one at a time."""
     rows = iter(idle)
-    while part := tuple(islice(rows, IDLE_A_LINE)):
+    while part := tuple(islice(rows, IDLE_PROGRAMS_PER_LINE)):
         flat = [figure for name, figures in part for figure in (name, *figures)]
         yield _encoder.encode({"idle": flat}).encode()
 
 
-def read_idle(line: bytes) -> Iterable[tuple[str, IdleFigures]]:
+def decode_idle(line: bytes) -> Iterable[tuple[str, IdleProgram]]:
     """The laid-aside programs of a line, in their order."""
     flat = json.loads(line)["idle"]
     columns = [flat[column::IDLE_COLUMNS] for column in range(IDLE_COLUMNS)]
-    figures = map(IdleFigures._make, zip(*columns[1:], strict=True))
+    figures = map(IdleProgram._make, zip(*columns[1:], strict=True))
     return zip(columns[0], figures, strict=True)
 
 
-def read_table(state: bytes) -> tuple[TableHead, dict[str, KeptProgram], list[bytes]]:
+def decode_table(state: bytes) -> tuple[TableHeader, dict[str, ActiveProgram], list[bytes]]:
     """The head, the programs in use and the lines of those laid aside; no bytes are an empty table."""
     if not state:
-        return TableHead(), {}, []
-    recent: dict[str, KeptProgram] = {}
+        return TableHeader(), {}, []
+    recent: dict[str, ActiveProgram] = {}
     idle: list[bytes] = []
     first, *lines = state.split(b"\n")
     for line in lines:
         if line.startswith(b"["):
-            program = read_program(line)
+            program = decode_active(line)
             recent[program.name] = program
         else:
             idle.append(line)
     head = json.loads(first)
-    return TableHead(head["now"], head["forgotten"]), recent, idle
+    return TableHeader(head["now"], head["forgotten"]), recent, idle
 
 
 def _figures(counter: ProgramBudget) -> list:
     return [
         counter.settled,
         counter.retries,
-        [[name, turn.most_tokens, turn.session, turn.retry] for name, turn in counter.open_turns.items()],
+        [[name, turn.max_tokens, turn.session, turn.retry] for name, turn in counter.open_turns.items()],
         [[name, turn.fingerprint, turn.reservation, turn.end] for name, turn in counter.sessions.items()],
         list(counter.closed.items()),
         counter.used_at_ms,
@@ -145,9 +145,9 @@
     retain_s: int,
 ) -> ProgramBudget:
     counter = ProgramBudget(settled=settled, retries=retries, used_at_ms=used_at_ms, retain_s=retain_s)
-    for name, most_tokens, session, retry in open_turns:
-        counter.open_turns[name] = OpenTurn(most_tokens, session, retry)
-        counter.reserved += most_tokens
+    for name, max_tokens, session, retry in open_turns:
+        counter.open_turns[name] = OpenTurn(max_tokens, session, retry)
+        counter.reserved += max_tokens
     for name, fingerprint, reservation, end in sessions:
         counter.sessions[name] = SessionTurn(fingerprint, reservation, None if end is None else TurnEnd(end))
     counter.closed = {name: Verdict(verdict) for name, verdict in closed}
--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -177,13 +177,13 @@
             return await self.forwarder.forward(exchange, client, progress)
         live = self.backends.of(exchange.service.name)
         now = asyncio.get_running_loop().time()
-        spare = not self.gate.limited(exchange.service.name) and any(
+        spare_capacity = not self.gate.limited(exchange.service.name) and any(
             self.chooser.has_room(backend, exchange.service, now) for backend in live
         )
         return await self.turns.carry(
             turn,
             exchange,
-            spare,
+            spare_capacity,
             client,
             progress,
             lambda: self.forwarder.forward(exchange, client, progress),
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -12,7 +12,7 @@
 import attrs
 import httpcore
 
-from ..budgets.messages import Reserve, ReserveOutcome, Settle
+from ..budgets.messages import Reserve, ReserveOutcome, Settlement
 from ..discovery.messages import Backend
 
 
@@ -87,7 +87,7 @@
 
     async def reserve(self, service: str, command: Reserve) -> ReserveOutcome: ...
 
-    def settle(self, service: str, command: Settle) -> None: ...
+    def settle(self, service: str, command: Settlement) -> None: ...
 
     def spent_locally(self, program: str, most: int, budget: int) -> bool: ...
 
--- a/kestrelbend/tier/dataplane/turn.py
+++ b/kestrelbend/tier/dataplane/turn.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from ..budgets.messages import Reserve, Settle, TurnEnd, Verdict
+from ..budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from . import ports
 from .client import Client, OwnAnswer
 from .exchange import BUDGET, PREFIX_HASH, PROGRAM, SESSION, TOKEN_COUNT, Exchange
@@ -32,7 +32,7 @@
     session: str
     request_id: str
     fingerprint: int
-    most_tokens: int
+    max_tokens: int
     budget: int
 
 
@@ -53,7 +53,7 @@
         session=fields.get(SESSION, b"").decode("latin1"),
         request_id=exchange.request_id.decode("latin1"),
         fingerprint=fingerprint,
-        most_tokens=int(most),
+        max_tokens=int(most),
         budget=int(budget),
     )
 
@@ -68,14 +68,14 @@
         self,
         turn: Turn,
         exchange: Exchange,
-        spare: bool,
+        spare_capacity: bool,
         client: Client,
         progress: Progress,
         forward: Callable[[], Awaitable[OwnAnswer | None]],
     ) -> OwnAnswer | None:
         """Reserves, forwards and settles; the own answer to give, or None."""
         service = exchange.service.name
-        if self._budget.spent_locally(turn.program, turn.most_tokens, turn.budget):
+        if self._budget.spent_locally(turn.program, turn.max_tokens, turn.budget):
             return OwnAnswer(SPENT, "the program's budget is spent")
         reservation = self._budget.reservation_name(turn.request_id)
         command = Reserve(
@@ -83,9 +83,9 @@
             session=turn.session,
             reservation=reservation,
             fingerprint=turn.fingerprint,
-            most_tokens=turn.most_tokens,
+            max_tokens=turn.max_tokens,
             budget=turn.budget,
-            spare=spare,
+            spare_capacity=spare_capacity,
             retain_s=exchange.route.retain_s,
         )
         outcome = await self._budget.reserve(service, command)
@@ -97,7 +97,7 @@
         finally:
             used = client.events * max(1, exchange.service.stride)
             end = _end(client, progress)
-            self._budget.settle(service, Settle(turn.program, reservation, used, int(end)))
+            self._budget.settle(service, Settlement(turn.program, reservation, used, int(end)))
 
 
 def _refusal(verdict: int, retry_after_ms: int) -> OwnAnswer | None:
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from ..budgets.messages import Reserve, Settle, TurnEnd, Verdict
+from ..budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from .fleet import Fleet
 from .loop import Execution
 from .machines import Process
@@ -149,7 +149,7 @@
             turn.ended_whole_at = self._fleet.now()
             turn.over.set()
         end = TurnEnd.COMPLETE if whole else TurnEnd.BROKEN_OFF
-        gateway.settle("model", Settle(self.name, turn.reservation, turn.handed, int(end)))
+        gateway.settle("model", Settlement(self.name, turn.reservation, turn.handed, int(end)))
 
     def _check_refusal(self, turn: Turn) -> None:
         now = self._fleet.now()
--- a/kestrelbend/tier/fleet/removals/gateways.py
+++ b/kestrelbend/tier/fleet/removals/gateways.py
@@ -38,12 +38,12 @@
     return False
 
 
-@guard("budget-room", "budgets.table:BudgetTable._has_room_for", "a table without bounds")
+@guard("budget-room", "budgets.table:BudgetTable._has_capacity_for", "a table without bounds")
 def have_room_for_all(table, name):
     return True
 
 
-@guard("budget-answer", "budgets.line:answers", "another request's outcomes taken")
+@guard("budget-answer", "budgets.shard_queue:answers", "another request's outcomes taken")
 def take_any_outcomes(request, reply):
     return reply.owner
 
--- a/kestrelbend/tier/protocol/wire_names.py
+++ b/kestrelbend/tier/protocol/wire_names.py
@@ -28,7 +28,7 @@
     replication.ReadIndexReply: "ReadIndexReply",
     replication.DurableRecord: "DurableRecord",
     budgets.Reserve: "Reserve",
-    budgets.Settle: "Settle",
+    budgets.Settlement: "Settle",
     budgets.ReserveOutcome: "ReserveOutcome",
     budgets.BudgetRequest: "BudgetRequest",
     budgets.BudgetReply: "BudgetReply",
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -6,7 +6,7 @@
 
 from ..budgets.client import BudgetClient
 from ..budgets.names import ReservationNames
-from ..budgets.messages import BudgetReply, BudgetRequest, Reserve, ReserveOutcome, Settle, Verdict
+from ..budgets.messages import BudgetReply, BudgetRequest, Reserve, ReserveOutcome, Settlement, Verdict
 from ..configuration.announced_versions import AnnouncedVersions
 from ..configuration.document import read_accepted
 from ..configuration.routing import RoutingTable
@@ -179,10 +179,10 @@
     async def reserve(self, service: str, command: Reserve) -> ReserveOutcome:
         """A turn's tokens at the owner of its program's shard."""
         if self.budget_client is None:
-            return ReserveOutcome(command.reservation, Verdict.SILENT, 0, 0, 0)
+            return ReserveOutcome(command.reservation, Verdict.NO_ANSWER, 0, 0, 0)
         return await self.budget_client.reserve(command)
 
-    def settle(self, service: str, command: Settle) -> None:
+    def settle(self, service: str, command: Settlement) -> None:
         """How a turn ended."""
         self.budget_client.settle(command)
 
@@ -213,7 +213,7 @@
         self.life.set_ready(self._equipped(now))
         if self.budget_client is not None:
             for shard in self.contact.lost_shards(now):
-                self.budget_client.give_up_waiting(shard)
+                self.budget_client.fail_pending(shard)
 
     def on_heartbeat(self, now):
         """Asks who is in contact, and forgets backends that are silent."""
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -14,7 +14,7 @@
 import attrs
 import h11
 
-from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settle, Verdict
+from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, Verdict
 from kestrelbend.tier.configuration.routing import Limits, Route, RoutingTable, Service
 from kestrelbend.tier.dataplane.app import assemble
 from kestrelbend.tier.dataplane.life import Life
@@ -360,7 +360,7 @@
         self.spent: set[str] = set()
         self.delay = 0.0
         self.reserved: list[Reserve] = []
-        self.settled: list[Settle] = []
+        self.settled: list[Settlement] = []
 
     def reservation_name(self, request_id: str) -> str:
         return request_id
@@ -370,7 +370,7 @@
         await asyncio.sleep(self.delay)
         return ReserveOutcome(command.reservation, self.verdict, 0, 0, 250)
 
-    def settle(self, service: str, command: Settle) -> None:
+    def settle(self, service: str, command: Settlement) -> None:
         self.settled.append(command)
 
     def spent_locally(self, program: str, most: int, budget: int) -> bool:
--- a/tests/tier/test_budgets_client.py
+++ b/tests/tier/test_budgets_client.py
@@ -7,7 +7,14 @@
 import testtools
 
 from kestrelbend.tier.budgets.client import BudgetClient
-from kestrelbend.tier.budgets.messages import BudgetReply, BudgetRequest, Reserve, Settle, TurnEnd, Verdict
+from kestrelbend.tier.budgets.messages import (
+    BudgetReply,
+    BudgetRequest,
+    Reserve,
+    Settlement,
+    TurnEnd,
+    Verdict,
+)
 from kestrelbend.tier.budgets.shard_service import BudgetShards
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
@@ -42,7 +49,7 @@
         async def play(fleet, client):
             outcome = await client.reserve(reserve())
             self.assertEqual((Verdict.ADMITTED, MOST), (outcome.verdict, outcome.total))
-            client.settle(Settle("program", "a", 40, TurnEnd.COMPLETE))
+            client.settle(Settlement("program", "a", 40, TurnEnd.COMPLETE))
             self.assertTrue(await client.close(within=1))
             self.assertEqual((0, 40), totals(fleet))
             self.assertEqual(["a", "a"], [address for address, _request in fleet.requests])
@@ -77,12 +84,12 @@
     def test_given_no_replies_when_the_time_is_over_then_silent_and_its_tokens_come_back(self):
         async def play(fleet, client):
             outcome = await client.reserve(reserve(), within=0.4)
-            self.assertEqual(Verdict.SILENT, outcome.verdict)
+            self.assertEqual(Verdict.NO_ANSWER, outcome.verdict)
             self.assertEqual(0.4, asyncio.get_running_loop().time())
             self.assertEqual((MOST, 0), totals(fleet))
             fleet.faults = Faults()
             await asyncio.sleep(3)
-            self.assertEqual((0, 0, 0), (client.settlements_waiting, *totals(fleet)))
+            self.assertEqual((0, 0, 0), (client.pending_settlements, *totals(fleet)))
 
         self.story(play, reply_lost=1.0)
 
@@ -98,9 +105,9 @@
 
     def test_given_replicas_that_refuse_when_an_owner_is_back_then_settlements_reach_it(self):
         async def play(fleet, client):
-            client.settle(Settle("program", "a", 40, TurnEnd.COMPLETE))
+            client.settle(Settlement("program", "a", 40, TurnEnd.COMPLETE))
             await asyncio.sleep(30)
-            self.assertEqual(1, client.settlements_waiting)
+            self.assertEqual(1, client.pending_settlements)
             self.assertLess(len(fleet.requests), 400)
             fleet.faults = Faults()
             self.assertTrue(await client.close(within=2))
@@ -110,7 +117,7 @@
     def test_given_the_tokens_seen_leave_no_room_when_asked_locally_then_no_call_is_needed(self):
         async def play(fleet, client):
             await client.reserve(reserve())
-            client.settle(Settle("program", "a", 950, TurnEnd.COMPLETE))
+            client.settle(Settlement("program", "a", 950, TurnEnd.COMPLETE))
             await client.reserve(reserve(reservation="b"))
             self.assertTrue(client.spent_locally("program", 251, BUDGET))
             self.assertFalse(client.spent_locally("program", 250, BUDGET))
@@ -180,7 +187,7 @@
         self.assertLessEqual(self.handed_out[program], BUDGET)
         await asyncio.sleep(self.chance.uniform(0, 2))
         end = TurnEnd.COMPLETE if used == MOST else TurnEnd.BROKEN_OFF
-        client.settle(Settle(program, command.reservation, used, end))
+        client.settle(Settlement(program, command.reservation, used, end))
 
     async def trouble(self, fleet):
         for _event in range(20):
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -13,12 +13,17 @@
 from kestrelbend.tier.budgets import names, program
 from kestrelbend.tier.budgets.client import BudgetClient
 from kestrelbend.tier.budgets.commands import elapsed_ms_of
-from kestrelbend.tier.budgets.messages import BudgetRequest, Reserve, Settle, TurnEnd, Verdict
-from kestrelbend.tier.budgets.names import LIVES_KEPT, ForgottenNames, ReservationNames
+from kestrelbend.tier.budgets.messages import BudgetRequest, Reserve, Settlement, TurnEnd, Verdict
+from kestrelbend.tier.budgets.names import MAX_INCARNATIONS, ForgottenNames, ReservationNames
 from kestrelbend.tier.budgets.route import ClientSettings
-from kestrelbend.tier.budgets.program import CLOSED_KEPT, SESSIONS_KEPT
+from kestrelbend.tier.budgets.program import MAX_CLOSED_RESERVATIONS, MAX_SESSIONS
 from kestrelbend.tier.budgets.shard_service import BudgetShards
-from kestrelbend.tier.budgets.table import IDLE_PROGRAMS, RECENT_PROGRAMS, RETAIN_S, BudgetTable
+from kestrelbend.tier.budgets.table import (
+    MAX_IDLE_PROGRAMS,
+    MAX_ACTIVE_PROGRAMS,
+    DEFAULT_RETAIN_S,
+    BudgetTable,
+)
 from kestrelbend.tier.dataplane.turn import Turn, Turns
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
@@ -41,7 +46,7 @@
         return self.table.apply(self.command(*arguments, **others))
 
     def settle(self, command, used=MOST, end=TurnEnd.COMPLETE):
-        self.table.apply(Settle(command.program, command.reservation, used, end))
+        self.table.apply(Settlement(command.program, command.reservation, used, end))
 
     def whole_turns(self, count, name="program"):
         for number in range(count):
@@ -62,7 +67,7 @@
         return outcome.total - outcome.settled, outcome.settled
 
     def test_given_a_closed_reservation_when_it_comes_again_past_the_bound_then_it_is_not_admitted(self):
-        for others in (CLOSED_KEPT - 1, CLOSED_KEPT, 3 * CLOSED_KEPT):
+        for others in (MAX_CLOSED_RESERVATIONS - 1, MAX_CLOSED_RESERVATIONS, 3 * MAX_CLOSED_RESERVATIONS):
             table = BudgetTable()
             gateway = Gateway(table)
             command = gateway.command()
@@ -77,29 +82,29 @@
         command = self.gateway.command()
         self.table.apply(command)
         self.gateway.settle(command, used=40)
-        self.gateway.whole_turns(CLOSED_KEPT)
+        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
         self.table.apply(command)
         self.gateway.settle(command, used=40)
-        self.assertEqual((0, 40 + CLOSED_KEPT * MOST), self.counter())
+        self.assertEqual((0, 40 + MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
     def test_given_a_turn_settled_before_its_reservation_when_that_comes_past_the_bound_then_it_is_refused(
         self,
     ):
         command = self.gateway.command()
         self.gateway.settle(command, used=0, end=TurnEnd.NOT_RUN)
-        self.gateway.whole_turns(CLOSED_KEPT)
+        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
         self.assertEqual(Verdict.RETRY_LATER, self.table.apply(command).verdict)
-        self.assertEqual((0, CLOSED_KEPT * MOST), self.counter())
+        self.assertEqual((0, MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
     def test_given_an_open_turn_when_others_close_then_its_repeat_is_the_same_one_still(self):
         command = self.gateway.command()
         self.table.apply(command)
-        self.gateway.whole_turns(2 * CLOSED_KEPT)
+        self.gateway.whole_turns(2 * MAX_CLOSED_RESERVATIONS)
         self.assertEqual(Verdict.ADMITTED, self.table.apply(command).verdict)
-        self.assertEqual((MOST, 2 * CLOSED_KEPT * MOST), self.counter())
+        self.assertEqual((MOST, 2 * MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
     def test_given_a_program_laid_aside_with_an_open_turn_when_that_comes_again_then_it_counts_once(self):
-        table = BudgetTable(recent_most=2)
+        table = BudgetTable(max_active=2)
         gateway = Gateway(table)
         command = gateway.command()
         table.apply(command)
@@ -112,7 +117,7 @@
         command = self.gateway.command()
         self.table.apply(command)
         self.gateway.settle(command)
-        self.gateway.whole_turns(CLOSED_KEPT)
+        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
         copy = BudgetTable()
         copy.restore(self.table.snapshot())
         self.assertEqual(Verdict.RETRY_LATER, copy.apply(command).verdict)
@@ -120,17 +125,19 @@
         self.assertEqual(self.table.snapshot(), copy.snapshot())
 
     def test_given_forgotten_names_when_new_tries_come_from_any_gateway_then_they_are_admitted(self):
-        self.gateway.whole_turns(2 * CLOSED_KEPT)
+        self.gateway.whole_turns(2 * MAX_CLOSED_RESERVATIONS)
         restarted = Gateway(self.table, incarnation=2)
         self.assertEqual(Verdict.ADMITTED, self.gateway.reserve(fingerprint=1).verdict)
         self.assertEqual(Verdict.ADMITTED, restarted.reserve(session="b", fingerprint=2).verdict)
 
     def test_given_more_lives_than_are_kept_then_the_last_ones_are_known(self):
         forgotten = ForgottenNames()
-        for incarnation in range(LIVES_KEPT + 1):
+        for incarnation in range(MAX_INCARNATIONS + 1):
             forgotten.add(ReservationNames("10.0.0.1", incarnation).next())
-        known = [ReservationNames("10.0.0.1", life).next() in forgotten for life in range(LIVES_KEPT + 1)]
-        self.assertEqual([False] + [True] * LIVES_KEPT, known)
+        known = [
+            ReservationNames("10.0.0.1", life).next() in forgotten for life in range(MAX_INCARNATIONS + 1)
+        ]
+        self.assertEqual([False] + [True] * MAX_INCARNATIONS, known)
 
     def test_given_names_of_another_form_then_none_is_taken_for_forgotten(self):
         forgotten = ForgottenNames({"a@1": 9})
@@ -145,7 +152,7 @@
         broken = gateway.command(session="first", fingerprint=7)
         self.table.apply(broken)
         gateway.settle(broken, end=TurnEnd.BROKEN_OFF)
-        for number in range(SESSIONS_KEPT):
+        for number in range(MAX_SESSIONS):
             command = gateway.command(session=f"session {number}")
             self.table.apply(command)
             gateway.settle(command)
@@ -159,7 +166,7 @@
 class RetentionTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.table = BudgetTable(recent_most=4, idle_most=8)
+        self.table = BudgetTable(max_active=4, max_idle=8)
         self.gateway = Gateway(self.table)
 
     def fill(self, first, count):
@@ -174,27 +181,27 @@
 
     def test_given_a_full_table_when_programs_were_away_for_their_time_then_these_make_room(self):
         self.fill(0, 12)
-        self.table.advance(RETAIN_S * 1000)
+        self.table.advance(DEFAULT_RETAIN_S * 1000)
         self.assertEqual([Verdict.RETRY_LATER], self.fill(12, 1))
         self.table.advance(1)
         self.assertEqual([Verdict.ADMITTED] * 12, self.fill(12, 12))
         self.assertEqual([Verdict.RETRY_LATER], self.fill(24, 1))
 
     def test_given_a_program_that_may_stay_away_longer_when_others_make_room_then_it_is_known(self):
-        self.gateway.reserve("stays", retain_s=2 * RETAIN_S)
+        self.gateway.reserve("stays", retain_s=2 * DEFAULT_RETAIN_S)
         self.fill(0, 11)
-        self.table.advance(RETAIN_S * 1000 + 1)
+        self.table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         self.assertEqual([Verdict.ADMITTED] * 4, self.fill(11, 4))
         self.assertEqual(2 * MOST, self.gateway.reserve("stays", fingerprint=2).total)
 
     def test_given_many_that_may_stay_away_longer_when_others_are_over_then_these_are_found(self):
-        table = BudgetTable(recent_most=4, idle_most=100)
+        table = BudgetTable(max_active=4, max_idle=100)
         gateway = Gateway(table)
         for number in range(50):
-            gateway.reserve(f"long {number}", retain_s=10 * RETAIN_S)
+            gateway.reserve(f"long {number}", retain_s=10 * DEFAULT_RETAIN_S)
         for number in range(54):
             gateway.reserve(f"short {number}")
-        table.advance(RETAIN_S * 1000 + 1)
+        table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         verdicts = [gateway.reserve(f"new {number}").verdict for number in range(60)]
         self.assertEqual([Verdict.ADMITTED] * 40, verdicts[10:50])
         self.assertEqual(2 * MOST, gateway.reserve("long 0", fingerprint=2).total)
@@ -202,10 +209,10 @@
     def test_given_a_program_stopped_before_a_final_fault_when_it_comes_back_then_its_tokens_are_known(self):
         self.gateway.whole_turns(3, "stopped")
         self.fill(0, 11)
-        self.table.advance(RETAIN_S * 500)
-        copy = BudgetTable(recent_most=4, idle_most=8)
+        self.table.advance(DEFAULT_RETAIN_S * 500)
+        copy = BudgetTable(max_active=4, max_idle=8)
         copy.restore(self.table.snapshot())
-        copy.advance(RETAIN_S * 500)
+        copy.advance(DEFAULT_RETAIN_S * 500)
         outcome = copy.apply(Gateway(copy, incarnation=2).command("stopped", fingerprint=2))
         self.assertEqual((Verdict.ADMITTED, 4 * MOST), (outcome.verdict, outcome.total))
 
@@ -215,7 +222,7 @@
         self.fill(0, 12)
         command = self.gateway.command("late")
         self.gateway.settle(command, used=0, end=TurnEnd.NOT_RUN)
-        self.table.advance(RETAIN_S * 1000 + 1)
+        self.table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         self.assertEqual(Verdict.RETRY_LATER, self.table.apply(command).verdict)
 
     def test_given_the_sizes_that_it_is_meant_for_when_programs_stop_then_all_may_come_back(self):
@@ -228,12 +235,14 @@
         gateway = Gateway(table)
         for number in range(at_once):
             gateway.reserve(f"at once {number}")
-        for second in range(RETAIN_S):
+        for second in range(DEFAULT_RETAIN_S):
             table.advance(1000)
             for number in range(begun_a_second):
                 self.assertEqual(Verdict.ADMITTED, gateway.reserve(f"begun {second} {number}").verdict)
-        self.assertLess(at_once + RETAIN_S * begun_a_second, (RECENT_PROGRAMS + IDLE_PROGRAMS) // 2)
-        for name in ("at once 0", "begun 0 0", f"begun {RETAIN_S - 1} 0"):
+        self.assertLess(
+            at_once + DEFAULT_RETAIN_S * begun_a_second, (MAX_ACTIVE_PROGRAMS + MAX_IDLE_PROGRAMS) // 2
+        )
+        for name in ("at once 0", "begun 0 0", f"begun {DEFAULT_RETAIN_S - 1} 0"):
             self.assertEqual(2 * MOST, gateway.reserve(name, fingerprint=2).total)
 
 
@@ -286,7 +295,7 @@
     budget = 1500
 
     def test_given_seeded_trouble_when_two_names_are_remembered_then_no_turn_counts_twice(self):
-        self.patch(program, "CLOSED_KEPT", 2)
+        self.patch(program, "MAX_CLOSED_RESERVATIONS", 2)
         for seed in range(40):
             virtual_time.run(self.play(seed))
 
@@ -309,7 +318,7 @@
                 used = chance.randint(0, MOST)
                 handed_out += used
                 self.assertLessEqual(handed_out, self.budget)
-                client.settle(Settle("program", command.reservation, used, TurnEnd.COMPLETE))
+                client.settle(Settlement("program", command.reservation, used, TurnEnd.COMPLETE))
 
         await asyncio.gather(*(turn(number) for number in range(60)))
         fleet.faults = Faults()
@@ -324,7 +333,7 @@
     def test_given_more_settlements_than_a_gateway_keeps_then_the_oldest_turns_count_at_their_most(self):
         async def play():
             fleet = BudgetFleet(random.Random(1))
-            settings = ClientSettings(settlements_most=2)
+            settings = ClientSettings(max_pending_settlements=2)
             client = BudgetClient(fleet.send, lambda shard: ADDRESSES, 1, settings)
             given = ReservationNames("10.0.0.1", 1)
             commands = [Reserve("program", str(n), given.next(), n, MOST, BUDGET, True) for n in range(5)]
@@ -332,9 +341,9 @@
                 await client.reserve(command)
             fleet.faults = Faults(refused=1.0)
             for command in commands:
-                client.settle(Settle("program", command.reservation, 10, TurnEnd.COMPLETE))
+                client.settle(Settlement("program", command.reservation, 10, TurnEnd.COMPLETE))
             await asyncio.sleep(1.0)
-            self.assertEqual(2, client.settlements_waiting)
+            self.assertEqual(2, client.pending_settlements)
             fleet.faults = Faults()
             self.assertTrue(await client.close(within=5))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
--- a/tests/tier/test_budgets_route.py
+++ b/tests/tier/test_budgets_route.py
@@ -33,7 +33,7 @@
 
     def test_given_an_owner_that_is_silent_when_others_still_name_it_then_it_is_left_out_for_a_while(self):
         self.route.owner("b")
-        self.route.no_reply("b", asked_at=0.7, now=1.0)
+        self.route.no_reply("b", requested_at=0.7, now=1.0)
         self.assertEqual("c", self.target(now=1.0))
         self.route.not_owner("c", "b")
         self.assertEqual("a", self.target(now=1.0))
@@ -42,7 +42,7 @@
         self.assertEqual(["c", "b"], [self.target(now=1.1), self.next_after("a", now=1.6)])
 
     def test_given_a_replica_that_cannot_be_reached_when_it_is_back_then_the_next_round_finds_it(self):
-        self.route.no_reply("a", asked_at=1.0, now=1.001)
+        self.route.no_reply("a", requested_at=1.0, now=1.001)
         for replica in "bc":
             self.assertEqual(replica, self.target(now=1.01))
             self.route.not_owner(replica, "a")
--- a/tests/tier/test_budgets_table.py
+++ b/tests/tier/test_budgets_table.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from kestrelbend.tier.budgets import saved_programs
+from kestrelbend.tier.budgets import snapshot_codec
 from kestrelbend.tier.budgets.commands import decode_commands, encode_commands
-from kestrelbend.tier.budgets.messages import Reserve, Settle, TurnEnd, Verdict
+from kestrelbend.tier.budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.budgets.shards import shard_names, shard_of
 from kestrelbend.tier.budgets.table import BudgetTable
 
@@ -21,12 +21,12 @@
         self.name = name
         self.budget = budget
 
-    def reserve(self, reservation, fingerprint=1, session="main", spare=False):
-        command = Reserve(self.name, session, reservation, fingerprint, MOST, self.budget, spare)
+    def reserve(self, reservation, fingerprint=1, session="main", spare_capacity=False):
+        command = Reserve(self.name, session, reservation, fingerprint, MOST, self.budget, spare_capacity)
         return self.table.apply(command)
 
     def settle(self, reservation, used, end=TurnEnd.COMPLETE):
-        self.table.apply(Settle(self.name, reservation, used, end))
+        self.table.apply(Settlement(self.name, reservation, used, end))
 
     def turns(self, count):
         """Whole turns of different sessions."""
@@ -48,7 +48,7 @@
             command = Reserve(name, session, reservation, chance.randrange(4), MOST, 10**6, True)
         else:
             end = chance.choice(list(TurnEnd))
-            command = Settle(name, reservation, chance.randrange(MOST), end)
+            command = Settlement(name, reservation, chance.randrange(MOST), end)
         outcomes = {str(table.apply(command)) for table in tables}
         assert len(outcomes) == 1, outcomes
 
@@ -126,12 +126,12 @@
         self.assertEqual((Verdict.ADMITTED, 0), self.retry("second"))
         self.program.settle("second", MOST, TurnEnd.BROKEN_OFF)
         self.assertEqual((Verdict.RETRY_LATER, 1000), self.retry("third"))
-        self.assertEqual((Verdict.ADMITTED, 0), self.retry("fourth", spare=True))
+        self.assertEqual((Verdict.ADMITTED, 0), self.retry("fourth", spare_capacity=True))
 
     def test_given_a_refused_retry_when_more_turns_ran_then_the_retry_is_admitted(self):
         self.program.broken_turn()
         for name in ("second", "third"):
-            self.retry(name, spare=True)
+            self.retry(name, spare_capacity=True)
             self.program.settle(name, MOST, TurnEnd.BROKEN_OFF)
         self.program.turns(10)
         self.assertEqual(Verdict.RETRY_LATER, self.retry("fourth")[0])
@@ -170,13 +170,13 @@
 
 class BoundsTest(testtools.TestCase):
     def test_given_a_table_when_saved_and_restored_then_it_goes_on_as_before(self):
-        table = BudgetTable(recent_most=2)
+        table = BudgetTable(max_active=2)
         programs = [Program(table, f"program {number}") for number in range(4)]
         for program in programs:
             program.turns(2)
             program.broken_turn()
         programs[-1].reserve("open", fingerprint=9)
-        copy = BudgetTable(recent_most=2)
+        copy = BudgetTable(max_active=2)
         copy.restore(table.snapshot())
         for number in (3, 0, 1):
             programs[number].table = table
@@ -202,7 +202,7 @@
         for seed in range(30):
             chance = random.Random(seed)
             table, restored = BudgetTable(4, 20), BudgetTable(4, 20)
-            self.patch(saved_programs, "IDLE_A_LINE", chance.randint(1, 4))
+            self.patch(snapshot_codec, "IDLE_PROGRAMS_PER_LINE", chance.randint(1, 4))
             play((table,), chance, 200)
             restored.restore(table.begin_snapshot().finish())
             play((table, restored), chance, 60)
@@ -226,12 +226,12 @@
             Program(table, f"program {number}", budget=10**9).turns(70)
         image, lines, most = table.begin_snapshot(), 0, 0
         while image.advance() is None:
-            most = max(most, image.lines_made - lines)
-            lines = image.lines_made
+            most = max(most, image.line_count - lines)
+            lines = image.line_count
         self.assertLess(most, 40)
 
     def test_given_more_programs_than_are_kept_when_one_comes_back_then_its_tokens_are_known(self):
-        table = BudgetTable(recent_most=4)
+        table = BudgetTable(max_active=4)
         old = Program(table, "old")
         old.turns(3)
         still_open = Program(table, "open")
@@ -243,14 +243,14 @@
         self.assertEqual(20, still_open.reserve("b", fingerprint=2).settled)
 
     def test_given_all_programs_have_open_turns_when_one_must_go_then_it_counts_at_its_most(self):
-        table = BudgetTable(recent_most=4)
+        table = BudgetTable(max_active=4)
         for number in range(9):
             Program(table, f"program {number}").reserve("a")
         outcome = Program(table, "program 0").reserve("b", fingerprint=2)
         self.assertEqual((200, 100), (outcome.total, outcome.settled))
 
     def test_given_endless_programs_and_turns_when_they_go_on_then_the_table_stays_small(self):
-        table = BudgetTable(recent_most=4, idle_most=8)
+        table = BudgetTable(max_active=4, max_idle=8)
         for number in range(300):
             Program(table, f"program {number}").reserve("a")
             Program(table, "endless").reserve(f"turn {number}", session=f"session {number}")
@@ -259,9 +259,11 @@
 
 class CarriedTest(testtools.TestCase):
     def test_given_commands_when_encoded_and_decoded_then_they_are_the_same(self):
-        settles = (Settle("prögram", "a", 7, 2), Settle("", "", 0, 0))
+        settlements = (Settlement("prögram", "a", 7, 2), Settlement("", "", 0, 0))
         reserves = (Reserve("prögram", "session", "r", 2**63 - 1, 5, -1, True),)
-        self.assertEqual(([*settles], [*reserves]), decode_commands(encode_commands(settles, reserves)))
+        self.assertEqual(
+            ([*settlements], [*reserves]), decode_commands(encode_commands(settlements, reserves))
+        )
 
     def test_given_programs_when_spread_over_shards_then_each_has_its_share_and_keeps_it(self):
         shards = [shard_of(f"program {number}", 4) for number in range(4000)]
--- a/tests/tier/test_dataplane_streams.py
+++ b/tests/tier/test_dataplane_streams.py
@@ -253,8 +253,8 @@
         reserve = self.budget.reserved[0]
         self.assertEqual(
             ("p1", "s1", "try-1", 80, 1000, True),
-            (reserve.program, reserve.session, reserve.reservation, reserve.most_tokens,
-             reserve.budget, reserve.spare),
+            (reserve.program, reserve.session, reserve.reservation, reserve.max_tokens,
+             reserve.budget, reserve.spare_capacity),
         )  # fmt: skip
         self.assertEqual([(72, TurnEnd.COMPLETE)], self.settled())
 
@@ -280,7 +280,7 @@
             self.assertEqual(0 if locally else 1, len(world.budget.reserved))
 
     def test_other_refusals_tell_when_to_come_back(self):
-        for verdict, status in ((Verdict.RETRY_LATER, 429), (Verdict.SILENT, 503)):
+        for verdict, status in ((Verdict.RETRY_LATER, 429), (Verdict.NO_ANSWER, 503)):
             world = World()
             backend = world.backend("i-1", "models")
             world.budget.verdict = verdict
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -10,7 +10,7 @@
 import attrs
 import testtools
 
-from kestrelbend.tier.budgets.messages import Reserve, Settle, TurnEnd, Verdict
+from kestrelbend.tier.budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.budgets.shards import shard_of
 from kestrelbend.tier.fleet.troubles import owner_machine
 from kestrelbend.tier.membership.directory import DirectoryView
@@ -111,7 +111,7 @@
             verdicts.append(Verdict(outcome.verdict))
             if outcome.verdict == Verdict.ADMITTED:
                 end = int(TurnEnd.COMPLETE)
-                instance.settle("model", Settle(program, command.reservation, MOST, end))
+                instance.settle("model", Settlement(program, command.reservation, MOST, end))
 
         loop = world.fleet.loop
         for number in range(int(seconds / 0.1)):
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from kestrelbend.tier.budgets.messages import Reserve, Settle, TurnEnd, Verdict
+from kestrelbend.tier.budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.fleet.fleet import Size
 from kestrelbend.tier.fleet.troubles import owner_machine
 from tests.tier.fleet_story import FleetStory
@@ -75,7 +75,7 @@
         verdict = Verdict(outcome.verdict)
         self.answers.append(Answer(asked_at, self.world.fleet.now() - asked_at, verdict))
         if verdict is Verdict.ADMITTED:
-            gateway.settle("model", Settle(program, name, MOST, int(TurnEnd.COMPLETE)))
+            gateway.settle("model", Settlement(program, name, MOST, int(TurnEnd.COMPLETE)))
 
 
 def _begin(loop, coroutine) -> None:
@@ -120,7 +120,7 @@
     def check_answers(self, observer, cut_at, joined_at):
         cut = [one for one in observer.answers if cut_at + UNREADY_WITHIN_S <= one.asked_at <= joined_at - 2]
         self.assertGreater(len(cut), 100)
-        self.assertEqual({Verdict.SILENT}, {one.verdict for one in cut})
+        self.assertEqual({Verdict.NO_ANSWER}, {one.verdict for one in cut})
         self.assertLess(max(one.seconds for one in cut), ANSWER_S)
         after = [one for one in observer.answers if one.asked_at > joined_at + READY_AGAIN_S]
         self.assertEqual({Verdict.ADMITTED}, {one.verdict for one in after})
@@ -221,7 +221,7 @@
             fleet.start(machine)
             unready = [now for now in observer.ready_times(asked.name, False) if now > lost_at]
             self.assertEqual([], unready)
-            silent = [one for one in observer.answers if one.verdict is Verdict.SILENT]
+            silent = [one for one in observer.answers if one.verdict is Verdict.NO_ANSWER]
             self.assertEqual([], silent, "refused, though an owner came")
 
         return story
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -12,7 +12,7 @@
 import logbook
 import testtools
 
-from kestrelbend.tier.budgets.line import ShardLine
+from kestrelbend.tier.budgets.shard_queue import ShardRequestQueue
 from kestrelbend.tier.budgets.messages import BudgetReply, Reserve, ReserveOutcome, Verdict
 from kestrelbend.tier.budgets.route import ClientSettings
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
@@ -334,7 +334,7 @@
             return BudgetReply(request.shard, True, "", (outcome,))
 
         async def play():
-            line = ShardLine("budget-0", send, lambda shard: ("a:1",), ClientSettings())
+            line = ShardRequestQueue("budget-0", send, lambda shard: ("a:1",), ClientSettings())
             outcome = await line.reserve(Reserve("program", "session", "own", 1, 10, 100, True), within=1.0)
             self.assertEqual("own", outcome.reservation)
 
--- a/tests/tier/test_protocol_replies.py
+++ b/tests/tier/test_protocol_replies.py
@@ -11,7 +11,7 @@
 
 import testtools
 
-from kestrelbend.tier.budgets.line import answers
+from kestrelbend.tier.budgets.shard_queue import answers
 from kestrelbend.tier.budgets.messages import (
     BudgetReply,
     BudgetRequest,
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from kestrelbend.tier.budgets.commands import encode_commands
-from kestrelbend.tier.budgets.messages import Reserve, Settle
-from kestrelbend.tier.budgets.table import IDLE_PROGRAMS, RECENT_PROGRAMS, BudgetTable
+from kestrelbend.tier.budgets.messages import Reserve, Settlement
+from kestrelbend.tier.budgets.table import MAX_IDLE_PROGRAMS, MAX_ACTIVE_PROGRAMS, BudgetTable
 from kestrelbend.tier.fleet.fleet import Size
 from tests.tier.fleet_story import FleetStory
 
@@ -12,7 +12,7 @@
 CATCH_UP_S = 4.0
 MOST_SILENCE_S = 0.3  # an election follows after 0.45
 SHARD = "budget-0"
-FILLED = RECENT_PROGRAMS - 300  # the rest are those of the day
+FILLED = MAX_ACTIVE_PROGRAMS - 300  # the rest are those of the day
 TURNS = 64
 TAIL = 520  # entries, more than are kept before a snapshot
 FORGOTTEN_S = 11.0  # longer than entries are kept for who is away
@@ -21,13 +21,13 @@
 def full_table():
     """The saved form of a table whose programs in use have all that a program may have."""
     table = BudgetTable()
-    for number in range(IDLE_PROGRAMS + FILLED):
+    for number in range(MAX_IDLE_PROGRAMS + FILLED):
         name = f"program-{number:012d}-of-earlier-days"
-        turns = TURNS if number >= IDLE_PROGRAMS else 1
+        turns = TURNS if number >= MAX_IDLE_PROGRAMS else 1
         for turn in range(turns):
             session, reservation = f"session-{turn:08d}", f"reservation-{number}-{turn:08d}"
             table.apply(Reserve(name, session, reservation, turn, 100, 10**9, True))
-            table.apply(Settle(name, reservation, 50, 0))
+            table.apply(Settlement(name, reservation, 50, 0))
     return table.snapshot()
 
 
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -111,7 +111,7 @@
         snapshot = process.host.replica(SHARD).durable_record().snapshot
         self.assertEqual(COMPACT_ENTRIES, snapshot.index)
         self.assertEqual(expected, snapshot.state)
-        self.assertTrue(image.is_made)
+        self.assertTrue(image.is_complete)
 
     def test_given_a_large_record_when_it_is_written_then_the_journals_thread_makes_it(self):
         process = self.run_until_compacted()
