--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -86,7 +86,7 @@
             _Handler("Config.Put", "POST", False, MAX_ORDER_BYTES, self._put),
             _Handler("Config.Patch", "POST", False, MAX_ORDER_BYTES, self._patch),
             _Handler("Config.Get", "GET", False, 0, self._get),
-            _Handler("Instances.Heartbeat", "POST", True, MAX_REPORT_BYTES, self._beat),
+            _Handler("Instances.Heartbeat", "POST", True, MAX_REPORT_BYTES, self._heartbeat),
             _Handler("Instances.Leave", "POST", True, MAX_REPORT_BYTES, self._leave),
             _Handler("Retire.Start", "POST", True, MAX_REPORT_BYTES, self._retire_start),
             _Handler("Retire.Get", "GET", True, 0, self._retire_get),
@@ -162,12 +162,12 @@
             return _rejection(404, "there is no configuration yet")
         return Answer(200, bytes(reply.body))
 
-    async def _beat(self, call: Call) -> Answer:
+    async def _heartbeat(self, call: Call) -> Answer:
         report = _object(call.body)
         if report is None:
             return _rejection(400, "the report is no JSON object")
-        outcome = await self._port.beat(call.name, report)
-        url = self._port.beat_url()
+        outcome = await self._port.backend_heartbeat(call.name, report)
+        url = self._port.heartbeat_url()
         if outcome is ReportOutcome.ACCEPTED and url:
             return _json(200, {"BeatUrl": url})
         return _plain(REPORT_STATUS[outcome])
--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -43,7 +43,7 @@
     async def read(self) -> ReadReply:
         """The newest configuration, as its shard's owner has it."""
 
-    async def beat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
+    async def backend_heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
         """Takes a backend's heartbeat; `ACCEPTED` once it is safe to acknowledge it."""
 
     async def leave(self, identity: str) -> ReportOutcome:
@@ -58,5 +58,5 @@
     def status(self) -> dict[str, Any]:
         """What is known here of the whole tier, see `membership.status`."""
 
-    def beat_url(self) -> str | None:
+    def heartbeat_url(self) -> str | None:
         """An address for a backend's later heartbeats, or None to leave the choice to the backend."""
--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -15,7 +15,7 @@
 from ..configuration.ports import ReportOutcome
 from ..discovery.exchange import BackendExchange
 from ..discovery.messages import Backend, BackendState
-from ..discovery.registry import FULL, MOST_TOMBSTONES, BackendRegistry, BeatRejected
+from ..discovery.registry import FULL, MOST_TOMBSTONES, BackendRegistry, HeartbeatRejected
 
 ANSWER_S = 0.85  # backends go on to another node after a second
 PAUSE_S = 0.1  # between two looks at whether the word may be acknowledged
@@ -42,9 +42,9 @@
         self._reported: set[str] = set()  # who reported here since the other control nodes were told
         self._vouched: dict[str, int] = {}  # the states of backends that leave, as a majority holds them
 
-    async def beat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
+    async def heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
         """A heartbeat: known here and, where it matters, everywhere before it is acknowledged."""
-        return await self._taken(self._registry.beat(identity, report, self._now()))
+        return await self._taken(self._registry.heartbeat(identity, report, self._now()))
 
     async def leave(self, identity: str) -> ReportOutcome:
         """A backend has ended."""
@@ -62,14 +62,14 @@
         """Tells, all together, of the backends of which nothing is new but that they are there."""
         self._spread(self._changes())
 
-    def presume_silent_gone(self, in_contact_s: float, beat_interval_s: float) -> None:
+    def presume_silent_gone(self, in_contact_s: float, heartbeat_interval_s: float) -> None:
         """Takes silent backends for gone, where this node has been in contact for long enough to say so."""
         now = self._now()
-        self._registry.expired(now, beat_interval_s, now - in_contact_s)
+        self._registry.expired(now, heartbeat_interval_s, now - in_contact_s)
         self._exchange.stream(self._changes())
 
-    async def _taken(self, outcome: Backend | BeatRejected) -> ReportOutcome:
-        if isinstance(outcome, BeatRejected):
+    async def _taken(self, outcome: Backend | HeartbeatRejected) -> ReportOutcome:
+        if isinstance(outcome, HeartbeatRejected):
             return ReportOutcome.UNAVAILABLE if outcome.code == FULL else ReportOutcome.MALFORMED
         self._reported.add(outcome.identity)
         if self._registry.urgent_number <= self._streamed and outcome.state == BackendState.READY:
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -1,7 +1,7 @@
 """How control nodes tell each other who reports to them: changes alone, in their connection's order.
 
 Who was told of and is neither quiet nor gone counts as heard at each summary, so a calm tier costs a few
-bytes a beat.  A new connection begins with everything.
+bytes a heartbeat interval.  A new connection begins with everything.
 
 Invariant: nothing is told of a process but what its own heartbeats to this node said, so that no word goes
 round between control nodes after its process has ended.
@@ -60,10 +60,10 @@
         if summary.whole:
             self._reported[summary.sender] = {}
         reported = self._reported.setdefault(summary.sender, {})
-        for heartbeat in summary.beats:
+        for heartbeat in summary.heartbeats:
             reported[heartbeat.member.address] = heartbeat.member.incarnation
         silences = {quiet.address: quiet.silent_ms / 1000 for quiet in summary.quiet}
-        for heartbeat in summary.beats:
+        for heartbeat in summary.heartbeats:
             silence = silences.get(heartbeat.member.address, 0.0)
             self._members.told(heartbeat, now - silence)
         for address in summary.gone:
@@ -72,20 +72,20 @@
             self._members.still_there(address, incarnation, now - silences.get(address, 0.0))
 
     def _changes(self, now: float) -> bytes:
-        beats = []
+        heartbeats = []
         live = self._members.reporting_here(now)
         for address, heartbeat in live.items():
             if self._is_due(address, heartbeat, now):
                 self._told[address] = _Told(heartbeat, lasting(heartbeat), now)
-                beats.append(heartbeat)
+                heartbeats.append(heartbeat)
         gone = tuple(address for address in self._told if address not in live)
         for address in gone:
             del self._told[address]
-        return encode(MemberSummary(self._sender, False, tuple(beats), self._quiet(now), gone))
+        return encode(MemberSummary(self._sender, False, tuple(heartbeats), self._quiet(now), gone))
 
     def _whole(self, now: float) -> MemberSummary:
-        beats = tuple(told.heartbeat for told in self._told.values())
-        return MemberSummary(self._sender, True, beats, self._quiet(now), ())
+        heartbeats = tuple(told.heartbeat for told in self._told.values())
+        return MemberSummary(self._sender, True, heartbeats, self._quiet(now), ())
 
     def _quiet(self, now: float) -> tuple[QuietMember, ...]:
         silences = ((address, self._members.silence_here(address, now)) for address in self._told)
@@ -103,4 +103,4 @@
 def lasting(heartbeat: Heartbeat) -> Heartbeat:
     """A heartbeat without what changes all the time: its number, and how far replicas have come."""
     shards = tuple(report.without_indexes() for report in heartbeat.shards)
-    return attrs.evolve(heartbeat, beat=0, shards=shards)
+    return attrs.evolve(heartbeat, sequence=0, shards=shards)
--- a/kestrelbend/tier/discovery/registry.py
+++ b/kestrelbend/tier/discovery/registry.py
@@ -12,7 +12,7 @@
 from kestrelbend.tier.discovery.freshness import GONE_INTERVALS, SUSPECT_INTERVALS, Freshness
 from kestrelbend.tier.discovery.messages import Backend, BackendState
 from kestrelbend.tier.discovery.order import differs, has_left, presumed_gone, supersedes
-from kestrelbend.tier.discovery.report import BeatRejected, is_name, read_report
+from kestrelbend.tier.discovery.report import HeartbeatRejected, is_name, read_report
 
 TOMBSTONE_S = 600.0
 MOST_TOMBSTONES = 10_000
@@ -102,21 +102,21 @@
         """Rises with each change that is to be streamed."""
         return self._number
 
-    def beat(self, identity: str, report: object, now: float) -> Backend | BeatRejected:
+    def heartbeat(self, identity: str, report: object, now: float) -> Backend | HeartbeatRejected:
         """Takes a backend's own report; returns the backend as it is now known."""
         backend = read_report(identity, report)
-        if isinstance(backend, BeatRejected):
+        if isinstance(backend, HeartbeatRejected):
             return backend
         if identity not in self._entries and self._live.count >= MOST_LIVE:
-            return BeatRejected(FULL, "too many backends are known")
+            return HeartbeatRejected(FULL, "too many backends are known")
         if self._offer(backend, now):
             self._displace_others(backend, now)
         return self._entries[identity].backend
 
-    def leave(self, identity: str, now: float) -> Backend | BeatRejected:
+    def leave(self, identity: str, now: float) -> Backend | HeartbeatRejected:
         """Takes a backend's word that it ends; an unknown one is remembered as gone."""
         if not is_name(identity):
-            return BeatRejected("identity", "the id is no short text")
+            return HeartbeatRejected("identity", "the id is no short text")
         entry = self._entries.get(identity)
         known = entry.backend if entry else Backend(identity, "", "", "", "", 0, 0, 0, 0)
         self._offer(has_left(known), now)
@@ -154,12 +154,12 @@
         changed.reverse()
         return Changes(self._number, tuple(changed))
 
-    def expired(self, now: float, beat_interval: float, in_touch_since: float) -> Silent:
+    def expired(self, now: float, heartbeat_interval: float, in_touch_since: float) -> Silent:
         """Presumes long silent backends gone, if the node was in touch meanwhile; drops old tombstones."""
         self._drop_tombstones(now)
         live = self._live.identities()
-        suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * beat_interval)
-        longest = GONE_INTERVALS * beat_interval
+        suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * heartbeat_interval)
+        longest = GONE_INTERVALS * heartbeat_interval
         if not suspects or now - in_touch_since <= longest:
             return Silent(suspects, ())
         gone = []
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class BeatRejected:
+class HeartbeatRejected:
     """Why a heartbeat isn't taken; `code` is one word for counting."""
 
     code: str
@@ -69,17 +69,17 @@
 )
 
 
-def read_report(identity: str, report: object) -> Backend | BeatRejected:
+def read_report(identity: str, report: object) -> Backend | HeartbeatRejected:
     """The backend that a heartbeat describes; unknown fields are ignored."""
     if not is_name(identity):
-        return BeatRejected("identity", "the id is no short text")
+        return HeartbeatRejected("identity", "the id is no short text")
     try:
         fields = REPORT.validate(report)
     except schema.SchemaError as error:
-        return BeatRejected("form", f"the report: {error.code}")
+        return HeartbeatRejected("form", f"the report: {error.code}")
     models = _models_text(fields.get("Models"))
     if models is None:
-        return BeatRejected("models", "Models is too large")
+        return HeartbeatRejected("models", "Models is too large")
     return Backend(
         identity=identity,
         service=fields["Upstream"],
--- a/kestrelbend/tier/discovery/view.py
+++ b/kestrelbend/tier/discovery/view.py
@@ -85,16 +85,16 @@
         if backend is not None and backend.state != BackendState.GONE:
             self._offer(presumed_gone(backend), now)
 
-    def refresh(self, now: float, beat_interval: float) -> tuple[str, ...]:
+    def refresh(self, now: float, heartbeat_interval: float) -> tuple[str, ...]:
         """Finds who fell silent, and presumes gone who was silent for long; call it about once a second."""
         self._drop_tombstones(now)
         live = tuple(name for name, backend in self._backends.items() if backend.state != BackendState.GONE)
-        longest = GONE_INTERVALS * beat_interval
-        unbroken = self._contact.unbroken(now, SUSPECT_INTERVALS * beat_interval)
+        longest = GONE_INTERVALS * heartbeat_interval
+        unbroken = self._contact.unbroken(now, SUSPECT_INTERVALS * heartbeat_interval)
         gone = self._freshness.silent(live, now, longest) if unbroken > longest else ()
         for identity in gone:
             self._offer(presumed_gone(self._backends[identity]), now)
-        suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * beat_interval)
+        suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * heartbeat_interval)
         self._suspect(frozenset(suspects).difference(gone))
         return gone
 
--- a/kestrelbend/tier/fleet/backends.py
+++ b/kestrelbend/tier/fleet/backends.py
@@ -38,10 +38,10 @@
     async def _live(self) -> None:
         await asyncio.sleep(self._random.uniform(0.0, HEARTBEAT_S))
         while self.state == "ready":
-            await self._beat()
+            await self._heartbeat()
             await asyncio.sleep(HEARTBEAT_S * self._random.uniform(0.95, 1.05))
 
-    async def _beat(self) -> bool:
+    async def _heartbeat(self) -> bool:
         """One report, to another control node after a failure; whether it was acknowledged."""
         self._sequence += 1
         report = {
@@ -89,7 +89,7 @@
         self.state = "draining"
         said_at = self.fleet.now()
         while self.draining_acknowledged_at is None and self.fleet.now() - said_at < LEAVE_ANYWAY_S:
-            if await self._beat():
+            if await self._heartbeat():
                 self.draining_acknowledged_at = self.fleet.now()
             else:
                 await asyncio.sleep(0.1)
--- a/kestrelbend/tier/membership/control_choice.py
+++ b/kestrelbend/tier/membership/control_choice.py
@@ -28,8 +28,8 @@
 
 
 @attrs.frozen
-class _SentBeat:
-    number: int
+class _SentHeartbeat:
+    sequence: int
     sent_at: float
 
 
@@ -49,7 +49,7 @@
         self._zone = zone
         self._settled_at = now  # when a settled node was last known, or the beginning
         self._settling_s = FIRST_SETTLING_S
-        self._beats: deque[_SentBeat] = deque(maxlen=MOST_REMEMBERED)
+        self._heartbeats: deque[_SentHeartbeat] = deque(maxlen=MOST_REMEMBERED)
         self._answers: dict[str, _Answer] = {}
 
     def order(self, members: Iterable[Member], seeds: Iterable[str]) -> list[str]:
@@ -60,13 +60,13 @@
         others = set(seeds).difference(near, far)
         return [*self._ring(near), *self._ring(far), *self._ring(others)]
 
-    def sent(self, beat: int, now: float) -> None:
+    def sent(self, sequence: int, now: float) -> None:
         """A heartbeat of this number was sent."""
-        self._beats.append(_SentBeat(beat, now))
+        self._heartbeats.append(_SentHeartbeat(sequence, now))
 
-    def answered(self, address: str, beat: int, settled: bool) -> None:
+    def answered(self, address: str, sequence: int, settled: bool) -> None:
         """A node has answered a heartbeat."""
-        sent_at = next((sent.sent_at for sent in self._beats if sent.number == beat), NEVER)
+        sent_at = next((sent.sent_at for sent in self._heartbeats if sent.sequence == sequence), NEVER)
         known = self._answers.get(address)
         if known is None or sent_at >= known.sent_at:
             self._answers[address] = _Answer(sent_at, settled)
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -46,7 +46,7 @@
     """From a process to its monitors: it runs, what it holds, what it has acknowledged."""
 
     member: Member
-    beat: int
+    sequence: int
     config_version: int
     leaving: bool
     shards: tuple[ShardReport, ...]
@@ -56,7 +56,7 @@
 class HeartbeatAck:
     """A control node's answer; `settled`: it has been in contact for so long that it knows who is there."""
 
-    beat: int
+    sequence: int
     settled: bool
 
 
@@ -77,7 +77,7 @@
 
     sender: str
     whole: bool
-    beats: tuple[Heartbeat, ...]
+    heartbeats: tuple[Heartbeat, ...]
     quiet: tuple[QuietMember, ...]
     gone: tuple[str, ...]
 
--- a/kestrelbend/tier/membership/status.py
+++ b/kestrelbend/tier/membership/status.py
@@ -37,21 +37,21 @@
     now: float,
 ) -> dict[str, Any]:
     """The whole answer; `in_touch`: whether `asked` hears from the configuration's owner or a majority."""
-    heard = [(beat, round(silence, 2)) for beat, silence in table.silences(now)]
+    heard = [(heartbeat, round(silence, 2)) for heartbeat, silence in table.silences(now)]
     return {
         "Node": asked.node,
         "Address": asked.address,
         "InTouch": in_touch,
         "ConfigVersion": config_version,
-        "Processes": [_process(beat, silence) for beat, silence in heard],
+        "Processes": [_process(heartbeat, silence) for heartbeat, silence in heard],
         "Shards": _shards(heard, table.reports(), wanted.placements),
         "Retiring": list(wanted.retiring),
         "Backends": _backends(backends),
     }
 
 
-def _process(beat: Heartbeat, silence: float) -> dict[str, Any]:
-    member = beat.member
+def _process(heartbeat: Heartbeat, silence: float) -> dict[str, Any]:
+    member = heartbeat.member
     return {
         "Node": member.node,
         "Role": member.role,
@@ -61,8 +61,8 @@
         "Incarnation": member.incarnation,
         "SilentS": silence,
         "Live": silence <= LIVE_S,
-        "Leaving": beat.leaving,
-        "ConfigVersion": beat.config_version,
+        "Leaving": heartbeat.leaving,
+        "ConfigVersion": heartbeat.config_version,
     }
 
 
@@ -91,8 +91,8 @@
         "CommitIndex": commit_index,
         "Replicas": [
             _replica(report, silence, commit_index)
-            for beat, silence in heard
-            for report in beat.shards
+            for heartbeat, silence in heard
+            for report in heartbeat.shards
             if report.shard == name
         ],
     }
--- a/kestrelbend/tier/membership/table.py
+++ b/kestrelbend/tier/membership/table.py
@@ -1,7 +1,8 @@
 """Who is alive, by heartbeats heard here or told by other monitors.
 
-Invariant: for one address only the latest incarnation is held, and of it only the latest beat.  Incarnations
-are numbered by the time of day, which may step: a lower number counts as later once the known one is silent.
+Invariant: for one address only the latest incarnation is held, and of it only the latest heartbeat.
+Incarnations are numbered by the time of day, which may step: a lower number counts as later once the known
+one is silent.
 """
 
 from __future__ import annotations
@@ -108,8 +109,8 @@
 
 
 def _is_later(heartbeat: Heartbeat, known: Heartbeat) -> bool:
-    later = (heartbeat.member.incarnation, heartbeat.beat)
-    return later > (known.member.incarnation, known.beat)
+    later = (heartbeat.member.incarnation, heartbeat.sequence)
+    return later > (known.member.incarnation, known.sequence)
 
 
 def _weight(report: ShardReport) -> tuple:
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -153,7 +153,7 @@
         """What others say to a control node."""
         if isinstance(message, Heartbeat):
             self.members.heard(message, self.now())
-            connection.send(HeartbeatAck(message.beat, self._is_settled()))
+            connection.send(HeartbeatAck(message.sequence, self._is_settled()))
         elif isinstance(message, MemberSummary):
             self._summaries.take(message, self.now())
         elif isinstance(message, Subscribe):
@@ -225,8 +225,8 @@
         self.directory_stream.send()
         self._placer.place(now)
         self.backend_reports.spread_quiet_changes()
-        beat_interval_s = self.settings.heartbeat_ms / 1000
-        self.backend_reports.presume_silent_gone(self._contact.seconds(now), beat_interval_s)
+        heartbeat_interval_s = self.settings.heartbeat_ms / 1000
+        self.backend_reports.presume_silent_gone(self._contact.seconds(now), heartbeat_interval_s)
 
     def _refresh_directory(self, now: float) -> None:
         directory = self.directory_stream.refresh(self.configuration, self._contact.seconds(now), now)
@@ -244,9 +244,9 @@
         """The newest configuration."""
         return await self.configuration.read()
 
-    async def beat(self, identity: str, report: dict) -> ReportOutcome:
+    async def backend_heartbeat(self, identity: str, report: dict) -> ReportOutcome:
         """A backend's heartbeat."""
-        return await self.backend_reports.beat(identity, report)
+        return await self.backend_reports.heartbeat(identity, report)
 
     async def leave(self, identity: str) -> ReportOutcome:
         """A backend has ended."""
@@ -274,7 +274,7 @@
             now,
         )
 
-    def beat_url(self) -> str | None:
+    def heartbeat_url(self) -> str | None:
         """Backends go on calling whom they called."""
         return None
 
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -31,7 +31,7 @@
 
     def answered(self, connection: PeerConnection, answer: HeartbeatAck) -> None:
         """A control node has answered a heartbeat."""
-        self._choice.answered(connection.address, answer.beat, answer.settled)
+        self._choice.answered(connection.address, answer.sequence, answer.settled)
 
     def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
@@ -52,7 +52,7 @@
 
     def report(self, order: Sequence[str], heartbeat: Heartbeat, now: float) -> None:
         """Tells the control nodes that are to know it that this process runs."""
-        self._choice.sent(heartbeat.beat, now)
+        self._choice.sent(heartbeat.sequence, now)
         data = encode(heartbeat)
         for address in self._choice.to_report_to(order, now):
             connection = self._connections.to(address)
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -91,7 +91,7 @@
         self.leaving = False
         self.stopping = asyncio.Event()
         self.served_enough = asyncio.Event()  # ends the listeners of the role
-        self._beat = 0
+        self._heartbeat_sequence = 0
         self._control_choice = ControlChoice(self.address, settings.zone, self.now())
         self._tasks: set[asyncio.Task] = set()
         self.journal = None
@@ -288,15 +288,15 @@
     # Time
 
     async def _tick_loop(self) -> None:
-        beat_at = settings_at = 0.0
+        heartbeat_at = settings_at = 0.0
         pause = IDLE_TICK_S if self.host is None else TICK_S
         while True:
             now = self.now()
             if self.host is not None:
                 self.host.tick(now)
             self.on_tick(now)
-            if now >= beat_at:
-                beat_at = now + HEARTBEAT_S
+            if now >= heartbeat_at:
+                heartbeat_at = now + HEARTBEAT_S
                 self.report(now)
                 self.on_heartbeat(now)
                 self.connections.keep(self.wanted_connections())
@@ -352,8 +352,10 @@
 
     def heartbeat(self) -> Heartbeat:
         """What this process tells the control nodes that it chose."""
-        self._beat += 1
-        return Heartbeat(self.member, self._beat, self.config_version(), self.leaving, self.shard_reports())
+        self._heartbeat_sequence += 1
+        return Heartbeat(
+            self.member, self._heartbeat_sequence, self.config_version(), self.leaving, self.shard_reports()
+        )
 
     def report(self, now: float) -> None:
         """Tells control nodes that this process runs, and has them stream what it needs."""
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -82,11 +82,11 @@
         outcome = await answering
         return outcome, loop.time() - asked_at
 
-    def beat(self, **changes):
-        return self.timed(self.reports.beat("i-1", READY | changes))
+    def heartbeat(self, **changes):
+        return self.timed(self.reports.heartbeat("i-1", READY | changes))
 
     def drain(self, sequence=2):
-        return self.beat(State="draining", Seq=sequence)
+        return self.heartbeat(State="draining", Seq=sequence)
 
     def play(self, story):
         async def whole():
@@ -189,17 +189,17 @@
         async def story():
             self.in_contact = False
             self.near.delay = self.far.delay = None
-            outcome, took = await self.beat()
+            outcome, took = await self.heartbeat()
             self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, took))
 
         self.play(story)
 
     def test_given_plain_heartbeats_then_they_are_spread_together_later(self):
         async def story():
-            await self.beat()
+            await self.heartbeat()
             told = len(self.near.news)
             await asyncio.sleep(QUIET_STREAM_S)
-            await self.beat(Seq=2)
+            await self.heartbeat(Seq=2)
             self.assertEqual(told, len(self.near.news))
             self.reports.spread_quiet_changes()
             self.assertEqual(2, self.near.news[-1].backends[0].sequence)
@@ -230,9 +230,9 @@
         self.patch(registry_module, "MOST_LIVE", 0)
 
         async def story():
-            outcome, _ = await self.beat()
+            outcome, _ = await self.heartbeat()
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
-            outcome, _ = await self.beat(Slots=-1)
+            outcome, _ = await self.heartbeat(Slots=-1)
             self.assertIs(ReportOutcome.MALFORMED, outcome)
 
         self.play(story)
--- a/tests/tier/test_configuration_operator_api.py
+++ b/tests/tier/test_configuration_operator_api.py
@@ -35,7 +35,7 @@
     async def read(self):
         return self.reply
 
-    async def beat(self, identity, report):
+    async def backend_heartbeat(self, identity, report):
         self.calls.append((identity, report))
         return self.report_outcome
 
@@ -50,7 +50,7 @@
     async def retire_state(self, node):
         return self.state
 
-    def beat_url(self):
+    def heartbeat_url(self):
         return self.url
 
 
--- a/tests/tier/test_control_choice.py
+++ b/tests/tier/test_control_choice.py
@@ -14,7 +14,7 @@
 from kestrelbend.tier.membership.messages import Member
 
 HERE, ELSEWHERE, FURTHER = "10.0.0.1:7", "10.0.1.1:7", "10.0.2.1:7"
-BEAT_S = 0.25
+HEARTBEAT_S = 0.25
 
 
 def control(address, zone):
@@ -30,7 +30,7 @@
         super().setUp()
         self.choice = ControlChoice("10.0.0.9:7", "a", 0.0)
         self.now = 0.0
-        self.beat = 0
+        self.sequence = 0
         self.order = self.choice.order(MEMBERS, [])
 
     def streams(self):
@@ -43,13 +43,13 @@
         """Heartbeats to whoever is chosen; some of them answer, and some of those as settled."""
         ends = self.now + seconds
         while self.now < ends:
-            self.now += BEAT_S
-            self.beat += 1
+            self.now += HEARTBEAT_S
+            self.sequence += 1
             self.streams()
             asked = self.reports()
-            self.choice.sent(self.beat, self.now)
+            self.choice.sent(self.sequence, self.now)
             for address in set(asked).intersection([*settled, *answering]):
-                self.choice.answered(address, self.beat, address in settled)
+                self.choice.answered(address, self.sequence, address in settled)
 
     def test_given_a_directory_then_this_zone_comes_first_and_unknown_seeds_last(self):
         order = self.choice.order(MEMBERS, ["10.9.9.9:7", HERE])
@@ -63,7 +63,7 @@
 
     def test_given_it_falls_silent_then_another_one_is_chosen_before_it_counts_as_dead(self):
         self.run_for(5.0, settled=[HERE])
-        self.run_for(ANSWER_S + BEAT_S, settled=[ELSEWHERE, FURTHER])
+        self.run_for(ANSWER_S + HEARTBEAT_S, settled=[ELSEWHERE, FURTHER])
         self.assertEqual(self.order[:2], self.streams())
 
     def test_given_it_comes_back_and_has_not_settled_then_the_other_one_is_kept(self):
@@ -71,38 +71,38 @@
         self.run_for(5.0, settled=[ELSEWHERE, FURTHER])
         self.run_for(5.0, settled=[ELSEWHERE, FURTHER], answering=[HERE])
         self.assertEqual(self.order[:2], self.streams())
-        self.run_for(BEAT_S, settled=[HERE, ELSEWHERE, FURTHER])
+        self.run_for(HEARTBEAT_S, settled=[HERE, ELSEWHERE, FURTHER])
         self.assertEqual([HERE], self.streams())
 
     def test_given_an_election_then_a_node_that_answers_is_waited_for(self):
         self.run_for(5.0, settled=[HERE])
-        self.run_for(SETTLING_S - BEAT_S, answering=self.order)
+        self.run_for(SETTLING_S - HEARTBEAT_S, answering=self.order)
         self.assertEqual([HERE], self.streams())
         self.assertEqual(self.order, self.reports())
 
     def test_given_it_says_that_it_lost_contact_then_others_are_reported_to_at_once(self):
         self.run_for(5.0, settled=[HERE])
-        self.run_for(BEAT_S, answering=[HERE])
+        self.run_for(HEARTBEAT_S, answering=[HERE])
         self.assertEqual(self.order, self.reports())
         self.assertEqual([HERE], self.streams())
 
     def test_given_nobody_settles_then_more_are_chosen_and_never_more_than_a_few(self):
         self.run_for(5.0, settled=[HERE])
-        self.run_for(2 * SETTLING_S + BEAT_S, answering=self.order)
+        self.run_for(2 * SETTLING_S + HEARTBEAT_S, answering=self.order)
         self.assertEqual(MOST_CHOSEN, len(self.streams()))
         self.run_for(60.0)
         self.assertEqual(MOST_CHOSEN, len(self.streams()))
 
     def test_given_the_whole_tier_starts_then_the_nearest_is_waited_for_longer(self):
-        self.run_for(FIRST_SETTLING_S - BEAT_S, answering=self.order)
+        self.run_for(FIRST_SETTLING_S - HEARTBEAT_S, answering=self.order)
         self.assertEqual([HERE], self.streams())
-        self.run_for(2 * BEAT_S, answering=self.order)
+        self.run_for(2 * HEARTBEAT_S, answering=self.order)
         self.assertEqual(self.order[:2], self.streams())
 
     def test_given_an_answer_to_an_old_heartbeat_then_it_proves_nothing(self):
         self.run_for(5.0, settled=[HERE])
-        old = self.beat
-        self.run_for(ANSWER_S + BEAT_S)
+        old = self.sequence
+        self.run_for(ANSWER_S + HEARTBEAT_S)
         self.choice.answered(HERE, old, True)
         self.assertNotEqual([HERE], self.streams())
 
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -15,10 +15,10 @@
 HERE, THERE = "10.0.0.1:7", "10.0.0.2:7"
 
 
-def heartbeat(address, beat):
+def heartbeat(address, sequence):
     """A control process's heartbeat."""
     member = Member("n", "control", address, address, "z", "", True, False, False, 1)
-    return Heartbeat(member, beat, 0, False, ())
+    return Heartbeat(member, sequence, 0, False, ())
 
 
 class DirectoryStreamStories(testtools.TestCase):
@@ -27,13 +27,13 @@
         self.members = MemberTable()
         self.stream = DirectoryStream(self.members)
         self.contact = ContactSpan(0.0)
-        self.beat = 0
+        self.sequence = 0
 
     def look(self, now, heard, in_contact):
         """The addresses that the directory names after heartbeats from some processes."""
-        self.beat += 1
+        self.sequence += 1
         for address in heard:
-            self.members.heard(heartbeat(address, self.beat), now)
+            self.members.heard(heartbeat(address, self.sequence), now)
         self.contact.look(in_contact, now)
         directory = self.stream.refresh(CONFIGURATION, self.contact.seconds(now), now)
         self.named = self.named if directory is None else [member.address for member in directory.members]
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -12,7 +12,7 @@
 from kestrelbend.tier.discovery.messages import Backend, BackendState
 from kestrelbend.tier.discovery.order import LEFT_SEQUENCE, has_left, presumed_gone, supersedes
 from kestrelbend.tier.discovery.registry import QUIET_STREAM_S, TOMBSTONE_S, BackendRegistry
-from kestrelbend.tier.discovery.report import BeatRejected
+from kestrelbend.tier.discovery.report import HeartbeatRejected
 
 REPEATABLE = hypothesis.settings(derandomize=True, database=None, deadline=None)
 READY, DRAINING, GONE = (int(state) for state in BackendState)
@@ -30,7 +30,9 @@
 
     def test_given_a_report_then_the_backend_is_as_it_says(self):
         models = [{"Name": "m", "Ver": 1, "Adapters": []}]
-        backend = BackendRegistry().beat("i-1", report(4, Models=models, Phase="both", ColdLeftMs=7.5), 0.0)
+        backend = BackendRegistry().heartbeat(
+            "i-1", report(4, Models=models, Phase="both", ColdLeftMs=7.5), 0.0
+        )
         expected = Backend("i-1", "blue", "10.0.0.9:8080", "east", "v1", 4, READY, 7, 4, backend.models)
         self.assertEqual((expected, models), (backend, json.loads(backend.models)))
 
@@ -58,11 +60,11 @@
         registry = BackendRegistry()
         for field, values in wrong.items():
             for value in values:
-                rejected = registry.beat("i-1", report(4, **{field: value}), 0.0)
-                self.assertIsInstance(rejected, BeatRejected, (field, value))
+                rejected = registry.heartbeat("i-1", report(4, **{field: value}), 0.0)
+                self.assertIsInstance(rejected, HeartbeatRejected, (field, value))
         for identity in ("", "x" * 300, "a\nb", None):
-            self.assertIsInstance(registry.beat(identity, report(4), 0.0), BeatRejected)
-            self.assertIsInstance(registry.leave(identity, 0.0), BeatRejected)
+            self.assertIsInstance(registry.heartbeat(identity, report(4), 0.0), HeartbeatRejected)
+            self.assertIsInstance(registry.leave(identity, 0.0), HeartbeatRejected)
         self.assertEqual(((), 0), (registry.all(), registry.number))
 
     @hypothesis.settings(REPEATABLE, max_examples=300)
@@ -82,8 +84,8 @@
         )
         changed = data.draw(strategies.dictionaries(strategies.sampled_from(sorted(report(1))), anything))
         for values in (data.draw(anything), report(1, **changed)):
-            backend = BackendRegistry().beat("i-1", values, 0.0)
-            if not isinstance(backend, BeatRejected):
+            backend = BackendRegistry().heartbeat("i-1", values, 0.0)
+            if not isinstance(backend, HeartbeatRejected):
                 self.assertIsInstance(backend, Backend)
                 self.assertTrue(backend.slots > 0 and 0 <= backend.sequence < LEFT_SEQUENCE)
                 backend.service.encode(), backend.software.encode(), backend.models.encode()
@@ -103,74 +105,74 @@
         return sorted(backend.identity for backend in self.registry.ready("blue"))
 
     def test_given_late_and_doubled_reports_then_nothing_changes(self):
-        self.registry.beat("i-1", report(5), 0.0)
+        self.registry.heartbeat("i-1", report(5), 0.0)
         number = self.registry.number
         for sequence in (5, 4, 1):
-            self.registry.beat("i-1", report(sequence, Slots=9), 9.0)
+            self.registry.heartbeat("i-1", report(sequence, Slots=9), 9.0)
         self.assertEqual((number, 4), (self.registry.number, self.registry.get("i-1").slots))
 
     def test_given_a_backend_that_drains_then_it_is_never_ready_again(self):
-        self.registry.beat("i-1", report(5), 0.0)
-        self.registry.beat("i-1", report(6, "draining"), 0.0)
+        self.registry.heartbeat("i-1", report(5), 0.0)
+        self.registry.heartbeat("i-1", report(6, "draining"), 0.0)
         for sequence in (4, 7, 99):
-            self.registry.beat("i-1", report(sequence), 0.0)
+            self.registry.heartbeat("i-1", report(sequence), 0.0)
             self.assertEqual((DRAINING, []), (self.state(), self.ready()))
 
     def test_given_a_late_word_that_it_drains_then_it_counts_though_a_later_report_was_heard(self):
-        self.registry.beat("i-1", report(7), 0.0)
-        self.registry.beat("i-1", report(6, "draining"), 0.0)
+        self.registry.heartbeat("i-1", report(7), 0.0)
+        self.registry.heartbeat("i-1", report(6, "draining"), 0.0)
         self.assertEqual(DRAINING, self.state())
 
     def test_given_a_backend_that_left_then_nothing_brings_it_back(self):
-        self.registry.beat("i-1", report(5), 0.0)
+        self.registry.heartbeat("i-1", report(5), 0.0)
         self.registry.leave("i-1", 0.0)
-        self.registry.beat("i-1", report(99), 0.0)
+        self.registry.heartbeat("i-1", report(99), 0.0)
         self.registry.merge(attrs.evolve(self.registry.get("i-1"), state=READY, sequence=100), 0.0)
         self.assertEqual((GONE, []), (self.state(), self.ready()))
 
     def test_given_the_word_of_an_unknown_backend_that_it_left_then_its_late_reports_change_nothing(self):
         self.registry.leave("i-1", 0.0)
-        self.registry.beat("i-1", report(5), 0.0)
+        self.registry.heartbeat("i-1", report(5), 0.0)
         self.assertEqual(GONE, self.state())
 
     def test_given_a_new_incarnation_at_an_address_then_the_earlier_one_is_gone_and_streamed(self):
-        self.registry.beat("i-1", report(50), 0.0)
-        self.registry.beat("i-2", report(1), 1.0)
+        self.registry.heartbeat("i-1", report(50), 0.0)
+        self.registry.heartbeat("i-2", report(1), 1.0)
         self.assertEqual((GONE, ["i-2"]), (self.state(), self.ready()))
         changed = {backend.identity: backend.state for backend in self.registry.changes_since(1).backends}
         self.assertEqual({"i-1": GONE, "i-2": READY}, changed)
 
     def test_given_a_late_report_of_the_earlier_incarnation_then_the_living_one_wins_by_its_next(self):
-        self.registry.beat("i-2", report(8), 0.0)
-        self.registry.beat("i-1", report(50), 0.0)
-        self.registry.beat("i-2", report(9), 1.0)
-        self.registry.beat("i-1", report(50), 1.0)
+        self.registry.heartbeat("i-2", report(8), 0.0)
+        self.registry.heartbeat("i-1", report(50), 0.0)
+        self.registry.heartbeat("i-2", report(9), 1.0)
+        self.registry.heartbeat("i-1", report(50), 1.0)
         self.assertEqual(["i-2"], self.ready())
 
     def test_given_what_another_node_tells_then_it_displaces_nobody(self):
-        old = self.registry.beat("i-1", report(50), 0.0)
+        old = self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry = BackendRegistry()
-        self.registry.beat("i-2", report(8), 0.0)
+        self.registry.heartbeat("i-2", report(8), 0.0)
         self.registry.merge(old, 0.0)
         self.assertIn("i-2", self.ready())
-        self.registry.beat("i-2", report(9), 1.0)
+        self.registry.heartbeat("i-2", report(9), 1.0)
         self.assertEqual(["i-2"], self.ready())
 
     def test_given_changes_of_counters_only_then_they_are_streamed_seldom(self):
-        self.registry.beat("i-1", report(1, ColdLeftMs=900), 0.0)
-        self.registry.beat("i-1", report(2, ColdLeftMs=100), QUIET_STREAM_S / 2)
+        self.registry.heartbeat("i-1", report(1, ColdLeftMs=900), 0.0)
+        self.registry.heartbeat("i-1", report(2, ColdLeftMs=100), QUIET_STREAM_S / 2)
         self.assertEqual(1, self.registry.number)
-        self.registry.beat("i-1", report(3, ColdLeftMs=0), QUIET_STREAM_S / 2)
+        self.registry.heartbeat("i-1", report(3, ColdLeftMs=0), QUIET_STREAM_S / 2)
         self.assertEqual(2, self.registry.number)
-        self.registry.beat("i-1", report(4), QUIET_STREAM_S)
+        self.registry.heartbeat("i-1", report(4), QUIET_STREAM_S)
         self.assertEqual(2, self.registry.number)
-        self.registry.beat("i-1", report(5), QUIET_STREAM_S * 2)
+        self.registry.heartbeat("i-1", report(5), QUIET_STREAM_S * 2)
         self.assertEqual(3, self.registry.number)
 
     def test_given_a_number_then_exactly_the_later_changes_are_told_each_once(self):
         for index in range(4):
-            self.registry.beat(f"i-{index}", report(1, address=f"10.0.0.{index}:80"), 0.0)
-        self.registry.beat("i-1", report(2, "draining", address="10.0.0.1:80"), 0.0)
+            self.registry.heartbeat(f"i-{index}", report(1, address=f"10.0.0.{index}:80"), 0.0)
+        self.registry.heartbeat("i-1", report(2, "draining", address="10.0.0.1:80"), 0.0)
         changes = self.registry.changes_since(2)
         self.assertEqual(["i-2", "i-3", "i-1"], [backend.identity for backend in changes.backends])
         self.assertEqual((), self.registry.changes_since(changes.number).backends)
@@ -209,10 +211,10 @@
 
     def test_given_too_many_backends_then_new_ones_are_rejected_and_known_ones_heard(self):
         self.patch(registry_module, "MOST_LIVE", 1)
-        self.registry.beat("i-1", report(1), 0.0)
+        self.registry.heartbeat("i-1", report(1), 0.0)
         other = report(1, address="10.0.0.8:80")
-        self.assertEqual("full", self.registry.beat("i-2", other, 0.0).code)
-        self.assertEqual(2, self.registry.beat("i-1", report(2), 0.0).sequence)
+        self.assertEqual("full", self.registry.heartbeat("i-2", other, 0.0).code)
+        self.assertEqual(2, self.registry.heartbeat("i-1", report(2), 0.0).sequence)
 
 
 class SilenceTest(testtools.TestCase):
@@ -222,13 +224,13 @@
         super().setUp()
         self.registry = BackendRegistry()
 
-    def beats(self, now, *names):
+    def send_heartbeats(self, now, *names):
         for name in names:
-            self.registry.beat(name, report(int(now * 10), address=f"10.0.0.{ord(name)}:80"), now)
+            self.registry.heartbeat(name, report(int(now * 10), address=f"10.0.0.{ord(name)}:80"), now)
 
     def test_given_one_that_is_silent_among_others_then_it_is_suspect_and_later_gone(self):
         for second in range(12):
-            self.beats(second, *("abc" if second == 0 else "bc"))
+            self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.assertEqual(("a",), self.registry.expired(3.6, INTERVAL, 0.0).suspects)
         silent = self.registry.expired(11.0, INTERVAL, 0.0)
         self.assertEqual(((), ["a"]), (silent.suspects, [backend.identity for backend in silent.gone]))
@@ -236,26 +238,26 @@
 
     def test_given_one_presumed_gone_then_its_next_report_brings_it_back(self):
         for second in range(12):
-            self.beats(second, *("abc" if second == 0 else "bc"))
+            self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.registry.expired(11.0, INTERVAL, 0.0)
-        self.beats(12, "a")
+        self.send_heartbeats(12, "a")
         self.assertEqual(READY, self.registry.get("a").state)
 
     def test_given_a_draining_one_presumed_gone_then_it_comes_back_draining_only(self):
-        self.registry.beat("a", report(5, "draining"), 0.0)
+        self.registry.heartbeat("a", report(5, "draining"), 0.0)
         self.registry.merge(presumed_gone(self.registry.get("a")), 0.0)
-        self.registry.beat("a", report(6), 0.0)
+        self.registry.heartbeat("a", report(6), 0.0)
         self.assertEqual(DRAINING, self.registry.get("a").state)
 
     def test_given_a_node_that_hears_nobody_then_it_suspects_nobody(self):
-        self.beats(0.0, *"abcd")
-        self.beats(9.0, "a")
+        self.send_heartbeats(0.0, *"abcd")
+        self.send_heartbeats(9.0, "a")
         for now in (20.0, 9.5):
             silent = self.registry.expired(now, INTERVAL, 0.0)
             self.assertEqual(((), ()), (silent.suspects, silent.gone))
 
     def test_given_a_node_that_was_out_of_touch_then_it_presumes_nobody_gone(self):
         for second in range(12):
-            self.beats(second, *("abc" if second == 0 else "bc"))
+            self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         silent = self.registry.expired(11.0, INTERVAL, 5.0)
         self.assertEqual((("a",), ()), (silent.suspects, silent.gone))
--- a/tests/tier/test_gateway_contact.py
+++ b/tests/tier/test_gateway_contact.py
@@ -15,7 +15,7 @@
 
 CONTROLS = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 STORES = ("10.0.0.4:3", "10.0.0.5:3", "10.0.0.6:3")
-BEAT_S = 0.25
+HEARTBEAT_S = 0.25
 TICK_S = 0.02
 SHARD = "budget-0"
 OWN = CONTROLS[0]
@@ -36,7 +36,7 @@
         self.lagging = set()
         self.delay_s = 0.0
         self._late = []
-        self._beat_at = 0.0
+        self._heartbeat_at = 0.0
 
     def word(self, address, ticket):
         owned = (SHARD,) if address == self.owner else ()
@@ -47,8 +47,8 @@
         ends = self.now + seconds
         while self.now < ends:
             self.contact.tick(self.now)
-            if self.now >= self._beat_at:
-                self._beat_at = self.now + BEAT_S
+            if self.now >= self._heartbeat_at:
+                self._heartbeat_at = self.now + HEARTBEAT_S
                 for address, ticket in self.contact.questions(self.now).items():
                     self.asked.append(address)
                     if address in self.answering:
@@ -100,7 +100,7 @@
     def test_given_a_cut_when_nobody_elsewhere_answers_then_it_is_lost_within_a_second(self):
         self.run_calm()
         self.world.cut_off()
-        self.world.run(CONTACT_S + BEAT_S)
+        self.world.run(CONTACT_S + HEARTBEAT_S)
         self.assertEqual((Standing.LOST, Standing.LOST), self.world.standing())
         self.assertFalse(self.contact.serves(self.world.now))
         self.assertFalse(self.contact.may_refuse(7, self.world.now))
@@ -110,7 +110,7 @@
         self.world.cut_off()
         self.world.run(20.0)
         self.world.answering, self.world.in_contact = {*CONTROLS, *STORES}, {*CONTROLS}
-        self.world.run(BEAT_S + TICK_S)
+        self.world.run(HEARTBEAT_S + TICK_S)
         self.assertTrue(self.contact.serves(self.world.now))
         self.assertTrue(self.contact.may_refuse(7, self.world.now))
 
@@ -133,7 +133,7 @@
             self.world.run(0.1)
             self.assertEqual([], self.contact.lost_shards(self.world.now))
         self.world.owner = STORES[1]
-        self.world.run(BEAT_S + TICK_S)
+        self.world.run(HEARTBEAT_S + TICK_S)
         self.assertIs(Standing.IN_CONTACT, self.contact.shard(SHARD, self.world.now))
 
     def test_given_only_the_own_machines_process_claims_contact_then_its_word_counts(self):
@@ -171,7 +171,7 @@
         self.contact.tick(self.world.now)
         self.assertTrue(self.contact.serves(self.world.now))
         self.assertFalse(self.contact.may_refuse(7, self.world.now))
-        self.world.run(BEAT_S + TICK_S)
+        self.world.run(HEARTBEAT_S + TICK_S)
         self.assertTrue(self.contact.may_refuse(7, self.world.now))
 
     def test_given_a_control_node_that_lags_then_contact_holds_and_another_one_confirms_the_version(self):
@@ -181,7 +181,7 @@
         self.assertFalse(self.contact.may_refuse(7, self.world.now))
         self.world.lagging = {CONTROLS[2]}
         for _ in range(10):
-            self.world.run(BEAT_S + TICK_S)
+            self.world.run(HEARTBEAT_S + TICK_S)
             self.assertTrue(self.contact.may_refuse(7, self.world.now))
 
     def test_given_a_newer_version_was_confirmed_when_an_older_is_in_force_then_it_refuses_nothing(self):
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -9,16 +9,16 @@
 from kestrelbend.tier.membership.table import LIVE_S, MemberTable
 from kestrelbend.tier.protocol.codec import decode, encode
 
-BEAT_S = 0.25
+HEARTBEAT_S = 0.25
 NODES = ("c1", "c2", "c3")
 GATEWAY = "10.0.0.9:7"
 
 
-def heartbeat(address, beat, incarnation=1, applied=0, leaving=False):
+def heartbeat(address, sequence, incarnation=1, applied=0, leaving=False):
     """A process's heartbeat; `applied` entries of its one replica."""
     member = Member("n", "store", address, "", "z", "", False, True, False, incarnation)
     report = ShardReport("s", f"{address}#d", 3, f"{address}#d", (), applied, applied)
-    return Heartbeat(member, beat, 0, leaving, (report,))
+    return Heartbeat(member, sequence, 0, leaving, (report,))
 
 
 class Connection:
@@ -56,7 +56,7 @@
     def setUp(self):
         super().setUp()
         self.now = 0.0
-        self.beat = 0
+        self.sequence = 0
         self.nodes = {name: Node(name) for name in NODES}
         for node in self.nodes.values():
             others = (other for other in self.nodes.values() if other is not node)
@@ -66,14 +66,14 @@
         """The process at GATEWAY reports to some nodes; all that run tell each other."""
         ends = self.now + seconds
         while self.now < ends:
-            self.now = round(self.now + BEAT_S, 6)
-            self.beat += 1
+            self.now = round(self.now + HEARTBEAT_S, 6)
+            self.sequence += 1
             for node in self.nodes.values():
                 node.now = self.now
             for name in reporting:
-                applied = changes.get("applied", self.beat)
-                beat = heartbeat(GATEWAY, self.beat, changes.get("incarnation", 1), applied)
-                self.nodes[name].table.heard(beat, self.now)
+                applied = changes.get("applied", self.sequence)
+                sent = heartbeat(GATEWAY, self.sequence, changes.get("incarnation", 1), applied)
+                self.nodes[name].table.heard(sent, self.now)
             for node in self.nodes.values():
                 node.summaries.send(node.connections.values(), self.now)
 
@@ -89,35 +89,35 @@
         connection = self.connection("c1", "c2")
         connection.messages.clear()
         self.run_for(5.0, ["c1"], applied=5)
-        self.assertEqual([()], list({message.beats for message in connection.messages}))
+        self.assertEqual([()], list({message.heartbeats for message in connection.messages}))
 
     def test_given_progress_alone_then_it_is_told_now_and_then(self):
         self.run_for(1.0, ["c1"])
         connection = self.connection("c1", "c2")
         connection.messages.clear()
         self.run_for(4 * PROGRESS_S, ["c1"])
-        told = [message for message in connection.messages if message.beats]
+        told = [message for message in connection.messages if message.heartbeats]
         self.assertEqual(4, len(told))
 
     def test_given_its_end_then_all_find_it_silent_in_time_and_nobody_revives_it(self):
         self.run_for(5.0, ["c1"])
-        self.run_for(LIVE_S + 2 * BEAT_S)
+        self.run_for(LIVE_S + 2 * HEARTBEAT_S)
         for _ in range(20):
             self.assertFalse(any(node.knows(GATEWAY) for node in self.nodes.values()))
-            self.run_for(BEAT_S)
+            self.run_for(HEARTBEAT_S)
 
     def test_given_its_node_dies_when_it_reports_to_another_then_it_never_counts_as_silent(self):
         self.run_for(5.0, ["c1"])
         dead = self.nodes.pop("c1")
-        self.run_for(2 * BEAT_S)
+        self.run_for(2 * HEARTBEAT_S)
         for _ in range(20):
-            self.run_for(BEAT_S, ["c2"])
+            self.run_for(HEARTBEAT_S, ["c2"])
             self.assertTrue(all(node.knows(GATEWAY) for node in self.nodes.values()))
         self.assertTrue(dead.knows(GATEWAY))
 
     def test_given_a_new_life_then_it_is_told_and_the_old_one_keeps_nothing_alive(self):
         self.run_for(5.0, ["c1"])
-        self.run_for(BEAT_S, ["c2"], incarnation=2)
+        self.run_for(HEARTBEAT_S, ["c2"], incarnation=2)
         for node in self.nodes.values():
             self.assertEqual([2], [member.incarnation for member in node.table.members(self.now)])
 
@@ -127,10 +127,10 @@
         self.nodes["c1"].summaries.lost(lost)
         self.nodes["c2"].table = MemberTable()
         self.nodes["c2"].summaries = MemberSummaries("c2", self.nodes["c2"].table)
-        self.run_for(BEAT_S, ["c1"], applied=5)
+        self.run_for(HEARTBEAT_S, ["c1"], applied=5)
         self.assertTrue(self.nodes["c2"].knows(GATEWAY))
 
     def test_given_a_node_that_stood_still_then_its_members_silence_is_told_truly(self):
         self.run_for(5.0, ["c1"])
-        self.run_for(3 * BEAT_S)
-        self.assertTrue(self.nodes["c3"].table.silences(self.now)[0][1] >= 2 * BEAT_S)
+        self.run_for(3 * HEARTBEAT_S)
+        self.assertTrue(self.nodes["c3"].table.silences(self.now)[0][1] >= 2 * HEARTBEAT_S)
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -25,7 +25,7 @@
     return Member(f"{role}-{number}", role, address, "", "z", replica, False, role == "store", False, 1)
 
 
-def beat(number, applied, epoch=4, role="store", version=0):
+def heartbeat(number, applied, epoch=4, role="store", version=0):
     reports = ()
     if role == "store":
         reports = (ShardReport("budget-0", VOTERS[number - 1], epoch, VOTERS[0], VOTERS, applied, applied),)
@@ -46,8 +46,8 @@
         self.retiring = ()
         self.backends = [backend("i", BackendState.READY)]
         for number, applied in ((1, 5000), (2, 4990), (3, 5000)):
-            self.table.heard(beat(number, applied), NOW)
-        self.table.heard(beat(4, 0, role="gateway", version=7), NOW)
+            self.table.heard(heartbeat(number, applied), NOW)
+        self.table.heard(heartbeat(4, 0, role="gateway", version=7), NOW)
 
     def status(self, now=NOW):
         wanted = ShardsWanted(self.placements, self.retiring)
@@ -96,7 +96,7 @@
 
     def test_given_a_silent_owner_then_it_is_remarked_with_how_long(self):
         for number in (2, 3):
-            self.table.heard(Heartbeat(member(number), 2, 0, False, beat(number, 5000).shards), NOW + 9)
+            self.table.heard(Heartbeat(member(number), 2, 0, False, heartbeat(number, 5000).shards), NOW + 9)
         said = self.printed(self.status(NOW + 9))[1]
         self.assertIn("budget-0: no live owner", said)
         self.assertIn("store on store-1: silent for 9.0 s", said)
