--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -15,10 +15,10 @@
 
 import attrs
 
-from ..storage.journal import RETRY_FIRST_S, RETRY_MOST_S, DiskJournal
+from ..storage.journal import INITIAL_BACKOFF_S, MAX_BACKOFF_S, DiskJournal
 
 STALL_CHECK_S = 0.01
-UPKEEP_SYNCS = 1
+MAINTENANCE_SYNCS = 1
 LATE_SHARE = 0.1  # of the syncs take this many times as long
 LATE_FACTOR = 5.0
 
@@ -49,10 +49,10 @@
 
     # storage.disk.Disk
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         """Folders need no making here."""
 
-    def list_folder(self, path: str) -> list[str]:
+    def list_directory(self, path: str) -> list[str]:
         start = f"{path}/"
         names = (name[len(start) :].partition("/")[0] for name in self._files if name.startswith(start))
         return list(dict.fromkeys(names))
@@ -100,7 +100,7 @@
         self._step()
         self._files.pop(path, None)
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         self._step()
         start = f"{path}/"
         kept = {name: file for name, file in self._lasting.items() if not name.startswith(start)}
@@ -198,21 +198,21 @@
             self._memory_disk.cut_short(self.write_once)
 
     async def _write_always(self) -> None:
-        more_upkeep = True
+        more_maintenance = True
         while self._queue or not self._closing:
             if self._queue:
                 await self._write_group()
-            elif more_upkeep:
-                await self._memory_disk.wait_for(UPKEEP_SYNCS)
-                more_upkeep = self._upkeep()
+            elif more_maintenance:
+                await self._memory_disk.wait_for(MAINTENANCE_SYNCS)
+                more_maintenance = self._maintain()
             else:
                 self._wake.clear()
                 await self._wake.wait()
-                more_upkeep = True
+                more_maintenance = True
 
     async def _write_group(self) -> None:
         self._writing = True
         await self._memory_disk.wait_for(1)
         self._writing = False
         if not self.write_once():
-            await asyncio.sleep(min(RETRY_MOST_S, RETRY_FIRST_S * 2 ** min(self._failures, 8)))
+            await asyncio.sleep(min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self._failures, 8)))
--- a/kestrelbend/tier/replication/host.py
+++ b/kestrelbend/tier/replication/host.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from ..storage.records import LateRecord, Record
+from ..storage.records import DeferredRecord, Record
 from .durable import apply_record
 from .messages import (
     AppendEntries,
@@ -316,7 +316,7 @@
             size += len(record.snapshot.state)
         if size < LATE_RECORD_BYTES:
             return self._encode(record)
-        return LateRecord(size, functools.partial(self._encode, record))
+        return DeferredRecord(size, functools.partial(self._encode, record))
 
     def _checkpoint_when_large(self) -> None:
         if not self._journal.wants_checkpoint:
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -43,7 +43,7 @@
     VoteReply,
 )
 from ..replication.replica import Timing
-from ..storage.identity import DataFolder
+from ..storage.identity import DataDirectory
 from .control_reports import ControlReports
 from .environment import Environment, SystemEnvironment
 from .settings import Settings, SettingsError
@@ -112,7 +112,7 @@
     # Beginning
 
     def _open_disk(self) -> None:
-        folder = DataFolder.open(
+        folder = DataDirectory.open(
             self.settings.data_dir,
             self.settings.bootstrap,
             self.environment.disk(),
@@ -120,7 +120,7 @@
         )
         self.replica_id = f"{self.address}#{folder.identity}"
         capacity = int(self.settings.disk_mb * 1_000_000)
-        self.journal = self.environment.journal(folder.journal_folder, capacity, self._written)
+        self.journal = self.environment.journal(folder.journal_directory, capacity, self._written)
         records = [decode(data) for data in self.journal.load()]
         self.host = ShardHost(
             identity=self.replica_id,
--- a/kestrelbend/tier/storage/checkpoint_writer.py
+++ b/kestrelbend/tier/storage/checkpoint_writer.py
@@ -11,24 +11,24 @@
 
 from kestrelbend.tier.storage.disk import Disk
 from kestrelbend.tier.storage.records import Record, bytes_of
-from kestrelbend.tier.storage.versions import VersionsPacker
+from kestrelbend.tier.storage.segment import SegmentEncoder
 
-SLICE_BYTES = 1 << 20
+CHUNK_BYTES = 1 << 20
 
 
 class CheckpointWriter:
     """Each `step` makes one record, or writes and syncs one slice."""
 
     def __init__(
-        self, disk: Disk, path: str, number: int, records: Iterable[Record], slice_bytes: int = SLICE_BYTES
+        self, disk: Disk, path: str, number: int, records: Iterable[Record], chunk_bytes: int = CHUNK_BYTES
     ) -> None:
         self.number = number
         self.length = 0
         self.path = path
         self._disk = disk
-        self._slice_bytes = slice_bytes
+        self._chunk_bytes = chunk_bytes
         self._records = iter(list(records))
-        self._packer = VersionsPacker(number)
+        self._packer = SegmentEncoder(number)
         self._slices: Iterator[bytes | memoryview] | None = None
 
     def step(self) -> bool:
@@ -50,7 +50,7 @@
             return
         self._disk.write(self.path, b"")
         self.length = self._packer.length
-        self._slices = _slices(self._packer.parts(), self._slice_bytes)
+        self._slices = _slices(self._packer.parts(), self._chunk_bytes)
 
 
 def _slices(parts: Iterable[bytes], size: int) -> Iterator[bytes | memoryview]:
--- a/kestrelbend/tier/storage/disk.py
+++ b/kestrelbend/tier/storage/disk.py
@@ -1,8 +1,8 @@
 """The file operations that a journal needs, so that tests can put a disk that loses things in their place.
 
 What a disk promises: a file's content lasts once `sync` of that file has returned, and a file's making,
-renaming or removal lasts once `sync_folder` of its folder has returned.  Without these, a loss of power may
-keep or lose each of them, independently, and may leave any part of a file's content.
+renaming or removal lasts once `sync_directory` of its directory has returned.  Without these, a loss of power
+may keep or lose each of them, independently, and may leave any part of a file's content.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 
 class Disk(Protocol):
-    """All paths are whole paths.  Every operation but `read` and `list_folder` may raise `OSError`."""
+    """All paths are whole paths.  Every operation but `read` and `list_directory` may raise `OSError`."""
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         """Makes the folder, and those above it, where they are missing."""
 
-    def list_folder(self, path: str) -> list[str]:
+    def list_directory(self, path: str) -> list[str]:
         """The names in a folder, in no order."""
 
     def read(self, path: str) -> bytes:
@@ -40,5 +40,5 @@
     def remove(self, path: str) -> None:
         """Removes a file; none there is no error."""
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         """Returns once all that was made, renamed or removed in the folder lasts."""
--- a/kestrelbend/tier/storage/errors.py
+++ b/kestrelbend/tier/storage/errors.py
@@ -14,7 +14,7 @@
     IDENTITY_MISSING = "storage.identity_missing"  # versions without the identity they belong to
 
 
-class StorageDamaged(Exception):
+class StorageCorruptedError(Exception):
     """The disk holds what no loss of power can leave: what it acknowledged may be gone.
 
     A replica must not go on with such a disk under its identity; as an emptied disk it is another replica.
--- a/kestrelbend/tier/storage/identity.py
+++ b/kestrelbend/tier/storage/identity.py
@@ -12,7 +12,7 @@
 import attrs
 
 from kestrelbend.tier.storage.disk import Disk
-from kestrelbend.tier.storage.errors import StorageCode, StorageDamaged
+from kestrelbend.tier.storage.errors import StorageCode, StorageCorruptedError
 from kestrelbend.tier.storage.os_disk import OsDisk
 
 FIRST_IDENTITY = "first"
@@ -23,11 +23,11 @@
 
 
 @attrs.frozen
-class DataFolder:
+class DataDirectory:
     """What a process finds in its `DataDir`, or puts there at its first start."""
 
     identity: str
-    journal_folder: str
+    journal_directory: str
     created: bool
 
     @classmethod
@@ -37,25 +37,25 @@
         bootstrap: bool,
         disk: Disk | None = None,
         new_identity: Callable[[], str] = lambda: secrets.token_hex(_IDENTITY_BYTES),
-    ) -> DataFolder:
+    ) -> DataDirectory:
         """`bootstrap`: the whole system starts on empty disks, so the disks' identities are known ahead.
 
-        Raises `StorageDamaged`, and `OSError` where the disk does not take the identity.
+        Raises `StorageCorruptedError`, and `OSError` where the disk does not take the identity.
         """
         disk = disk or OsDisk()
-        disk.make_folder(data_dir)
-        disk.sync_folder(data_dir)
-        names = disk.list_folder(data_dir)
+        disk.make_directory(data_dir)
+        disk.sync_directory(data_dir)
+        names = disk.list_directory(data_dir)
         created = _IDENTITY_NAME not in names
         if created:
-            _check_no_versions(disk, data_dir, names)
+            _check_no_journal(disk, data_dir, names)
             identity = FIRST_IDENTITY if bootstrap else new_identity()
             _write_identity(disk, data_dir, identity)
         identity = _read_identity(disk, data_dir)
-        journal_folder = f"{data_dir}/{_JOURNAL_NAME}"
-        disk.make_folder(journal_folder)
-        disk.sync_folder(data_dir)
-        return cls(identity, journal_folder, created)
+        journal_directory = f"{data_dir}/{_JOURNAL_NAME}"
+        disk.make_directory(journal_directory)
+        disk.sync_directory(data_dir)
+        return cls(identity, journal_directory, created)
 
 
 def _write_identity(disk: Disk, data_dir: str, identity: str) -> None:
@@ -63,14 +63,14 @@
     disk.write(aside, identity.encode())
     disk.sync(aside)
     disk.rename(aside, f"{data_dir}/{_IDENTITY_NAME}")
-    disk.sync_folder(data_dir)
+    disk.sync_directory(data_dir)
 
 
 def _read_identity(disk: Disk, data_dir: str) -> str:
     path = f"{data_dir}/{_IDENTITY_NAME}"
     identity = disk.read(path).decode("ascii", "replace")
     if identity != FIRST_IDENTITY and not _is_random_identity(identity):
-        raise StorageDamaged(StorageCode.IDENTITY_DAMAGED, path)
+        raise StorageCorruptedError(StorageCode.IDENTITY_DAMAGED, path)
     return identity
 
 
@@ -78,7 +78,7 @@
     return len(identity) == 2 * _IDENTITY_BYTES and all(digit in "0123456789abcdef" for digit in identity)
 
 
-def _check_no_versions(disk: Disk, data_dir: str, names: list[str]) -> None:
-    journal_folder = f"{data_dir}/{_JOURNAL_NAME}"
-    if _JOURNAL_NAME in names and disk.list_folder(journal_folder):
-        raise StorageDamaged(StorageCode.IDENTITY_MISSING, journal_folder)
+def _check_no_journal(disk: Disk, data_dir: str, names: list[str]) -> None:
+    journal_directory = f"{data_dir}/{_JOURNAL_NAME}"
+    if _JOURNAL_NAME in names and disk.list_directory(journal_directory):
+        raise StorageCorruptedError(StorageCode.IDENTITY_MISSING, journal_directory)
--- a/kestrelbend/tier/storage/journal.py
+++ b/kestrelbend/tier/storage/journal.py
@@ -18,20 +18,20 @@
 
 import attrs
 
-from kestrelbend.tier.storage.checkpoint_writer import SLICE_BYTES, CheckpointWriter
+from kestrelbend.tier.storage.checkpoint_writer import CHUNK_BYTES, CheckpointWriter
 from kestrelbend.tier.storage.disk import Disk
-from kestrelbend.tier.storage.files import JournalFiles, space
+from kestrelbend.tier.storage.journal_files import JournalFiles, allocated_bytes
 from kestrelbend.tier.storage.os_disk import OsDisk
 from kestrelbend.tier.storage.records import Record, bytes_of, size_of
 
 SLOW_S = 0.25
 STALLED_S = 1.0
-RETRY_FIRST_S = 0.05
-RETRY_MOST_S = 1.0
-CHECKPOINT_VERSIONS = 4000
-CHECKPOINT_SHARE_OF_CAPACITY = 8
-LEAST_SHARE_OF_CAPACITY = 64  # that versions may always take before a checkpoint is wanted
-CHECKPOINT_ROOM = 4  # a quarter of the capacity, or twice the last checkpoint, is kept for the next one
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+MAX_SEGMENTS = 4000
+MAX_SEGMENT_SHARE_OF_CAPACITY = 8
+MIN_SEGMENT_SHARE_OF_CAPACITY = 64  # that versions may always take before a checkpoint is wanted
+RESERVED_SHARE_OF_CAPACITY = 4  # or twice the last checkpoint, is kept for the next one
 GROUP_BYTES = 4 * 1024 * 1024
 _FULL = (errno.ENOSPC, errno.EDQUOT)
 
@@ -120,19 +120,19 @@
         files = self._files
         if self._checkpoints_waiting or self._checkpoint is not None:
             return False
-        if files.version_count >= CHECKPOINT_VERSIONS:
+        if files.segment_count >= MAX_SEGMENTS:
             return True
-        return files.version_bytes > self._most_version_bytes() or self._full
+        return files.segment_bytes > self._max_segment_bytes() or self._full
 
-    def _most_version_bytes(self) -> int:
+    def _max_segment_bytes(self) -> int:
         """What versions may take until a checkpoint is wanted: half of what they may take at all, at most."""
-        room = self._capacity_bytes - self._files.checkpoint_bytes - self._kept_free()
-        least = self._capacity_bytes // LEAST_SHARE_OF_CAPACITY
-        return min(self._capacity_bytes // CHECKPOINT_SHARE_OF_CAPACITY, max(room // 2, least))
+        room = self._capacity_bytes - self._files.checkpoint_bytes - self._reserved_bytes()
+        least = self._capacity_bytes // MIN_SEGMENT_SHARE_OF_CAPACITY
+        return min(self._capacity_bytes // MAX_SEGMENT_SHARE_OF_CAPACITY, max(room // 2, least))
 
-    def _kept_free(self) -> int:
+    def _reserved_bytes(self) -> int:
         """What only the next checkpoint may use."""
-        return max(2 * self._files.checkpoint_bytes, self._capacity_bytes // CHECKPOINT_ROOM)
+        return max(2 * self._files.checkpoint_bytes, self._capacity_bytes // RESERVED_SHARE_OF_CAPACITY)
 
     def oldest_wait(self, now: float) -> float:
         """For how long the oldest record that is not acknowledged has waited, in seconds."""
@@ -169,7 +169,7 @@
         try:
             self._write(group)
         except OSError as error:
-            self._put_back(group, error)
+            self._requeue(group, error)
             return False
         self._finish(group)
         return True
@@ -183,7 +183,7 @@
         end = _after_last_checkpoint(queue)
         if not end:
             end = _group_end(queue)
-        elif queue[end - 1].size > SLICE_BYTES and not self._full:
+        elif queue[end - 1].size > CHUNK_BYTES and not self._full:
             before = queue[: end - 1]
             end = _after_last_checkpoint(before) or _group_end(before) or 1
         self._queue = queue[end:]
@@ -195,14 +195,14 @@
             self._write_checkpoint(last)
             return
         records = [bytes_of(work.record) for work in group]
-        self._check_room(self._kept_free() + sum(len(record) + 4 for record in records))
-        self._files.write_version(records)
+        self._check_free_space(self._reserved_bytes() + sum(len(record) + 4 for record in records))
+        self._files.write_segment(records)
 
     def _write_checkpoint(self, checkpoint: _Checkpoint) -> None:
         """It holds the effect of the records before it, so these need no file of their own."""
         self._checkpoint = None
-        self._check_room(checkpoint.size + 4 * len(checkpoint.records))
-        if checkpoint.size > SLICE_BYTES and not self._full:
+        self._check_free_space(checkpoint.size + 4 * len(checkpoint.records))
+        if checkpoint.size > CHUNK_BYTES and not self._full:
             self._checkpoint = self._files.begin_checkpoint(checkpoint.records)
         else:
             self._files.write_checkpoint(checkpoint.records)
@@ -223,9 +223,9 @@
         self._checkpoint = None
         return False
 
-    def _check_room(self, length: int) -> None:
-        used = self._files.checkpoint_bytes + self._files.version_bytes
-        if used + space(length) > self._capacity_bytes:
+    def _check_free_space(self, length: int) -> None:
+        used = self._files.checkpoint_bytes + self._files.segment_bytes
+        if used + allocated_bytes(length) > self._capacity_bytes:
             raise OSError(errno.ENOSPC, "the journal's share of the disk is used up")
 
     def _finish(self, group: list[_Append | _Checkpoint]) -> None:
@@ -238,7 +238,7 @@
         if tickets:
             self._loop_call(self._on_written, tickets)
 
-    def _put_back(self, group: list[_Append | _Checkpoint], error: OSError) -> None:
+    def _requeue(self, group: list[_Append | _Checkpoint], error: OSError) -> None:
         self._full = error.errno in _FULL
         self._failures += 1
         with self._changed:
@@ -249,8 +249,8 @@
         more_upkeep = True
         while self._wait_for_work(more_upkeep):
             if self._queue and not self.write_once():
-                time.sleep(min(RETRY_MOST_S, RETRY_FIRST_S * 2 ** min(self._failures, 8)))
-            more_upkeep = self._upkeep()
+                time.sleep(min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self._failures, 8)))
+            more_upkeep = self._maintain()
 
     def _wait_for_work(self, more_upkeep: bool) -> bool:
         """Returns once there is something to do; False where the journal is closed and all is written."""
@@ -259,10 +259,10 @@
                 self._changed.wait()
             return bool(self._queue) or not self._closing
 
-    def _upkeep(self) -> bool:
+    def _maintain(self) -> bool:
         more = self._advance_checkpoint()
         try:
-            return self._files.upkeep() or more
+            return self._files.maintain() or more
         except OSError:
             return more
 
--- a/kestrelbend/tier/storage/os_disk.py
+++ b/kestrelbend/tier/storage/os_disk.py
@@ -10,10 +10,10 @@
 class OsDisk:
     """Each operation is one or two system calls; all of them release the interpreter's lock."""
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         os.makedirs(path, exist_ok=True)
 
-    def list_folder(self, path: str) -> list[str]:
+    def list_directory(self, path: str) -> list[str]:
         return os.listdir(path)
 
     def read(self, path: str) -> bytes:
@@ -49,7 +49,7 @@
         except FileNotFoundError:
             pass
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         _sync(path, os.O_RDONLY | os.O_DIRECTORY)
 
 
--- a/kestrelbend/tier/storage/records.py
+++ b/kestrelbend/tier/storage/records.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen(eq=False)
-class LateRecord:
+class DeferredRecord:
     """A record that is made when it is written; `make` gives the same bytes at each call.
 
     `size` is about its length, and serves to decide what is written together.
@@ -21,14 +21,14 @@
     make: Callable[[], bytes]
 
 
-Record = bytes | LateRecord
+Record = bytes | DeferredRecord
 
 
 def size_of(record: Record) -> int:
     """About the length of a record."""
-    return record.size if isinstance(record, LateRecord) else len(record)
+    return record.size if isinstance(record, DeferredRecord) else len(record)
 
 
 def bytes_of(record: Record) -> bytes:
     """The record's bytes, made now where that was put off."""
-    return record.make() if isinstance(record, LateRecord) else record
+    return record.make() if isinstance(record, DeferredRecord) else record
--- a/kestrelbend/tier/storage/versions.py
+++ b/kestrelbend/tier/storage/segment.py
@@ -15,7 +15,7 @@
 _LENGTH = struct.Struct("<I")
 
 
-class VersionsPacker:
+class SegmentEncoder:
     """A file's content, a record at a time; `number` is the file's own, so no file passes for another."""
 
     def __init__(self, number: int) -> None:
@@ -42,15 +42,15 @@
         return [header, *self._parts]
 
 
-def pack_versions(number: int, records: Iterable[bytes]) -> bytes:
+def encode_segment(number: int, records: Iterable[bytes]) -> bytes:
     """A file's content at once."""
-    packer = VersionsPacker(number)
+    packer = SegmentEncoder(number)
     for record in records:
         packer.add(record)
     return b"".join(packer.parts())
 
 
-def unpack_versions(number: int, content: bytes) -> list[bytes] | None:
+def decode_segment(number: int, content: bytes) -> list[bytes] | None:
     """The records of a whole file, None for one that is torn."""
     if len(content) < _HEADER.size:
         return None
--- a/tests/tier/memory_disk.py
+++ b/tests/tier/memory_disk.py
@@ -55,10 +55,10 @@
         self.fail_at = -1
         self.failure: Callable[[], Exception] = PowerLoss
 
-    def make_folder(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         pass
 
-    def list_folder(self, path: str) -> list[str]:
+    def list_directory(self, path: str) -> list[str]:
         return list(dict.fromkeys(name[len(path) + 1 :].split("/")[0] for name in self.files))
 
     def read(self, path: str) -> bytes:
@@ -97,7 +97,7 @@
         self._step()
         self._change(_Change(path, None, None))
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         self._step()
         self.lasting = dict(self.files)
         self.changes.clear()
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -125,12 +125,12 @@
         endings = 0
         for step in range(10):
             disk = MemoryDisk()
-            journal_on(disk, [])._upkeep()  # the files are made ahead
+            journal_on(disk, [])._maintain()  # the files are made ahead
             acknowledged = []
             disk.fail_at = step
             try:
                 journal = journal_on(disk, acknowledged)
-                journal._files._made_until = len(records)
+                journal._files._created_until = len(records)
                 for ticket, record in enumerate(records):
                     journal.append(ticket, encode(record))
                     journal.write_once()
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -9,7 +9,7 @@
 from kestrelbend.tier.protocol.codec import decode, encode
 from kestrelbend.tier.replication import Timing
 from kestrelbend.tier.replication.host import COMPACT_ENTRIES, LATE_RECORD_BYTES, ShardHost
-from kestrelbend.tier.storage.records import LateRecord, bytes_of
+from kestrelbend.tier.storage.records import DeferredRecord, bytes_of
 
 SHARD = "budget-0"
 PROGRAMS = 150
@@ -26,14 +26,14 @@
 
     def append(self, ticket, record):
         self.waiting.append((ticket, record))
-        if not isinstance(record, LateRecord):
+        if not isinstance(record, DeferredRecord):
             self.most_made_at_once = max(self.most_made_at_once, len(record))
 
     def checkpoint(self, records):
         self.wants_checkpoint = False
         self.records = list(records)
         self.most_made_at_once = max(
-            [self.most_made_at_once, *(len(one) for one in records if not isinstance(one, LateRecord))]
+            [self.most_made_at_once, *(len(one) for one in records if not isinstance(one, DeferredRecord))]
         )
 
     def take(self):
--- a/tests/tier/test_storage_journal.py
+++ b/tests/tier/test_storage_journal.py
@@ -6,9 +6,15 @@
 
 import testtools
 
-from kestrelbend.tier.storage import DataFolder, DiskJournal, JournalState, StorageCode, StorageDamaged
-from kestrelbend.tier.storage.files import JournalFiles
-from kestrelbend.tier.storage.records import LateRecord
+from kestrelbend.tier.storage import (
+    DataDirectory,
+    DiskJournal,
+    JournalState,
+    StorageCode,
+    StorageCorruptedError,
+)
+from kestrelbend.tier.storage.journal_files import JournalFiles
+from kestrelbend.tier.storage.records import DeferredRecord
 from tests.tier.memory_disk import MemoryDisk, PowerLoss, disk_full
 
 FOLDER = "journal"
@@ -20,7 +26,7 @@
     """Writes numbered records to a disk and knows which of them were acknowledged."""
 
     def __init__(self, disk):
-        self.files = JournalFiles(disk, FOLDER, FILES_AT_ONCE, slice_bytes=20)
+        self.files = JournalFiles(disk, FOLDER, FILES_AT_ONCE, chunk_bytes=20)
         self.aside = None
         self.records = self.files.load()
         self.acknowledged = len(self.records)
@@ -29,10 +35,10 @@
         for step in script:
             if step == "append":
                 self.records.append(b"record %d" % len(self.records))
-                self.files.write_version(self.records[-1:])
+                self.files.write_segment(self.records[-1:])
             elif step == "group":
                 self.records += [b"record %d" % (len(self.records) + extra) for extra in range(3)]
-                self.files.write_version(self.records[-3:])
+                self.files.write_segment(self.records[-3:])
             elif step == "checkpoint":
                 self.files.write_checkpoint(self.records)
             elif step == "begin":
@@ -44,7 +50,7 @@
                     pass
                 self.files.end_checkpoint(self.aside)
             else:
-                self.files.upkeep()
+                self.files.maintain()
             self.acknowledged = len(self.records)
 
 
@@ -111,7 +117,7 @@
         Writer(disk).play(["append", "append", "begin", "append", "slice", "append", "end", "upkeep"])
         self.assertEqual(
             ["000000000002.checkpoint", "000000000002.versions", "000000000003.versions"],
-            sorted(name for name in disk.list_folder(FOLDER) if disk.files[f"{FOLDER}/{name}"].content),
+            sorted(name for name in disk.list_directory(FOLDER) if disk.files[f"{FOLDER}/{name}"].content),
         )
         self.assertEqual([b"record %d" % number for number in range(4)], Writer(disk).records)
 
@@ -126,7 +132,7 @@
         disk = MemoryDisk()
         Writer(disk).play(["append"] * 5 + ["checkpoint", "upkeep", "upkeep", "append"])
         kept = ["000000000005.checkpoint", "000000000005.versions"]
-        self.assertEqual(kept, sorted(disk.list_folder(FOLDER)))
+        self.assertEqual(kept, sorted(disk.list_directory(FOLDER)))
 
     def test_given_long_scripts_when_power_goes_again_and_again_then_nothing_is_lost(self):
         for seed in range(60):
@@ -154,7 +160,7 @@
         disk = MemoryDisk()
         Writer(disk).play(script)
         disk.files[f"{FOLDER}/{name}"].content = b"other"
-        return self.assertRaises(StorageDamaged, Writer, disk).code
+        return self.assertRaises(StorageCorruptedError, Writer, disk).code
 
     def test_given_a_torn_version_when_a_later_one_is_there_then_the_start_refuses(self):
         self.assertEqual(StorageCode.HOLE, self.damage("000000000000.versions", ["append", "append"]))
@@ -240,13 +246,13 @@
             return b"s" * (8 << 20)
 
         self.journal.append(1, b"before")
-        self.journal.checkpoint([LateRecord(8 << 20, make)])
+        self.journal.checkpoint([DeferredRecord(8 << 20, make)])
         self.journal.append(2, b"after")
         for _ in range(3):
             self.journal.write_once()
         self.assertEqual(([1, 2], []), (self.written, made))
         for ticket in range(3, 20):
-            self.journal._upkeep()
+            self.journal._maintain()
             self.journal.append(ticket, b"between")
             self.journal.write_once()
             self.assertEqual(ticket, self.written[-1])
@@ -267,7 +273,7 @@
         for ticket in range(400):
             journal.append(ticket, b"x" * 40_000)
             journal.write_once()
-            journal._upkeep()
+            journal._maintain()
             self.assertEqual(JournalState.OK, journal.state(self.now))
             if journal.wants_checkpoint:
                 checkpoints += 1
@@ -284,7 +290,7 @@
             self.journal.write_once()
         self.journal.checkpoint([b"s" * (2 << 20)])
         self.journal.write_once()
-        self.journal._upkeep()
+        self.journal._maintain()
         self.disk.fail_at, self.disk.failure = 2, lambda: OSError(errno.EIO, "fault")
         while self.journal._advance_checkpoint():
             pass
@@ -293,7 +299,7 @@
 
     def test_given_the_thread_and_real_files_when_closed_then_all_is_written_and_read_back(self):
         with tempfile.TemporaryDirectory() as data_dir:
-            folder = DataFolder.open(data_dir, True).journal_folder
+            folder = DataDirectory.open(data_dir, True).journal_directory
             journal = DiskJournal(folder, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
             self.assertEqual([], journal.load())
             journal.start()
@@ -310,27 +316,27 @@
 class DataFolderTest(testtools.TestCase):
     def test_given_an_empty_disk_when_the_system_first_starts_then_its_identity_is_known_ahead(self):
         disk = MemoryDisk()
-        self.assertEqual("first", DataFolder.open("data", True, disk).identity)
-        self.assertEqual("first", DataFolder.open("data", False, disk).identity)
+        self.assertEqual("first", DataDirectory.open("data", True, disk).identity)
+        self.assertEqual("first", DataDirectory.open("data", False, disk).identity)
 
     def test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so(self):
         disk = MemoryDisk()
-        folder = DataFolder.open("data", False, disk)
+        folder = DataDirectory.open("data", False, disk)
         self.assertEqual((8, True), (len(folder.identity), folder.created))
         for left in disk.after_power_loss():
-            self.assertEqual(folder.identity, DataFolder.open("data", True, left).identity)
-        self.assertNotEqual(folder.identity, DataFolder.open("data", False, MemoryDisk()).identity)
+            self.assertEqual(folder.identity, DataDirectory.open("data", True, left).identity)
+        self.assertNotEqual(folder.identity, DataDirectory.open("data", False, MemoryDisk()).identity)
 
     def test_given_power_goes_while_the_identity_is_written_then_the_next_start_goes_through(self):
         for step in range(5):
             disk = MemoryDisk()
             disk.fail_at = step
-            self.assertRaises(PowerLoss, DataFolder.open, "data", False, disk)
+            self.assertRaises(PowerLoss, DataDirectory.open, "data", False, disk)
             for left in disk.after_power_loss():
-                self.assertEqual(8, len(DataFolder.open("data", False, left).identity))
+                self.assertEqual(8, len(DataDirectory.open("data", False, left).identity))
 
     def test_given_versions_without_an_identity_then_the_start_refuses(self):
         disk = MemoryDisk()
         disk.write("data/journal/000000000000.versions", b"content")
-        damage = self.assertRaises(StorageDamaged, DataFolder.open, "data", False, disk)
+        damage = self.assertRaises(StorageCorruptedError, DataDirectory.open, "data", False, disk)
         self.assertEqual(StorageCode.IDENTITY_MISSING, damage.code)
