--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -1,5 +1,5 @@
-"""Whether an operator's document may be taken: its bytes, its form, and what only shows when its parts are
-looked at together.
+"""Whether an operator's document may be accepted: its bytes, its schema, and what only shows when its parts
+are looked at together.
 
 Invariant: `document_faults` is empty for exactly the documents that `check_document` lets pass, and begins
 with the rejection that it raises; `check_document` stops there, as it stands in the way of an answer.
@@ -10,36 +10,39 @@
 import json
 import math
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, ClassVar
 
 import attrs
 import schema
 
 from kestrelbend.tier.configuration import schemas
 from kestrelbend.tier.configuration.field_checks import abbreviated
+from kestrelbend.tier.errors import TierError
 
 MAX_DEPTH = 32  # of objects and lists in one another
 
 
 @attrs.frozen
-class ConfigRejected:
-    """Why a document isn't taken; `code` is one word for counting, `reason` a sentence for the operator."""
+class DocumentRejection:
+    """Why a document isn't accepted; `code`: one word for counting, `reason`: a sentence for the operator."""
 
     code: str
     reason: str
 
 
-class InvalidDocument(Exception):
+class InvalidDocument(TierError):
     """Carries a rejection from a check to the public functions of `document`; never leaves that module."""
 
-    def __init__(self, rejected: ConfigRejected) -> None:
+    code: ClassVar[str] = "configuration.invalid_document"
+
+    def __init__(self, rejected: DocumentRejection) -> None:
         super().__init__(rejected.reason)
         self.rejected = rejected
 
 
 def invalid(code: str, reason: str) -> InvalidDocument:
     """The exception of a new rejection."""
-    return InvalidDocument(ConfigRejected(code, reason))
+    return InvalidDocument(DocumentRejection(code, reason))
 
 
 def host_key(host: str) -> str:
@@ -66,12 +69,12 @@
     return values
 
 
-def validate(form: schema.Schema, values: Any, what: str) -> None:
-    """Raises `InvalidDocument` with the first fault of the form."""
+def validate(expected: schema.Schema, values: Any, what: str) -> None:
+    """Raises `InvalidDocument` with the first fault of `values` by the schema; `what` names them."""
     try:
-        form.validate(values)
+        expected.validate(values)
     except schema.SchemaError as error:
-        raise _wrong_form(what, error.code) from None
+        raise _wrong_schema(what, error.code) from None
 
 
 def check_document(values: dict[str, Any]) -> None:
@@ -87,18 +90,18 @@
         raise InvalidDocument(fault)
 
 
-def document_faults(body: bytes) -> tuple[ConfigRejected, ...]:
-    """Everything that is wrong with a whole configuration; routes of a wrong form end there."""
+def document_faults(body: bytes) -> tuple[DocumentRejection, ...]:
+    """All that is wrong with a configuration; a route that doesn't fit its schema isn't looked at further."""
     try:
         values = decode(body)
     except InvalidDocument as fault:
         return (fault.rejected,)
-    faults = [_wrong_form("configuration", text).rejected for text in schemas.CONFIGURATION.faults(values)]
+    faults = [_wrong_schema("configuration", text).rejected for text in schemas.CONFIGURATION.faults(values)]
     return (*faults, *_faults_between(_well_formed_parts(values) if faults else values))
 
 
 def _well_formed_parts(values: dict[str, Any]) -> dict[str, Any]:
-    """What of a document with a wrong form can be looked at together."""
+    """The parts of a document that fit their schema, so that they can be checked against each other."""
     parts = {kind: items for kind, items in values.items() if isinstance(items, list)}
     routes = parts.get("Routes", [])
     parts["Routes"] = [route for route in routes if not any(schemas.ROUTE.faults(route))]
@@ -107,8 +110,8 @@
     return parts
 
 
-def _faults_between(values: dict[str, Any]) -> Iterator[ConfigRejected]:
-    """The faults of parts that are right by themselves."""
+def _faults_between(values: dict[str, Any]) -> Iterator[DocumentRejection]:
+    """The faults between parts that are right by themselves."""
     for kind, items in values.items():
         if isinstance(items, list):
             yield from _name_faults(kind, items)
@@ -116,7 +119,7 @@
     yield from _route_faults(values["Routes"], services)
 
 
-def _name_faults(kind: str, items: list[Any]) -> Iterator[ConfigRejected]:
+def _name_faults(kind: str, items: list[Any]) -> Iterator[DocumentRejection]:
     """Two items of a list never share a name."""
     seen: set[str] = set()
     for item in items:
@@ -124,24 +127,25 @@
         if name is None:
             continue
         if name in seen:
-            yield ConfigRejected(
+            yield DocumentRejection(
                 "same_name", f"{abbreviated(kind)}: two items share the name {abbreviated(name)}"
             )
         seen.add(name)
 
 
-def _route_faults(routes: list[dict[str, Any]], services: set[str | None]) -> Iterator[ConfigRejected]:
-    places: set[tuple[str, str]] = set()
+def _route_faults(routes: list[dict[str, Any]], services: set[str | None]) -> Iterator[DocumentRejection]:
+    """No two routes share host and prefix, and each one's services exist."""
+    claimed: set[tuple[str, str]] = set()
     for route in routes:
-        place = (host_key(route["Hostname"]), route["PathPrefix"])
-        if place in places:
+        host_and_prefix = (host_key(route["Hostname"]), route["PathPrefix"])
+        if host_and_prefix in claimed:
             name = abbreviated(route["Name"])
-            yield ConfigRejected("same_place", f"route {name}: another route has its host and prefix")
-        places.add(place)
+            yield DocumentRejection("same_place", f"route {name}: another route has its host and prefix")
+        claimed.add(host_and_prefix)
         yield from _target_faults(route, services)
 
 
-def _target_faults(route: dict[str, Any], services: set[str | None]) -> Iterator[ConfigRejected]:
+def _target_faults(route: dict[str, Any], services: set[str | None]) -> Iterator[DocumentRejection]:
     """A route names services that exist, one at least, and its weights add up to more than 0."""
     name = abbreviated(route["Name"])
     split = route.get("Split")
@@ -151,13 +155,13 @@
         named.append(upstream)
     for service in named:
         if service not in services:
-            yield ConfigRejected(
+            yield DocumentRejection(
                 "unknown_service", f"route {name}: service {abbreviated(service)} is unknown"
             )
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
-        yield ConfigRejected("no_weight", f"route {name}: its weights add up to 0")
+        yield DocumentRejection("no_weight", f"route {name}: its weights add up to 0")
     if not named:
-        yield ConfigRejected("no_service", f"route {name}: names no service")
+        yield DocumentRejection("no_service", f"route {name}: names no service")
 
 
 def name_of(item: Any) -> str | None:
@@ -166,7 +170,7 @@
     return name if isinstance(name, str) else None
 
 
-def _wrong_form(what: str, text: str) -> InvalidDocument:
+def _wrong_schema(what: str, text: str) -> InvalidDocument:
     return invalid("wrong_form", f"{what}: {text}")
 
 
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -14,7 +14,7 @@
 
 from kestrelbend.tier.configuration import schemas
 from kestrelbend.tier.configuration.checks import (
-    ConfigRejected,
+    DocumentRejection,
     InvalidDocument,
     check_document,
     check_names,
@@ -37,12 +37,14 @@
     @property
     def routes(self) -> list[dict[str, Any]]:
         """The routes, as the operator wrote them."""
-        return self.values["Routes"]
+        routes: list[dict[str, Any]] = self.values["Routes"]
+        return routes
 
     @property
     def services(self) -> list[dict[str, Any]]:
         """The services, as the operator wrote them."""
-        return self.values["Services"]
+        services: list[dict[str, Any]] = self.values["Services"]
+        return services
 
     @property
     def limits(self) -> dict[str, Any]:
@@ -58,7 +60,7 @@
     values: dict[str, Any]
 
 
-def parse_put(body: bytes) -> Document | ConfigRejected:
+def parse_put(body: bytes) -> Document | DocumentRejection:
     """Reads a whole configuration and checks it."""
     try:
         values = decode(body)
@@ -68,7 +70,7 @@
     return Document(version=values["Ver"], body=bytes(body), values=values)
 
 
-def parse_patch(body: bytes) -> Patch | ConfigRejected:
+def parse_patch(body: bytes) -> Patch | DocumentRejection:
     """Reads a patch and checks its own form, whatever the document that it is meant for."""
     try:
         values = decode(body)
@@ -81,10 +83,10 @@
     return Patch(version=values["Ver"], values=values)
 
 
-def apply_patch(current: Document, body: bytes | Patch) -> Document | ConfigRejected:
+def apply_patch(current: Document, body: bytes | Patch) -> Document | DocumentRejection:
     """Merges a patch into `current` and checks the result as a whole."""
     patch = body if isinstance(body, Patch) else parse_patch(body)
-    if isinstance(patch, ConfigRejected):
+    if isinstance(patch, DocumentRejection):
         return patch
     try:
         merged = _merge(current.values, patch.values)
--- a/kestrelbend/tier/configuration/messages.py
+++ b/kestrelbend/tier/configuration/messages.py
@@ -56,3 +56,13 @@
     owner: bool
     version: int
     body: bytes
+
+
+def accepted_now(version: int) -> ConfigOutcome:
+    """The outcome of an order that was just carried out; `version` is the current one after it."""
+    return ConfigOutcome(200, version, "taken")
+
+
+def accepted_before(version: int) -> ConfigOutcome:
+    """The outcome of an order that comes again; `version` is the one that it brought."""
+    return ConfigOutcome(200, version, "taken before")
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -1,6 +1,8 @@
-"""How the placement of one shard is written inside an order of kind `PLACEMENT`.
+"""The placement of a shard, that is the replicas which hold it, as an order of kind `PLACEMENT`.
 
-The number 0 is left out: it stands for the placements written before they had numbers.
+Invariant: a shard's placements follow one another by their numbers, so that an old order, delayed under way,
+never takes the place of a newer one.  In the body the number 0 is left out: it stands for the placements
+written before they had numbers.
 """
 
 from __future__ import annotations
@@ -9,6 +11,8 @@
 from typing import Any
 
 from kestrelbend.tier.configuration.field_checks import is_text
+from kestrelbend.tier.configuration.messages import ConfigOutcome, accepted_before
+from kestrelbend.tier.configuration.stores import StoreRecords
 from kestrelbend.tier.membership.messages import ShardPlacement
 
 MAX_REPLICAS = 64
@@ -22,7 +26,7 @@
 
 def encode_placement(placement: ShardPlacement) -> bytes:
     """The body of an order that places a shard; equal placements give equal bytes."""
-    values = {
+    values: dict[str, Any] = {
         _SHARD: placement.shard,
         _FOUNDERS: list(placement.founders),
         _VOTERS: list(placement.voters),
@@ -40,15 +44,46 @@
         return None
     if not isinstance(values, dict):
         return None
-    shard, founders, voters = values.get(_SHARD), values.get(_FOUNDERS), values.get(_VOTERS)
+    shard: Any = values.get(_SHARD)
+    founders: Any = values.get(_FOUNDERS)
+    voters: Any = values.get(_VOTERS)
+    number: Any = values.get(_NUMBER, 0)
     if not (is_text(shard) and _are_replicas(founders) and _are_replicas(voters)):
         return None
-    number = values.get(_NUMBER, 0)
     if type(number) is not int or number < 0:
         return None
     return ShardPlacement(shard, tuple(founders), tuple(voters), number)
 
 
+def check_placement(
+    placement: ShardPlacement | None, known: ShardPlacement | None, stores: StoreRecords, version: int
+) -> ConfigOutcome | None:
+    """The answer to an order that changes nothing, or None: then `placement` takes the place of `known`."""
+    if placement is None:
+        return ConfigOutcome(400, version, "not a placement")
+    if known == placement:
+        return accepted_before(version)
+    if known is not None and known.founders != placement.founders:
+        return ConfigOutcome(412, version, f"shard {placement.shard} has other founders")
+    if not follows(placement, known):
+        reason = f"placement {placement.number} does not follow the one in force"
+        return ConfigOutcome(412, version, reason)
+    voters = known.voters if known is not None else ()
+    added = [voter for voter in placement.voters if voter not in voters]
+    if any(stores.must_be_emptied(voter) for voter in added):
+        return ConfigOutcome(412, version, "a new voter is on a node to be emptied")
+    return None
+
+
+def follows(placement: ShardPlacement, known: ShardPlacement | None) -> bool:
+    """Whether a placement may take the place of the one known: its number is the next one.
+
+    Those without numbers are of journals that were begun before there were any.
+    """
+    known_number = known.number if known is not None else 0
+    return placement.number == known_number + 1 or placement.number == known_number == 0
+
+
 def _are_replicas(value: Any) -> bool:
     """A list of one or more replicas, none of them twice."""
     if not isinstance(value, list) or not 0 < len(value) <= MAX_REPLICAS:
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -14,7 +14,8 @@
 from ..protocol.codec import decode, encode
 from ..membership.placement import CONFIGURATION_SHARD, address_of
 from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
-from .state import ConfigurationState, checked_entry
+from .document_orders import checked_entry
+from .state import ConfigurationState
 
 ANSWER_TIMEOUT_S = 0.9  # callers go on to another node after a second
 FORWARD_TIMEOUT_S = 0.85
@@ -144,10 +145,11 @@
         if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
             return
         for _ in range(MAX_EVALUATIONS):
-            if not state.needs_evaluation(order):
+            if not state.documents.needs_evaluation(order):
                 return
             version = state.version
-            state.keep_evaluation(order, version, await self._run_aside(state.evaluation(order)))
+            result = await self._run_aside(state.documents.evaluation(order))
+            state.documents.keep_evaluation(order, version, result)
 
     def _rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
         """The answer to an order that changes nothing, by the state or by what the owner alone can tell."""
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -41,12 +41,15 @@
 
 @attrs.frozen
 class Emptied:
-    """A shard's owner has told of a committed group without the node, whose live voters hold everything."""
+    """A shard has left a node: its owner reported a committed group without the node's disks.
+
+    The live voters of that group hold everything, so the node is not needed for this shard any more.
+    """
 
     node: str
     shard: str
-    epoch: int
-    group: tuple[str, ...]
+    epoch: int  # of the owner that reported it
+    group: tuple[str, ...]  # the replicas that are the group's voters
     number: int  # of the placement that the group was moved to
 
 
@@ -58,7 +61,9 @@
 def decode_disk(body: bytes) -> KnownDisk | None:
     """The disk that a body names, or None if it names none."""
     values = _decode(body)
-    node, replica, serves = (values.get(key) for key in (_NODE, _REPLICA, _SERVES_STORAGE))
+    node: Any = values.get(_NODE)
+    replica: Any = values.get(_REPLICA)
+    serves: Any = values.get(_SERVES_STORAGE)
     if not (_is_node(node) and is_text(replica) and isinstance(serves, bool)):
         return None
     return KnownDisk(node, replica, serves)
@@ -80,17 +85,20 @@
 def decode_emptied(body: bytes) -> Emptied | None:
     """What a body says to be empty, or None if it says nothing of the kind."""
     values = _decode(body)
-    node, shard, group = (values.get(key) for key in (_NODE, _SHARD, _GROUP))
-    numbers = (values.get(_EPOCH), values.get(_NUMBER))
+    node: Any = values.get(_NODE)
+    shard: Any = values.get(_SHARD)
+    group: Any = values.get(_GROUP)
+    epoch: Any = values.get(_EPOCH)
+    number: Any = values.get(_NUMBER)
     if not (_is_node(node) and is_text(shard) and isinstance(group, list) and group):
         return None
-    if not (all(map(is_text, group)) and all(type(number) is int and number >= 0 for number in numbers)):
+    if not (all(map(is_text, group)) and _is_count(epoch) and _is_count(number)):
         return None
-    return Emptied(node, shard, numbers[0], tuple(group), numbers[1])
+    return Emptied(node, shard, epoch, tuple(group), number)
 
 
 class StoreRecords:
-    """The disks known, and the facts of their nodes' emptying; changed by applied orders alone."""
+    """The disks known, the nodes to be emptied and what has left them; changed by applied orders alone."""
 
     def __init__(
         self,
@@ -104,6 +112,7 @@
 
     @property
     def disks(self) -> tuple[KnownDisk, ...]:
+        """The disks known, oldest first."""
         return tuple(self._disks.values())
 
     @property
@@ -113,10 +122,11 @@
 
     @property
     def emptied(self) -> tuple[Emptied, ...]:
+        """What is known to have left a node."""
         return tuple(self._emptied.values())
 
     def knows(self, disk: KnownDisk) -> bool:
-        """Whether exactly this was noted."""
+        """Whether exactly this was recorded."""
         return self._disks.get(disk.replica) == disk
 
     def is_store(self, node: str) -> bool:
@@ -138,33 +148,34 @@
 
     def is_complete(self, node: str, placements: Iterable[ShardPlacement]) -> bool:
         """Whether every shard that exists is known to be gone from a node that is to be emptied."""
-        shards = [CONFIGURATION_SHARD, *(placed.shard for placed in placements)]
+        shards = [CONFIGURATION_SHARD, *(placement.shard for placement in placements)]
         return node in self._retiring and all(self.is_emptied(node, shard) for shard in shards)
 
-    def may_record(self, fact: Emptied, placed: ShardPlacement | None) -> bool:
-        """Whether a fact stays true from here on; `placed` is where its shard should be."""
+    def may_record(self, fact: Emptied, placement: ShardPlacement | None) -> bool:
+        """Whether a fact stays true from here on; `placement` is the one in force of its shard."""
         gone = self.replicas_of(fact.node)
         if fact.node not in self._retiring or not self._disks.keys() >= set(fact.group):
             return False
         if fact.shard == CONFIGURATION_SHARD:
             return gone.isdisjoint(fact.group)
-        if placed is None or not 0 < placed.number == fact.number:
+        if placement is None or not 0 < placement.number == fact.number:
             return False
-        return gone.isdisjoint(fact.group) and gone.isdisjoint(placed.voters)
+        return gone.isdisjoint(fact.group) and gone.isdisjoint(placement.voters)
 
     def record_disk(self, disk: KnownDisk, placed: set[str]) -> None:
-        """Notes a disk; beyond the bound the oldest that no placement names is forgotten."""
+        """Records a disk; beyond the bound the oldest that is none of the `placed` ones is forgotten."""
         self._disks[disk.replica] = disk
         if len(self._disks) > MAX_DISKS:
-            oldest = next((known for known in self._disks if known not in placed), None)
-            self._disks.pop(oldest, None)
+            oldest = next((replica for replica in self._disks if replica not in placed), None)
+            if oldest is not None:
+                del self._disks[oldest]
 
     def retire(self, node: str) -> None:
-        """Notes that a node is to be emptied."""
+        """Records that a node is to be emptied."""
         self._retiring[node] = None
 
     def record_emptied(self, fact: Emptied) -> None:
-        """Notes that a shard is gone from a node."""
+        """Records that a shard is gone from a node."""
         self._emptied[fact.node, fact.shard] = fact
 
 
@@ -172,6 +183,10 @@
     return is_text(value) and 0 < len(value) <= MAX_NODE_NAME
 
 
+def _is_count(value: Any) -> bool:
+    return type(value) is int and value >= 0
+
+
 def _encode(values: dict[str, Any]) -> bytes:
     return json.dumps(values, separators=(",", ":")).encode()
 
--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/removals/contact.py
@@ -58,7 +58,9 @@
     return True
 
 
-@guard("order-name", "configuration.state:ConfigurationState._taken_before", "a repeated order refused")
+@guard(
+    "order-name", "configuration.document_orders:DocumentOrders._accepted_version", "a repeated order refused"
+)
 def know_no_order(state, digest):
     return None
 
@@ -87,12 +89,14 @@
     replica._reads.answered(reply.ticket, reply.index)
 
 
-@guard("other-base", "configuration.state:other_base", "refusals that do not last")
+@guard("other-base", "configuration.document_orders:other_base", "refusals that do not last")
 def refuse_any_base(order, version, forgotten_version):
     return ConfigOutcome(412, version, "another version is current")
 
 
-@guard("checked-base", "configuration.state:ConfigurationState._other_base", "refusals that do not last")
+@guard(
+    "checked-base", "configuration.document_orders:DocumentOrders._other_base", "refusals that do not last"
+)
 def refuse_any_base_of_a_checked_entry(state, order):
     return ConfigOutcome(412, state.version, "another version is current")
 
--- a/kestrelbend/tier/fleet/removals/groups.py
+++ b/kestrelbend/tier/fleet/removals/groups.py
@@ -36,7 +36,7 @@
     return True
 
 
-@guard("placement-order", "configuration.state:follows", "an old placement put in a newer one's place")
+@guard("placement-order", "configuration.placements:follows", "an old placement put in a newer one's place")
 def take_any_placement(placement, known):
     return True
 
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -17,9 +17,9 @@
 
 import attrs
 
+from ..configuration.document_orders import checked_entry
 from ..configuration.messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind
 from ..configuration.shard_service import ConfigurationMachine, ConfigurationService
-from ..configuration.state import checked_entry
 from ..fleet.operator import marker_route, route, services
 from ..protocol.codec import encode
 from ..replication.messages import EntryKind
--- a/tests/tier/test_configuration_document.py
+++ b/tests/tier/test_configuration_document.py
@@ -9,7 +9,7 @@
 
 from kestrelbend.tier.configuration.checks import document_faults
 from kestrelbend.tier.configuration.document import (
-    ConfigRejected,
+    DocumentRejection,
     Document,
     Patch,
     apply_patch,
@@ -48,7 +48,7 @@
 
 def code(result):
     """Why a document was rejected."""
-    return result.code if isinstance(result, ConfigRejected) else None
+    return result.code if isinstance(result, DocumentRejection) else None
 
 
 class PutTest(testtools.TestCase):
@@ -156,7 +156,7 @@
     def test_given_any_bytes_then_they_are_rejected_with_a_reason(self, data):
         for parse in (parse_put, parse_patch):
             result = parse(data)
-            self.assertIsInstance(result, (ConfigRejected, Document, Patch))
+            self.assertIsInstance(result, (DocumentRejection, Document, Patch))
         self.assertEqual((parse_put(data),), document_faults(data))
 
     @hypothesis.settings(REPEATABLE, max_examples=300)
@@ -175,7 +175,7 @@
             result = parse(body(sent))
             if name == "put":
                 self.assertEqual(document_faults(body(sent))[:1], (result,) if code(result) else ())
-            if not isinstance(result, ConfigRejected):
+            if not isinstance(result, DocumentRejection):
                 assert_valid(self, json.loads(result.body))
 
     def test_given_several_faults_then_all_are_told_at_once_and_the_first_one_rejects(self):
--- a/tests/tier/test_configuration_state.py
+++ b/tests/tier/test_configuration_state.py
@@ -7,11 +7,13 @@
 import testtools
 from hypothesis import strategies
 
-from kestrelbend.tier.configuration import state as state_module
+from kestrelbend.tier.configuration import document_orders
 from kestrelbend.tier.configuration import stores as stores_module
+from kestrelbend.tier.configuration.document_orders import checked_entry
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
-from kestrelbend.tier.configuration.state import ConfigurationState, SnapshotError, checked_entry
+from kestrelbend.tier.configuration.snapshot import SnapshotError
+from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.configuration.stores import (
     Emptied,
     KnownDisk,
@@ -133,7 +135,7 @@
         self.assertEqual([400, 400, 400], self.answers(put(7, 5), put(7, 7), patch(9, 8)))
 
     def test_given_any_orders_again_and_again_then_who_was_refused_once_is_never_taken(self):
-        self.patch(state_module, "MAX_HISTORY", 4)
+        self.patch(document_orders, "MAX_HISTORY", 4)
         for seed in range(30):
             rng = random.Random(seed)
             self.state = ConfigurationState()
@@ -150,13 +152,13 @@
             self.assertTrue(self.state.version > 10)
 
     def test_given_many_orders_then_only_the_last_are_remembered(self):
-        self.patch(state_module, "MAX_HISTORY", 3)
+        self.patch(document_orders, "MAX_HISTORY", 3)
         orders = [put(version, version + 1) for version in range(6)]
         self.answers(*orders)
         self.assertEqual([UNDETERMINED] * 3 + [200] * 3, self.answers(*orders))
 
     def test_given_an_order_that_was_taken_and_forgotten_then_it_is_never_refused(self):
-        self.patch(state_module, "MAX_HISTORY", 3)
+        self.patch(document_orders, "MAX_HISTORY", 3)
         orders = [put(version, version + 1) for version in range(8)]
         self.answers(*orders)
         restored = ConfigurationState()
@@ -167,11 +169,11 @@
             self.assertEqual(412, state.apply(put(5, 6, Extra=1)).status)
 
     def test_given_the_newest_order_then_its_repeat_is_taken_however_few_are_remembered(self):
-        self.patch(state_module, "MAX_HISTORY", 1)
+        self.patch(document_orders, "MAX_HISTORY", 1)
         self.assertEqual([200, 200, 200], self.answers(put(0, 3), put(3, 7), put(3, 7)))
 
     def test_given_large_documents_then_few_are_kept_decoded(self):
-        self.patch(state_module, "MAX_EVALUATION_BYTES_KEPT", 3000)
+        self.patch(document_orders, "MAX_EVALUATION_BYTES_KEPT", 3000)
         orders = [put(0, version, Padding="x" * 1000) for version in range(1, 9)]
         for order in orders:
             self.assertIsNone(self.state.check(order))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -15,9 +15,10 @@
 from kestrelbend.tier.budgets.shard_queue import ShardRequestQueue
 from kestrelbend.tier.budgets.messages import BudgetReply, Reserve, ReserveOutcome, Verdict
 from kestrelbend.tier.budgets.route import ClientSettings
+from kestrelbend.tier.configuration.document_orders import checked_entry
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import NOT_OWNER
-from kestrelbend.tier.configuration.state import ConfigurationState, checked_entry
+from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.control.retirement import HEARD_ALL_S, NOT_FOUND, Retirement
 from kestrelbend.tier.fleet import removals  # noqa: F401  (fills the registry)
 from kestrelbend.tier.fleet.day import Day, play_day
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from kestrelbend.tier.configuration import state as state_module
+from kestrelbend.tier.configuration import document_orders
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import (
     LARGE_BYTES,
@@ -180,7 +180,7 @@
         self.tell(story, seeds=(1, 2, 3))
 
     def test_a_taken_order_past_the_history_is_never_refused(self):
-        self.patch(state_module, "MAX_HISTORY", 2)
+        self.patch(document_orders, "MAX_HISTORY", 2)
 
         async def story(world):
             orders = twins(world)
