--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/removals/contact.py
@@ -8,12 +8,12 @@
 from ..guards import guard
 
 
-@guard("confirmed-read", "replication.owner:Ownership._acknowledged_round", "reads of an old state")
+@guard("confirmed-read", "replication.leader:LeaderState._acknowledged_round", "reads of an old state")
 def count_as_acknowledged(owner, identity):
     return owner._rounds.current
 
 
-@guard("read-after-first-entry", "replication.owner:Ownership._read_index", "reads of an old state")
+@guard("read-after-first-entry", "replication.leader:LeaderState._read_index", "reads of an old state")
 def read_what_is_known(owner):
     return owner._state.commit_index
 
@@ -23,7 +23,7 @@
     return rounds._began[-1] if rounds._began else NEVER
 
 
-@guard("check-quorum", "replication.owner:Ownership.in_touch", "an owner that nobody follows")
+@guard("check-quorum", "replication.leader:LeaderState.in_touch", "an owner that nobody follows")
 def be_in_touch(owner, now):
     return True
 
@@ -67,9 +67,9 @@
 
 @guard("read-ticket", "replication.read_index:FollowerReads.answered", "answers to an earlier life counted")
 def count_any_ticket(reads, ticket, index):
-    asked_at = reads._asked_at.pop(ticket, reads._last_asked_at)
-    reads.confirmed_at = max(reads.confirmed_at, asked_at)
-    reads._answers.append(_Answer(asked_at, index))
+    requested_at = reads._requested_at.pop(ticket, reads._last_requested_at)
+    reads.confirmed_at = max(reads.confirmed_at, requested_at)
+    reads._answers.append(_Answer(requested_at, index))
 
 
 @guard("read-forget", "replication.read_index:FollowerReads.forget", "answers of a former owner counted")
--- a/kestrelbend/tier/fleet/removals/groups.py
+++ b/kestrelbend/tier/fleet/removals/groups.py
@@ -14,7 +14,7 @@
 _found_budget_shards = found_budget_shards
 
 
-@guard("learner", "replication.owner:Ownership.is_caught_up", "voters that hold nothing")
+@guard("learner", "replication.leader:LeaderState.is_caught_up", "voters that hold nothing")
 def count_as_caught_up(owner, identity, *now):
     return identity in owner.followers
 
@@ -25,7 +25,7 @@
     return 0
 
 
-@guard("group-epoch", "replication.owner:Ownership.has_committed", "two majorities that do not meet")
+@guard("group-epoch", "replication.leader:LeaderState.has_committed", "two majorities that do not meet")
 @property
 def count_as_committed(owner):
     return True
@@ -41,7 +41,7 @@
     return True
 
 
-@guard("settled", "replication.placement:Placement.is_settled", "emptied by a group that is not committed")
+@guard("settled", "replication.placement:Placement.is_stable", "emptied by a group that is not committed")
 def count_as_settled(placement, owner, now):
     return True
 
@@ -56,9 +56,9 @@
     _write_any_identity(disk, data_dir, FIRST_IDENTITY)
 
 
-@guard("later-wish", "replication.placement:Placement.aim", "a group led by an old word")
+@guard("later-wish", "replication.placement:Placement.set_target", "a group led by an old word")
 def take_any_target(placement, target):
-    placement._wished = target
+    placement._target = target
 
 
 @guard("emptied-stays", "configuration.stores:StoreRecords.may_record", "a fact that does not stay true")
--- a/kestrelbend/tier/fleet/removals/log.py
+++ b/kestrelbend/tier/fleet/removals/log.py
@@ -11,23 +11,23 @@
     state.send(receiver, message)
 
 
-@guard("one-vote", "replication.election:Elections._grants", "two owners of one epoch")
+@guard("one-vote", "replication.election:Election._grants", "two owners of one epoch")
 def grant_again(elections, request):
     return request.epoch == elections._state.epoch and elections._may_vote_for(request)
 
 
-@guard("vote-for-full-logs", "replication.election:Elections._may_vote_for", "an owner that lacks entries")
+@guard("vote-for-full-logs", "replication.election:Election._may_vote_for", "an owner that lacks entries")
 def vote_for_anyone(elections, request):
     return True
 
 
-@guard("entry-on-disk", "replication.follower:Following._match_index", "acknowledged entries lost")
+@guard("entry-on-disk", "replication.follower:FollowerState._match_index", "acknowledged entries lost")
 @property
 def acknowledge_unwritten(following):
     return following._verified_index
 
 
-@guard("own-entry-on-disk", "replication.owner:Ownership._match_index", "acknowledged entries lost")
+@guard("own-entry-on-disk", "replication.leader:LeaderState._match_index", "acknowledged entries lost")
 def count_unwritten(owner, identity):
     if identity == owner._state.identity:
         return owner._log.last_index
@@ -36,7 +36,9 @@
 
 
 @guard(
-    "own-epoch", "replication.owner:Ownership.advance_commit", "committed entries replaced by a later owner"
+    "own-epoch",
+    "replication.leader:LeaderState.advance_commit",
+    "committed entries replaced by a later owner",
 )
 def commit_any_epoch(owner):
     index = owner._quorum_value(owner._match_index)
@@ -46,7 +48,7 @@
     return True
 
 
-@guard("former-owner", "replication.replica:Replica._is_of_former_owner", "a former owner's entries put in")
+@guard("former-owner", "replication.replica:Replica._is_of_former_leader", "a former owner's entries put in")
 def trust_former_owner(replica, message):
     return False
 
@@ -66,7 +68,7 @@
     return False
 
 
-@guard("retained-entries", "replication.owner:Ownership.needed_after", "a follower that never catches up")
+@guard("retained-entries", "replication.leader:LeaderState.needed_after", "a follower that never catches up")
 def need_nothing(owner, now):
     return owner._log.last_index
 
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -292,7 +292,7 @@
     def _work(self, node: Node) -> None:
         replica = node.replica
         effects = replica.take()
-        if effects.ownership_changed and replica.is_owner:
+        if effects.leadership_changed and replica.is_owner:
             node.owner_since = node.clock
             self.rules.owns(replica)
             self.rules.votes_are_fresh(node)
@@ -310,7 +310,7 @@
             self.rules.logs_match(other.replica for other in self.nodes.values() if other.replica)
         if self.script.watches:
             self.rules.standing(node)
-        if effects.ownership_changed and replica.is_owner:
+        if effects.leadership_changed and replica.is_owner:
             self._do(self.when_owner.pop(node.name, None))
         self._do(self.when_committed.pop(len(self.rules.history), None))
 
--- a/kestrelbend/tier/protocol/peer_connection.py
+++ b/kestrelbend/tier/protocol/peer_connection.py
@@ -33,7 +33,7 @@
         replication.AppendEntries,
         replication.AppendReply,
         replication.SnapshotReply,
-        replication.TransferOwnership,
+        replication.TransferLeadership,
     )
 )
 MAX_WAITING_BYTES = 24 << 20  # a peer that reads nothing loses its connection beyond
--- a/kestrelbend/tier/replication/disk.py
+++ b/kestrelbend/tier/replication/disk.py
@@ -48,6 +48,6 @@
         """Whether the oldest write under way was issued more than `bound` seconds ago."""
         return bool(self._issued_at) and now - self._issued_at[0][1] > bound
 
-    def forgive(self, now: float) -> None:
+    def restart_stall_clock(self, now: float) -> None:
         """Counts the writes under way as issued now: the process itself had stood still."""
         self._issued_at = deque((ticket, now) for ticket, _ in self._issued_at)
--- a/kestrelbend/tier/replication/effects.py
+++ b/kestrelbend/tier/replication/effects.py
@@ -17,4 +17,4 @@
     applied: list[Entry] = attrs.field(factory=list)
     confirmed: list[int] = attrs.field(factory=list)
     lost: list[int] = attrs.field(factory=list)
-    ownership_changed: bool = False
+    leadership_changed: bool = False
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -40,11 +40,11 @@
         return has_quorum(voters, self.granted.__contains__)
 
 
-class Elections:
+class Election:
     """One replica's part in elections while it doesn't own.
 
-    `heard_at` is when an owner last spoke.  A candidacy stays open while a new trial runs, so that votes
-    which slow disks delay still count.
+    `last_contact_at` is when an owner last spoke.  A candidacy stays open while a new pre-vote runs, so that
+    votes which slow disks delay still count.
     """
 
     def __init__(self, state: ReplicaState, now: float) -> None:
@@ -52,21 +52,21 @@
         self._timing = state.timing
         self._trial: Campaign | None = None
         self._candidacy: Campaign | None = None
-        self._quiet_since = now - self._timing.election_timeout + self._timing.first_trial
-        self.heard_at = NEVER
-        self._trial_at = NEVER
-        self._held_back_until = NEVER
-        self._vote_waits = False
+        self._no_leader_since = now - self._timing.election_timeout + self._timing.first_pre_vote
+        self.last_contact_at = NEVER
+        self._pre_vote_at = NEVER
+        self._pre_vote_backoff_until = NEVER
+        self._vote_pending = False
 
-    def heard_owner(self, now: float) -> None:
+    def leader_contacted(self, now: float) -> None:
         """An owner spoke: no candidacy of this replica goes on."""
-        self.heard_at = now
-        self._held_back_until = NEVER
+        self.last_contact_at = now
+        self._pre_vote_backoff_until = NEVER
         self.rest(now)
 
     def rest(self, now: float) -> None:
         """Ends any campaign and counts the time without an owner from now."""
-        self._quiet_since = now
+        self._no_leader_since = now
         self.end_campaigns()
 
     def end_campaigns(self) -> None:
@@ -77,33 +77,33 @@
     def is_due(self, now: float) -> bool:
         """Whether this replica should run a trial now."""
         state = self._state
-        if not state.is_voter or self._vote_waits or state.disk_stalls(now):
+        if not state.is_voter or self._vote_pending or state.disk_stalls(now):
             return False
-        if now < self._held_back_until or now - self._trial_at < self._timing.trial_retry:
+        if now < self._pre_vote_backoff_until or now - self._pre_vote_at < self._timing.pre_vote_interval:
             return False
-        return now - self._quiet_since >= campaign_delay(
+        return now - self._no_leader_since >= campaign_delay(
             state.identity, state.epoch, state.voters, self._timing
         )
 
-    def begin_trial(self, now: float) -> None:
+    def begin_pre_vote(self, now: float) -> None:
         """Asks the voters whether they would vote for this replica."""
         state = self._state
-        self._trial_at = now
+        self._pre_vote_at = now
         self._trial = Campaign(state.epoch + 1, {state.identity})
         request = self._request(self._trial.epoch, trial=True)
         for voter in state.other_voters():
             state.send(voter, request)
         if self._trial.won(state.voters):
-            self.begin_candidacy()
+            self.become_candidate()
 
-    def begin_candidacy(self) -> None:
+    def become_candidate(self) -> None:
         """Enters the next epoch, votes for itself and asks the others for their votes."""
         state = self._state
         state.raise_epoch(state.epoch + 1)
         state.vote_for(state.identity)
         self._trial = None
         self._candidacy = Campaign(state.epoch)
-        self._vote_waits = True
+        self._vote_pending = True
         request = self._request(state.epoch, trial=False)
         for voter in state.other_voters():
             state.send_after_write(voter, request)
@@ -112,14 +112,14 @@
         """Answers a candidate; an earnest request's newer epoch has been entered before."""
         state = self._state
         if request.trial:
-            granted = not owns and self._grants_trial(request, now)
+            granted = not owns and self._grants_pre_vote(request, now)
         else:
             granted = self._grants(request)
         epoch = request.epoch if granted else state.epoch
         reply = VoteReply(state.shard, state.identity, epoch, granted, request.trial)
         if granted and not request.trial:
             state.vote_for(request.sender)
-            self._vote_waits = not state.hard_state_durable
+            self._vote_pending = not state.hard_state_durable
             state.send_after_write(request.sender, reply)
         else:
             state.send(request.sender, reply)
@@ -133,16 +133,16 @@
         if not campaign.won(self._state.voters):
             return False
         if reply.trial:
-            self.begin_candidacy()
+            self.become_candidate()
             return False
         return True
 
     def written(self, now: float) -> bool:
         """Writes were done; True where this replica's own vote is now on its disk and makes it the owner."""
-        if not self._vote_waits or not self._state.hard_state_durable:
+        if not self._vote_pending or not self._state.hard_state_durable:
             return False
-        self._vote_waits = False
-        self._quiet_since = now
+        self._vote_pending = False
+        self._no_leader_since = now
         if self._candidacy is None:
             return False
         self._candidacy.granted.add(self._state.identity)
@@ -154,13 +154,13 @@
             self._state.shard, self._state.identity, epoch, log.last_index, log.last_epoch, trial
         )
 
-    def _grants_trial(self, request: RequestVote, now: float) -> bool:
-        if now - self.heard_at < self._timing.sticky or self._vote_waits:
+    def _grants_pre_vote(self, request: RequestVote, now: float) -> bool:
+        if now - self.last_contact_at < self._timing.sticky or self._vote_pending:
             return False
         if request.epoch <= self._state.epoch or not self._may_vote_for(request):
             return False
-        if self._held_back_until == NEVER:
-            self._held_back_until = now + self._timing.trial_patience
+        if self._pre_vote_backoff_until == NEVER:
+            self._pre_vote_backoff_until = now + self._timing.pre_vote_backoff
         return True
 
     def _grants(self, request: RequestVote) -> bool:
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from .messages import AppendEntries, AppendReply, ReplicaId, SnapshotPiece, SnapshotReply
+from .messages import AppendEntries, AppendReply, ReplicaId, SnapshotChunk, SnapshotReply
 from .state import ReplicaState
 
 
-class Following:
+class FollowerState:
     """What a replica knows of the owner of one epoch: `_verified_index` is how far their logs agree."""
 
     def __init__(self, state: ReplicaState, owner: ReplicaId) -> None:
@@ -37,7 +37,7 @@
         elif (self._round, self._match_index) != self._answered:
             self._accept()
 
-    def take_piece(self, message: SnapshotPiece) -> None:
+    def receive_chunk(self, message: SnapshotChunk) -> None:
         """Takes a piece in and tells how much is here; a whole snapshot is installed.
 
         An installed one is acknowledged as entries are, once it is on the disk.
@@ -56,7 +56,7 @@
             state.install(snapshot)
             self._hold_snapshot(message)
 
-    def _hold_snapshot(self, message: SnapshotPiece) -> None:
+    def _hold_snapshot(self, message: SnapshotChunk) -> None:
         """All up to the snapshot's index is here, by this snapshot or by committed entries."""
         self._verify(message.snapshot.index, message.round)
         self._accept_when_durable()
--- a/kestrelbend/tier/replication/host.py
+++ b/kestrelbend/tier/replication/host.py
@@ -22,14 +22,14 @@
     EntryKind,
     ReplicaId,
     ShardId,
-    SnapshotPiece,
+    SnapshotChunk,
 )
 from .replica import Replica, Timing
 
 COMPACT_ENTRIES = 2000
 COMPACT_BYTES = 16 << 20
 IMAGE_STEPS_A_TICK = 4
-LATE_RECORD_BYTES = 256 * 1024  # from which on a record is made by the journal's thread
+DEFERRED_RECORD_BYTES = 256 * 1024  # from which on a record is made by the journal's thread
 
 
 class SnapshotImage(Protocol):
@@ -71,7 +71,7 @@
 
 
 @attrs.define(eq=False)
-class _Hosted:
+class HostedReplica:
     """A replica and what belongs to it."""
 
     replica: Replica
@@ -88,7 +88,7 @@
 
     `first_ticket` rises with each life of the process, see `read_index`.  `send(replica_id, message)` hands a
     message to the process of another replica; `machine_for(shard)` makes an empty state machine;
-    `tells_commits(shard)`: the owner tells what is committed at once, not with the next entries or round;
+    `announces_commits(shard)`: the owner tells what is committed at once, not with the next entries or round;
     `on_applied(shard)` is called after commands were applied.
     """
 
@@ -104,7 +104,7 @@
         machine_for: Callable[[ShardId], StateMachine],
         hosts: Callable[[ShardId], bool],
         on_applied: Callable[[ShardId], None] = lambda shard: None,
-        tells_commits: Callable[[ShardId], bool] = lambda shard: True,
+        announces_commits: Callable[[ShardId], bool] = lambda shard: True,
     ):
         self.identity = identity
         self._first_ticket = first_ticket
@@ -115,10 +115,10 @@
         self._machine_for = machine_for
         self._hosts = hosts
         self._on_applied = on_applied
-        self._tells_commits = tells_commits
-        self._hosted: dict[ShardId, _Hosted] = {}
+        self._announces_commits = announces_commits
+        self._hosted: dict[ShardId, HostedReplica] = {}
         self._durable: dict[ShardId, DurableState] = {}
-        self._tickets: dict[int, tuple[_Hosted, int]] = {}
+        self._tickets: dict[int, tuple[HostedReplica, int]] = {}
         self._next_ticket = 1
 
     # What is here
@@ -161,9 +161,9 @@
             timing=self._timing,
             now=now,
             first_ticket=self._first_ticket,
-            tells_commits=self._tells_commits(shard),
+            announces_commits=self._announces_commits(shard),
         )
-        hosted = _Hosted(replica, self._machine_for(shard))
+        hosted = HostedReplica(replica, self._machine_for(shard))
         self._hosted[shard] = hosted
         self._work(hosted)
         return replica
@@ -174,7 +174,7 @@
         """A message from another replica; an owner's word begins a replica where none is here."""
         hosted = self._hosted.get(message.shard)
         if hosted is None:
-            if not isinstance(message, AppendEntries | SnapshotPiece) or not self._hosts(message.shard):
+            if not isinstance(message, AppendEntries | SnapshotChunk) or not self._hosts(message.shard):
                 return
             self.open(message.shard, (), now)
             hosted = self._hosted[message.shard]
@@ -197,7 +197,7 @@
 
     def written(self, tickets: list[int], now: float) -> None:
         """The journal has made these records durable."""
-        touched: dict[int, _Hosted] = {}
+        touched: dict[int, HostedReplica] = {}
         for ticket in tickets:
             hosted, own_ticket = self._tickets.pop(ticket)
             hosted.replica.written(own_ticket, now)
@@ -238,7 +238,7 @@
 
     # What comes of it
 
-    def _work(self, hosted: _Hosted) -> None:
+    def _work(self, hosted: HostedReplica) -> None:
         effects = hosted.replica.take()
         for own_ticket, record in effects.writes:
             ticket = self._next_ticket
@@ -263,7 +263,7 @@
         if effects.applied or effects.restore is not None:
             self._on_applied(hosted.replica.shard)
 
-    def _apply(self, hosted: _Hosted, entry: Entry) -> None:
+    def _apply(self, hosted: HostedReplica, entry: Entry) -> None:
         outcome = None
         if entry.kind == EntryKind.COMMAND:
             outcome = hosted.machine.apply(entry.data)
@@ -274,17 +274,17 @@
         epoch, callback = waiting
         callback(outcome if epoch == entry.epoch else None)
 
-    def _fail_waiting(self, hosted: _Hosted) -> None:
+    def _fail_waiting(self, hosted: HostedReplica) -> None:
         waiting, hosted.waiting = hosted.waiting, {}
         for _, callback in waiting.values():
             callback(None)
 
-    def _confirmed(self, hosted: _Hosted, ticket: int, sure: bool) -> None:
+    def _confirmed(self, hosted: HostedReplica, ticket: int, sure: bool) -> None:
         callback = hosted.confirming.pop(ticket, None)
         if callback is not None:
             callback(sure)
 
-    def _begin_image_when_due(self, hosted: _Hosted, entry: Entry) -> None:
+    def _begin_image_when_due(self, hosted: HostedReplica, entry: Entry) -> None:
         """Begins a snapshot after the entry, at the same indexes on all replicas unless entries are large.
 
         Replicas with the same snapshots can go on with each other's transfers.
@@ -314,7 +314,7 @@
         size = sum(len(entry.data) for entry in record.entries)
         if record.snapshot is not None:
             size += len(record.snapshot.state)
-        if size < LATE_RECORD_BYTES:
+        if size < DEFERRED_RECORD_BYTES:
             return self._encode(record)
         return DeferredRecord(size, functools.partial(self._encode, record))
 
--- a/kestrelbend/tier/replication/owner.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -9,20 +9,20 @@
 from .messages import AppendEntries, AppendReply, Entry, EntryKind, ReplicaId, SnapshotReply
 from .progress import NEVER, Progress, Rounds
 from .read_index import OWN, PendingRead, PendingReads
-from .snapshot_transfer import SnapshotSender, piece_message
+from .snapshot_transfer import SnapshotSender, chunk_message
 from .state import ReplicaState
 
 ENTRY_BYTES = 64  # what an entry costs beside its data, about
 
 
-class Ownership:
+class LeaderState:
     """The owner's side of replication in one epoch.
 
     Invariant: nothing counts as held by a follower but what a reply of this epoch has acknowledged.
     """
 
-    def __init__(self, state: ReplicaState, now: float, tells_commits: bool) -> None:
-        self._tells_commits = tells_commits  # at once, not with the next entries or round
+    def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
+        self._announces_commits = announces_commits  # at once, not with the next entries or round
         self.first_index = state.log.last_index + 1
         self.began_at = now
         self.followers: dict[ReplicaId, Progress] = {}
@@ -72,8 +72,8 @@
         """Adds a follower's read; it waits for the next heartbeat round, which costs no message more."""
         self._add_read(ticket, follower)
 
-    def _add_read(self, ticket: int, asker: ReplicaId) -> None:
-        self._reads.add(PendingRead(ticket, self._rounds.current + 1, self._read_index(), asker))
+    def _add_read(self, ticket: int, requester: ReplicaId) -> None:
+        self._reads.add(PendingRead(ticket, self._rounds.current + 1, self._read_index(), requester))
 
     def _read_index(self) -> int:
         """What a read must see: all that is committed now; a new owner learns that by its first entry."""
@@ -99,7 +99,7 @@
 
     def replied(self, reply: AppendReply, now: float) -> None:
         """Takes in a follower's reply of this epoch."""
-        progress = self._heard(reply)
+        progress = self._record_contact(reply)
         if progress is None:
             return
         if reply.accepted:
@@ -113,11 +113,11 @@
 
     def snapshot_replied(self, reply: SnapshotReply, now: float) -> None:
         """Takes in how much a follower has of the snapshot that is under way to it."""
-        progress = self._heard(reply)
+        progress = self._record_contact(reply)
         if progress is None or progress.transfer is None:
             return
         progress.transfer.replied(reply, now)
-        if progress.transfer.is_whole:
+        if progress.transfer.is_complete:
             progress.next_index = progress.transfer.snapshot.index
             progress.sent(progress.transfer.snapshot.index, 0, now)
             progress.transfer = None
@@ -138,7 +138,7 @@
         needed = (progress.needed_after for progress in recent)
         return min((index for index in needed if index >= self._log.base_index), default=self._log.last_index)
 
-    def _heard(self, reply: AppendReply | SnapshotReply) -> Progress | None:
+    def _record_contact(self, reply: AppendReply | SnapshotReply) -> Progress | None:
         """Notes that a follower confirmed the ownership in the reply's round."""
         progress = self.followers.get(reply.sender)
         if progress is None or reply.round > self._rounds.current:
@@ -221,12 +221,12 @@
             if now - max(progress.contact, self.began_at) > self._timing.reply_timeout:
                 continue
             self._send_entries(identity, progress, now)
-            if self._tells_commits and self._lacks_commit(progress, now):
+            if self._announces_commits and self._lacks_commit(progress, now):
                 self._send_append(identity, progress, (), now)
 
     def _lacks_commit(self, progress: Progress, now: float) -> bool:
         """Whether the follower could commit more than it was told of."""
-        return progress.sent_commit < min(self._state.commit_index, self._previous_index(progress, now))
+        return progress.sent_commit_index < min(self._state.commit_index, self._previous_index(progress, now))
 
     def _send_entries(self, identity: ReplicaId, progress: Progress, now: float) -> None:
         while progress.transfer is None and progress.next_index <= self._log.last_index:
@@ -242,12 +242,12 @@
             size = sum(len(entry.data) + ENTRY_BYTES for entry in entries)
             progress.sent(entries[-1].index, size, now)
         if progress.transfer is not None:
-            self._send_pieces(identity, progress.transfer, now)
+            self._send_chunks(identity, progress.transfer, now)
 
-    def _send_pieces(self, identity: ReplicaId, transfer: SnapshotSender, now: float) -> None:
+    def _send_chunks(self, identity: ReplicaId, transfer: SnapshotSender, now: float) -> None:
         state = self._state
         for piece in transfer.due(now):
-            message = piece_message(
+            message = chunk_message(
                 transfer, piece, state.shard, state.identity, state.epoch, self._rounds.current
             )
             state.send(identity, message)
@@ -265,7 +265,7 @@
         state = self._state
         previous = self._previous_index(progress, now)
         progress.sent_round = self._rounds.current
-        progress.sent_commit = min(state.commit_index, previous + len(entries))
+        progress.sent_commit_index = min(state.commit_index, previous + len(entries))
         message = AppendEntries(
             shard=state.shard,
             sender=state.identity,
--- a/kestrelbend/tier/replication/handover.py
+++ b/kestrelbend/tier/replication/leadership_transfer.py
@@ -8,33 +8,33 @@
 
 import attrs
 
-from .messages import ReplicaId, TransferOwnership
-from .owner import Ownership
+from .messages import ReplicaId, TransferLeadership
+from .leader import LeaderState
 from .progress import NEVER
 from .state import ReplicaState
 
 
 @attrs.define
-class Handover:
+class LeadershipTransfer:
     """A handover under way, to one of `candidates`; it ends with the ownership, or by its time."""
 
     began_at: float
     candidates: tuple[ReplicaId, ...]
-    _asked_at: float = NEVER
+    _requested_at: float = NEVER
 
     def has_failed(self, now: float, state: ReplicaState) -> bool:
         """Whether the ownership should have gone over by now."""
         return now - self.began_at > state.timing.transfer_timeout
 
-    def proceed(self, state: ReplicaState, owner: Ownership, now: float) -> None:
+    def proceed(self, state: ReplicaState, owner: LeaderState, now: float) -> None:
         """Asks the most caught-up live candidate to campaign, as soon as it holds the whole log."""
         receiver = self._receiver(owner, now)
-        if receiver is None or now - self._asked_at < state.timing.reply_timeout:
+        if receiver is None or now - self._requested_at < state.timing.reply_timeout:
             return
         if owner.followers[receiver].match_index == state.log.last_index:
-            self._asked_at = now
-            state.send(receiver, TransferOwnership(state.shard, state.identity, state.epoch))
+            self._requested_at = now
+            state.send(receiver, TransferLeadership(state.shard, state.identity, state.epoch))
 
-    def _receiver(self, owner: Ownership, now: float) -> ReplicaId | None:
+    def _receiver(self, owner: LeaderState, now: float) -> ReplicaId | None:
         live = [identity for identity in self.candidates if owner.is_live(identity, now)]
         return max(live, key=lambda identity: owner.followers[identity].match_index, default=None)
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -108,14 +108,14 @@
         """The entries `first` to `last`, all of them held."""
         return self.entries[first - self.base_index - 1 : last - self.base_index]
 
-    def batch(self, first: int, most_bytes: int, entry_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, one at least, up to `most_bytes` by data and `entry_bytes` each."""
+    def batch(self, first: int, max_bytes: int, entry_bytes: int) -> tuple[Entry, ...]:
+        """Entries from `first` on, one at least, up to `max_bytes` by data and `entry_bytes` each."""
         chosen: list[Entry] = []
         size = 0
         for position in range(first - self.base_index - 1, len(self.entries)):
             entry = self.entries[position]
             size += len(entry.data) + entry_bytes
-            if chosen and size > most_bytes:
+            if chosen and size > max_bytes:
                 break
             chosen.append(entry)
         return tuple(chosen)
@@ -162,9 +162,9 @@
         del self.entries[: new_base - self.base_index]
         self.base_index, self.base_epoch = new_base, new_epoch
 
-    def _base_within(self, index: int, most_bytes: int) -> int:
+    def _base_within(self, index: int, max_bytes: int) -> int:
         """The lowest base from which the entries up to `index` are no more bytes than these."""
-        left = most_bytes
+        left = max_bytes
         base = index
         while base > self.base_index:
             left -= len(self.entries[base - self.base_index - 1].data)
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class SnapshotPiece:
+class SnapshotChunk:
     """Part of a snapshot in place of entries that the owner no longer keeps; answered by `SnapshotReply`.
 
     `snapshot` is without its state; `size` and `digest` are those of the whole state.  A replica that needs
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen
-class TransferOwnership:
+class TransferLeadership:
     """The owner, about to leave, asks the receiver to become a candidate at once."""
 
     shard: ShardId
@@ -154,9 +154,9 @@
     | VoteReply
     | AppendEntries
     | AppendReply
-    | SnapshotPiece
+    | SnapshotChunk
     | SnapshotReply
-    | TransferOwnership
+    | TransferLeadership
     | ReadIndexRequest
     | ReadIndexReply
 )
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -10,9 +10,9 @@
 import attrs
 
 from .group import Voters, encode_group, has_quorum, next_group
-from .handover import Handover
+from .leadership_transfer import LeadershipTransfer
 from .messages import EntryKind, ReplicaId
-from .owner import Ownership
+from .leader import LeaderState
 from .state import ReplicaState
 
 
@@ -29,22 +29,22 @@
     """The wishes outlive an ownership; the handover doesn't."""
 
     def __init__(self, state: ReplicaState) -> None:
-        self._wished = Target()
+        self._target = Target()
         self.learners: Voters = ()
         self._state = state
-        self._handover: Handover | None = None
+        self._transfer: LeadershipTransfer | None = None
         self._leaving: set[ReplicaId] = set()
         self._departed: dict[ReplicaId, float] = {}
 
-    def aim(self, target: Target) -> None:
+    def set_target(self, target: Target) -> None:
         """Takes a target in place of the last one, unless that was a later one."""
-        if target.number >= self._wished.number:
-            self._wished = target
+        if target.number >= self._target.number:
+            self._target = target
 
     @property
     def target(self) -> Voters:
         """The voters to move towards; empty where nothing that may be followed is known."""
-        return self._wished.voters if self.may_follow(self._wished) else ()
+        return self._target.voters if self.may_follow(self._target) else ()
 
     def may_follow(self, target: Target) -> bool:
         """Whether the group may take steps towards a target: the fence against late placements."""
@@ -53,17 +53,17 @@
         return target.number >= self._state.log.placement_number
 
     @property
-    def hands_over(self) -> bool:
+    def is_transferring(self) -> bool:
         """Whether the ownership is being handed over."""
-        return self._handover is not None
+        return self._transfer is not None
 
     def reset(self) -> None:
         """The ownership is over, and any handover with it."""
-        self._handover = None
+        self._transfer = None
         self._leaving = set()
         self._departed = {}
 
-    def follow_group(self, owner: Ownership, now: float) -> None:
+    def follow_group(self, owner: LeaderState, now: float) -> None:
         """Replicates to the group, to those who are to join, and for a while to who left.
 
         Who leaves gets the entry that says so only once that is committed: one that held it earlier would
@@ -78,49 +78,49 @@
         wanted = (*state.voters, *self.target, *self.learners, *self._departed)
         owner.follow(identity for identity in wanted if identity not in leaving)
 
-    def hand_over(self, owner: Ownership, candidates: Voters, now: float) -> None:
+    def begin_transfer(self, owner: LeaderState, candidates: Voters, now: float) -> None:
         """Begins a handover to one of the candidates, unless one runs."""
-        if self._handover is None and candidates:
-            self._handover = Handover(now, candidates)
-            self._handover.proceed(self._state, owner, now)
+        if self._transfer is None and candidates:
+            self._transfer = LeadershipTransfer(now, candidates)
+            self._transfer.proceed(self._state, owner, now)
 
-    def tick(self, owner: Ownership, now: float) -> bool:
+    def tick(self, owner: LeaderState, now: float) -> bool:
         """Goes on with what is under way; whether this replica may own on.
 
         A handover that failed is given up, and the ownership with it only where the disk stalls.
         """
         stalls = self._state.disk_stalls(now)
         if stalls:
-            self.hand_over(owner, self._state.other_voters(), now)
+            self.begin_transfer(owner, self._state.other_voters(), now)
         if any(until < now for until in self._departed.values()):
             self._departed = {gone: until for gone, until in self._departed.items() if until >= now}
             self.follow_group(owner, now)
-        if self._handover is None:
+        if self._transfer is None:
             self.step(owner, now)
-        elif not self._handover.has_failed(now, self._state):
-            self._handover.proceed(self._state, owner, now)
+        elif not self._transfer.has_failed(now, self._state):
+            self._transfer.proceed(self._state, owner, now)
         elif stalls:
             return False
         else:
-            self._handover = None
+            self._transfer = None
         return True
 
-    def step(self, owner: Ownership, now: float) -> None:
+    def step(self, owner: LeaderState, now: float) -> None:
         """Takes the next step towards the target, once the last one is committed."""
         state = self._state
-        if not self.target or self._handover is not None or not owner.has_committed:
+        if not self.target or self._transfer is not None or not owner.has_committed:
             return
         if state.commit_index < state.log.group_index:
             return
 
         group = self._next_group(owner, now)
         if group is not None:
-            owner.append(EntryKind.GROUP, encode_group(group, self._wished.number))
+            owner.append(EntryKind.GROUP, encode_group(group, self._target.number))
             self.follow_group(owner, now)
         elif state.identity not in self.target and set(self.target) < set(state.voters):
-            self.hand_over(owner, self.target, now)
+            self.begin_transfer(owner, self.target, now)
 
-    def _next_group(self, owner: Ownership, now: float) -> Voters | None:
+    def _next_group(self, owner: LeaderState, now: float) -> Voters | None:
         """The next group; the same one anew where only its placement's number has to be noted."""
 
         def is_live(identity: ReplicaId) -> bool:
@@ -131,12 +131,12 @@
 
         state = self._state
         group = next_group(state.voters, self.target, state.identity, is_live, is_caught_up)
-        is_there = state.voters == self.target and self._wished.number > state.log.placement_number
+        is_there = state.voters == self.target and self._target.number > state.log.placement_number
         if is_there and has_quorum(state.voters, is_live):
             return state.voters
         return group
 
-    def is_settled(self, owner: Ownership, now: float) -> bool:
+    def is_stable(self, owner: LeaderState, now: float) -> bool:
         """Whether no change is under way and every live voter, a majority, holds what is committed."""
         state = self._state
         if not owner.has_committed or state.commit_index < state.log.group_index:
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -37,12 +37,12 @@
     contact: float = NEVER
     acknowledged_round: int = 0
     sent_round: int = 0
-    sent_commit: int = 0
+    sent_commit_index: int = 0
     fallback_round: int = 0
     transfer: SnapshotSender | None = None
     outstanding: deque[Outstanding] = attrs.field(factory=deque)
     outstanding_bytes: int = 0
-    moved_at: float = NEVER  # when what is under way last came forward
+    advanced_at: float = NEVER  # when what is under way last came forward
 
     @property
     def needed_after(self) -> int:
@@ -54,7 +54,7 @@
     def sent(self, last_index: int, size: int, now: float) -> None:
         """Entries up to `last_index`, of `size` bytes together, are under way."""
         if not self.outstanding:
-            self.moved_at = now
+            self.advanced_at = now
         self.outstanding.append(Outstanding(self.next_index, last_index, size))
         self.outstanding_bytes += size
         self.next_index = last_index + 1
@@ -65,7 +65,7 @@
         self.next_index = max(self.next_index, self.match_index + 1)
         while self.outstanding and self.outstanding[0].last_index <= self.match_index:
             self.outstanding_bytes -= self.outstanding.popleft().size
-            self.moved_at = now
+            self.advanced_at = now
 
     def fall_back(self, hint: int, round_number: int) -> None:
         """The follower lacks what came before: begin again after `hint`.
@@ -93,7 +93,7 @@
         if not any(sent.size > timing.overtaken_bytes for sent in self.outstanding):
             return False
         most = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_pace
-        return now - self.moved_at <= most
+        return now - self.advanced_at <= most
 
     def _clear_outstanding(self) -> None:
         self.outstanding.clear()
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -18,8 +18,8 @@
 from .progress import NEVER
 
 OWN = ""  # stands for the owner itself among those who ask
-MOST_WAITING_OF_ONE = 8  # questions of one follower; more are dropped, as it asks again
-MOST_REMEMBERED = 16  # questions and answers that a follower keeps; older ones prove nothing of use
+MAX_PENDING_PER_FOLLOWER = 8  # questions of one follower; more are dropped, as it asks again
+MAX_REMEMBERED_REQUESTS = 16  # questions and answers that a follower keeps; older ones prove nothing of use
 
 
 @attrs.frozen
@@ -29,7 +29,7 @@
     ticket: int
     round: int
     index: int
-    asker: ReplicaId = OWN
+    requester: ReplicaId = OWN
 
 
 class PendingReads:
@@ -40,13 +40,13 @@
 
     def add(self, read: PendingRead) -> None:
         """Adds a question; its round and index are at least those of the one before."""
-        if read.asker != OWN and self._count(read.asker) >= MOST_WAITING_OF_ONE:
+        if read.requester != OWN and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
             return
         self._waiting.append(read)
 
     def own_tickets(self) -> list[int]:
         """The tickets of the owner's own questions that wait."""
-        return [read.ticket for read in self._waiting if read.asker == OWN]
+        return [read.ticket for read in self._waiting if read.requester == OWN]
 
     def take_ready(self, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
         """Takes out the questions that may be answered now."""
@@ -61,8 +61,8 @@
     def __bool__(self) -> bool:
         return bool(self._waiting)
 
-    def _count(self, asker: ReplicaId) -> int:
-        return sum(1 for read in self._waiting if read.asker == asker)
+    def _count(self, requester: ReplicaId) -> int:
+        return sum(1 for read in self._waiting if read.requester == requester)
 
 
 @attrs.frozen
@@ -82,27 +82,27 @@
         self.confirmed_at = NEVER
         self._next_ticket = first_ticket
         self._pause = pause
-        self._last_asked_at = NEVER
-        self._asked_at: dict[int, float] = {}
-        self._answers: deque[_Answer] = deque(maxlen=MOST_REMEMBERED)
+        self._last_requested_at = NEVER
+        self._requested_at: dict[int, float] = {}
+        self._answers: deque[_Answer] = deque(maxlen=MAX_REMEMBERED_REQUESTS)
 
     def is_due(self, now: float) -> bool:
         """Whether another question should be asked."""
-        return now - self._last_asked_at >= self._pause
+        return now - self._last_requested_at >= self._pause
 
     def ask(self, now: float) -> int:
         """Notes a question asked now; its ticket."""
         ticket = self._next_ticket
         self._next_ticket += 1
-        self._last_asked_at = now
-        self._asked_at[ticket] = now
-        while len(self._asked_at) > MOST_REMEMBERED:
-            del self._asked_at[next(iter(self._asked_at))]
+        self._last_requested_at = now
+        self._requested_at[ticket] = now
+        while len(self._requested_at) > MAX_REMEMBERED_REQUESTS:
+            del self._requested_at[next(iter(self._requested_at))]
         return ticket
 
     def answered(self, ticket: int, index: int) -> None:
         """The owner, confirmed after the question, had committed up to `index` when it came."""
-        asked_at = self._asked_at.pop(ticket, None)
+        asked_at = self._requested_at.pop(ticket, None)
         if asked_at is None:
             return
         self.confirmed_at = max(self.confirmed_at, asked_at)
@@ -116,6 +116,6 @@
     def forget(self) -> None:
         """The owner or the epoch has changed: what was asked and answered counts no more."""
         self.confirmed_at = NEVER
-        self._last_asked_at = NEVER
-        self._asked_at.clear()
+        self._last_requested_at = NEVER
+        self._requested_at.clear()
         self._answers.clear()
--- a/kestrelbend/tier/replication/replica.py
+++ b/kestrelbend/tier/replication/replica.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from .effects import Effects
-from .election import Elections
-from .follower import Following
+from .election import Election
+from .follower import FollowerState
 from .group import Voters
 from .messages import (
     AppendEntries,
@@ -24,12 +24,12 @@
     ReplicaMessage,
     RequestVote,
     ShardId,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotReply,
-    TransferOwnership,
+    TransferLeadership,
     VoteReply,
 )
-from .owner import Ownership
+from .leader import LeaderState
 from .placement import Placement, Target
 from .progress import NEVER
 from .read_index import OWN, FollowerReads, PendingRead
@@ -50,19 +50,19 @@
         timing: Timing,
         now: float,
         first_ticket: int = 1,
-        tells_commits: bool = True,
+        announces_commits: bool = True,
     ) -> None:
         self.shard = shard
         self.identity = identity
         self._timing = timing
-        self._tells_commits = tells_commits
+        self._announces_commits = announces_commits
         self._state = ReplicaState(shard, identity, durable, timing)
-        self._elections = Elections(self._state, now)
-        self._owner: Ownership | None = None
-        self._following: Following | None = None
+        self._election = Election(self._state, now)
+        self._owner: LeaderState | None = None
+        self._following: FollowerState | None = None
         self._placement = Placement(self._state)
         self._next_confirmation = 1
-        self._reads = FollowerReads(first_ticket, timing.read_index_pause)
+        self._reads = FollowerReads(first_ticket, timing.read_index_interval)
         self._watches_currency = False
         self._now = now
         if durable.snapshot.index > 0:
@@ -105,9 +105,9 @@
         """The same for the newest group here, committed or not."""
         return self._state.log.placement_number
 
-    def is_settled(self, now: float) -> bool:
+    def is_stable(self, now: float) -> bool:
         """As the owner: no change is under way, and every live voter's disk holds what is committed."""
-        return self._owner is not None and self._placement.is_settled(self._owner, now)
+        return self._owner is not None and self._placement.is_stable(self._owner, now)
 
     @property
     def commit_index(self) -> int:
@@ -121,7 +121,7 @@
     @property
     def last_contact(self) -> float:
         """When the replica last heard from an owner."""
-        return self._elections.heard_at
+        return self._election.last_contact_at
 
     @property
     def confirmed_at(self) -> float:
@@ -156,7 +156,7 @@
             return
         self._advance_clock(now)
         if isinstance(message, AppendEntries):
-            if self._hear_owner(message, now):
+            if self._accept_leader(message, now):
                 self._following.append(message)
         elif isinstance(message, AppendReply):
             self._receive_append_reply(message, now)
@@ -164,13 +164,13 @@
             self._receive_vote_request(message, now)
         elif isinstance(message, VoteReply):
             self._receive_vote(message, now)
-        elif isinstance(message, SnapshotPiece):
-            if self._hear_owner(message, now):
-                self._following.take_piece(message)
+        elif isinstance(message, SnapshotChunk):
+            if self._accept_leader(message, now):
+                self._following.receive_chunk(message)
         elif isinstance(message, SnapshotReply):
             self._receive_snapshot_reply(message, now)
-        elif isinstance(message, TransferOwnership):
-            self._receive_transfer(message, now)
+        elif isinstance(message, TransferLeadership):
+            self._receive_transfer_request(message, now)
         elif isinstance(message, ReadIndexRequest):
             self._receive_read_request(message)
         elif isinstance(message, ReadIndexReply):
@@ -181,17 +181,17 @@
         self._advance_clock(now)
         if self._owner is not None:
             self._tick_owner(now)
-        elif self._elections.is_due(now):
+        elif self._election.is_due(now):
             self._follow_nobody()
-            self._elections.begin_trial(now)
+            self._election.begin_pre_vote(now)
         elif self._following is not None:
-            self._ask_when_due(now)
+            self._request_read_index_when_due(now)
 
     def written(self, ticket: int, now: float) -> None:
         """The write `ticket` is on the disk, and so are all before it."""
         self._advance_clock(now)
         self._state.written(ticket)
-        elected = self._elections.written(now)
+        elected = self._election.written(now)
         if self._owner is not None:
             self._advance_commit(now)
         elif elected:
@@ -202,7 +202,7 @@
     def propose(self, command: bytes, now: float) -> int | None:
         """Appends a command; its index, or None where this replica can't take it as the owner."""
         self._advance_clock(now)
-        if self._owner is None or self._placement.hands_over or not self._owner.in_touch(now):
+        if self._owner is None or self._placement.is_transferring or not self._owner.in_touch(now):
             return None
         return self._owner.append(EntryKind.COMMAND, command)
 
@@ -228,7 +228,7 @@
         A target with a lower number than the last one, or than the group's, is not followed.  One with an
         epoch was decided by this replica itself, as that epoch's owner, and counts in no other.
         """
-        self._placement.aim(Target(tuple(voters), number, epoch))
+        self._placement.set_target(Target(tuple(voters), number, epoch))
         if self._owner is not None:
             self._placement.follow_group(self._owner, self._now)
 
@@ -236,7 +236,7 @@
         """Hands the ownership over, where this replica has it; owns on where nobody can take it."""
         self._advance_clock(now)
         if self._owner is not None:
-            self._placement.hand_over(self._owner, self._state.other_voters(), now)
+            self._placement.begin_transfer(self._owner, self._state.other_voters(), now)
 
     def compact(self, index: int, state: bytes) -> None:
         """Takes the state machine's state after the applied entry `index` in place of the entries."""
@@ -265,7 +265,7 @@
         if owner is not None:
             for read in owner.confirmed_reads():
                 self._answer_read(read)
-        return self._state.take_effects()
+        return self._state.drain_effects()
 
     def _advance_clock(self, now: float) -> None:
         """Notes the time; a process that stood still believes nothing of what it knew before."""
@@ -273,8 +273,8 @@
         self._now = now
         if not stood_still:
             return
-        self._state.disk.forgive(now)
-        self._elections.rest(now)
+        self._state.disk.restart_stall_clock(now)
+        self._election.rest(now)
         if self._owner is not None:
             self._step_down(now)
 
@@ -285,27 +285,27 @@
         if self._owner is not None:
             self._step_down(now)
         self._follow_nobody()
-        self._elections.end_campaigns()
+        self._election.end_campaigns()
         self._state.raise_epoch(epoch)
 
     def _step_down(self, now: float) -> None:
         self._state.effects.lost.extend(self._owner.waiting_reads())
-        self._state.effects.ownership_changed = True
+        self._state.effects.leadership_changed = True
         self._owner = None
         self._placement.reset()
-        self._elections.rest(now)
+        self._election.rest(now)
 
     def _follow_nobody(self) -> None:
         self._reads.forget()
         if self._following is not None:
             self._following = None
-            self._state.effects.ownership_changed = True
+            self._state.effects.leadership_changed = True
 
     def _begin_ownership(self, now: float) -> None:
         self._follow_nobody()
-        self._elections.end_campaigns()
-        self._owner = Ownership(self._state, now, self._tells_commits)
-        self._state.effects.ownership_changed = True
+        self._election.end_campaigns()
+        self._owner = LeaderState(self._state, now, self._announces_commits)
+        self._state.effects.leadership_changed = True
         self._placement.follow_group(self._owner, self._now)
         self._owner.begin_round(now)
         self._owner.append(EntryKind.EMPTY, b"")
@@ -315,25 +315,25 @@
     def _receive_vote_request(self, request: RequestVote, now: float) -> None:
         if request.epoch > self.epoch and not request.trial:
             self._enter_epoch(request.epoch, now)
-        self._elections.answer(request, now, owns=self.is_owner)
+        self._election.answer(request, now, owns=self.is_owner)
 
     def _receive_vote(self, reply: VoteReply, now: float) -> None:
         if reply.granted:
-            if self._elections.count(reply):
+            if self._election.count(reply):
                 self._begin_ownership(now)
         elif reply.epoch > self.epoch:
             self._enter_epoch(reply.epoch, now)
 
-    def _receive_transfer(self, message: TransferOwnership, now: float) -> None:
+    def _receive_transfer_request(self, message: TransferLeadership, now: float) -> None:
         if message.epoch == self.epoch and self._owner is None and self._state.is_voter:
             self._follow_nobody()
-            self._elections.begin_candidacy()
+            self._election.become_candidate()
 
     # Following
 
-    def _hear_owner(self, message: AppendEntries | SnapshotPiece, now: float) -> bool:
+    def _accept_leader(self, message: AppendEntries | SnapshotChunk, now: float) -> bool:
         """Whether the sender owns the present epoch; an older owner is told of the newer one."""
-        if self._is_of_former_owner(message):
+        if self._is_of_former_leader(message):
             refusal = AppendReply(self.shard, self.identity, self.epoch, False, 0, message.round)
             self._state.send(message.sender, refusal)
             return False
@@ -341,18 +341,18 @@
         if message.epoch > self.epoch:
             self._enter_epoch(message.epoch, now)
         if self._following is None:
-            self._following = Following(self._state, message.sender)
-            self._state.effects.ownership_changed = True
-        self._elections.heard_owner(now)
+            self._following = FollowerState(self._state, message.sender)
+            self._state.effects.leadership_changed = True
+        self._election.leader_contacted(now)
         return True
 
-    def _is_of_former_owner(self, message: AppendEntries | SnapshotPiece) -> bool:
+    def _is_of_former_leader(self, message: AppendEntries | SnapshotChunk) -> bool:
         """Whether a newer epoch has begun here: nothing of an older one counts any more."""
         return message.epoch < self.epoch
 
     # Reads
 
-    def _ask_when_due(self, now: float) -> None:
+    def _request_read_index_when_due(self, now: float) -> None:
         """Asks the owner up to where the shard is committed, where this replica watches its currency."""
         if not self._watches_currency or not self._reads.is_due(now):
             return
@@ -370,11 +370,11 @@
         self._reads.answered(reply.ticket, reply.index)
 
     def _answer_read(self, read: PendingRead) -> None:
-        if read.asker == OWN:
+        if read.requester == OWN:
             self._state.effects.confirmed.append(read.ticket)
             return
         reply = ReadIndexReply(self.shard, self.identity, self.epoch, read.ticket, read.index)
-        self._state.send(read.asker, reply)
+        self._state.send(read.requester, reply)
 
     # Owning
 
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -17,13 +17,13 @@
 
 import attrs
 
-from .messages import ShardId, Snapshot, SnapshotPiece, SnapshotReply
+from .messages import ShardId, Snapshot, SnapshotChunk, SnapshotReply
 from .timing import Timing
 
 DIGEST_BYTES = 16
-MOST_SNAPSHOT_BYTES = 1 << 30
+MAX_SNAPSHOT_BYTES = 1 << 30
 SMOOTHING = 0.25  # the weight of the newest round trip
-PATIENCE_ROUND_TRIPS = 4.0
+TIMEOUT_ROUND_TRIPS = 4.0
 
 
 def digest_of(state: bytes) -> bytes:
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Piece:
+class Chunk:
     """A part of a snapshot's state that is to be sent."""
 
     offset: int
@@ -52,27 +52,27 @@
         self.size = len(snapshot.state)
         self.digest = digest_of(snapshot.state)
         self.received = 0
-        self.is_whole = False
+        self.is_complete = False
         self._timing = timing
         self._next_offset = 0
         self._began = False
         self._advanced_round = 0
-        self._moved_at = now
+        self._advanced_at = now
         self._round_trip = 0.0
         self._retries = 0
         self._sent_at: deque[tuple[int, float]] = deque()  # the end of each piece under way
 
-    def due(self, now: float) -> Iterator[Piece]:
+    def due(self, now: float) -> Iterator[Chunk]:
         """The pieces to be sent now."""
-        if self._began and now - self._moved_at > self._patience():
+        if self._began and now - self._advanced_at > self._timeout():
             self._retries += 1
             self.resume()
         if not self._began:
             self._began = True
-            self._moved_at = now
-            yield self._next_piece(now)
+            self._advanced_at = now
+            yield self._next_chunk(now)
         while self._next_offset < min(self.size, self.received + self._timing.snapshot_window):
-            yield self._next_piece(now)
+            yield self._next_chunk(now)
 
     def resume(self) -> None:
         """What is under way is lost: goes on at what the follower has."""
@@ -92,22 +92,22 @@
             if reply.round > self._advanced_round:
                 self._go_back(reply)
             return
-        self.is_whole = reply.received == self.size
+        self.is_complete = reply.received == self.size
         if reply.received > self.received:
             self._advance(reply, now)
 
-    def _next_piece(self, now: float) -> Piece:
+    def _next_chunk(self, now: float) -> Chunk:
         offset = self._next_offset
-        data = self.snapshot.state[offset : offset + self._timing.piece_bytes]
+        data = self.snapshot.state[offset : offset + self._timing.chunk_bytes]
         self._next_offset += len(data)
         self._sent_at.append((self._next_offset, now))
-        return Piece(offset, data)
+        return Chunk(offset, data)
 
     def _advance(self, reply: SnapshotReply, now: float) -> None:
         self.received = reply.received
         self._next_offset = max(self._next_offset, self.received)
         self._advanced_round = max(self._advanced_round, reply.round)
-        self._moved_at = now
+        self._advanced_at = now
         self._retries = 0
         while self._sent_at and self._sent_at[0][0] <= self.received:
             _, sent_at = self._sent_at.popleft()
@@ -123,12 +123,12 @@
             round_trip = SMOOTHING * round_trip + (1 - SMOOTHING) * self._round_trip
         self._round_trip = round_trip
 
-    def _patience(self) -> float:
+    def _timeout(self) -> float:
         """How long the bytes under way may take, by the pace of those before them."""
         timing = self._timing
         if not self._round_trip:
             return timing.snapshot_retry
-        patience = PATIENCE_ROUND_TRIPS * self._round_trip
+        patience = TIMEOUT_ROUND_TRIPS * self._round_trip
         longest = max(patience, timing.snapshot_retry)
         return min(max(patience * 2**self._retries, timing.reply_timeout), longest)
 
@@ -171,9 +171,9 @@
         self._epoch = 0
         self._bytes = HashedBytes()
 
-    def take(self, piece: SnapshotPiece) -> Snapshot | None:
+    def take(self, piece: SnapshotChunk) -> Snapshot | None:
         """Adds a piece that follows what is here; the snapshot once it is whole and its digest is right."""
-        if not 0 <= piece.size <= MOST_SNAPSHOT_BYTES or self._is_late(piece):
+        if not 0 <= piece.size <= MAX_SNAPSHOT_BYTES or self._is_late(piece):
             return None
         self._begin_where_new(piece)
         self._epoch = piece.epoch
@@ -188,7 +188,7 @@
             return None
         return attrs.evolve(piece.snapshot, state=bytes(whole.state))
 
-    def received(self, piece: SnapshotPiece) -> int:
+    def received(self, piece: SnapshotChunk) -> int:
         """How many bytes of the piece's snapshot are here."""
         return len(self._bytes.state) if self._incoming == _incoming(piece) else 0
 
@@ -202,29 +202,29 @@
         if self._incoming is not None and self._incoming.head.index <= index:
             self.forget()
 
-    def _is_late(self, piece: SnapshotPiece) -> bool:
+    def _is_late(self, piece: SnapshotChunk) -> bool:
         """Whether the owner has gone on to a newer snapshot since it sent this piece."""
         incoming = self._incoming
         return (
             incoming is not None and piece.epoch <= self._epoch and piece.snapshot.index < incoming.head.index
         )
 
-    def _begin_where_new(self, piece: SnapshotPiece) -> None:
+    def _begin_where_new(self, piece: SnapshotChunk) -> None:
         incoming = _incoming(piece)
         if self._incoming != incoming:
             self._incoming = incoming
             self._bytes = HashedBytes()
 
 
-def _incoming(piece: SnapshotPiece) -> _Incoming:
+def _incoming(piece: SnapshotChunk) -> _Incoming:
     return _Incoming(piece.snapshot, piece.size, piece.digest)
 
 
-def piece_message(
-    sender: SnapshotSender, piece: Piece, shard: ShardId, replica: str, epoch: int, round_number: int
-) -> SnapshotPiece:
+def chunk_message(
+    sender: SnapshotSender, piece: Chunk, shard: ShardId, replica: str, epoch: int, round_number: int
+) -> SnapshotChunk:
     """The message that carries a piece."""
-    return SnapshotPiece(
+    return SnapshotChunk(
         shard=shard,
         sender=replica,
         epoch=epoch,
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -114,7 +114,7 @@
         """A record of these entries and this snapshot with the present epoch and vote."""
         return DurableRecord(self.shard, self.identity, self.epoch, self.voted_for, entries, snapshot)
 
-    def take_effects(self) -> Effects:
+    def drain_effects(self) -> Effects:
         """Drains the effects."""
         effects, self.effects = self.effects, Effects()
         return effects
--- a/kestrelbend/tier/replication/timing.py
+++ b/kestrelbend/tier/replication/timing.py
@@ -15,14 +15,14 @@
 
     heartbeat: float = 0.1  # between two rounds of the owner
     election_timeout: float = 0.45  # without contact, until the first voter campaigns or an owner gives up
-    first_trial: float = 0.1  # from the start of a process until its first trial: it heard nobody yet
+    first_pre_vote: float = 0.1  # from the start of a process until its first trial: it heard nobody yet
     rank_step: float = 0.12  # later for each place in the group
     jitter: float = 0.03  # at most, so that no two voters campaign at one moment for ever
     sticky: float = 0.3  # a voter that heard an owner this recently refuses a trial
-    trial_retry: float = 0.15  # between two trials of one candidate
-    trial_patience: float = 0.25  # that a voter which granted a trial holds back its own, once
+    pre_vote_interval: float = 0.15  # between two trials of one candidate
+    pre_vote_backoff: float = 0.25  # that a voter which granted a trial holds back its own, once
     reply_timeout: float = 0.3  # without a reply, until the owner sends heartbeats alone
-    read_index_pause: float = 0.2  # between two questions of a follower that watches its currency
+    read_index_interval: float = 0.2  # between two questions of a follower that watches its currency
     snapshot_retry: float = 1.0  # until a first piece of a snapshot counts as lost
     disk_stall: float = 0.8  # that a write may take before the disk counts as stalled
     transfer_timeout: float = 1.0  # that a handover may take
@@ -31,7 +31,7 @@
     window_bytes: int = 256 * 1024  # under way to one follower, unless one entry is larger
     overtaken_bytes: int = 16 * 1024  # of an AppendEntries, from which on smaller messages may overtake it
     overtaken_pace: int = 512 * 1024  # bytes a second, below which such a message counts as lost
-    piece_bytes: int = 64 * 1024  # of a snapshot, in one message
+    chunk_bytes: int = 64 * 1024  # of a snapshot, in one message
     snapshot_window: int = 128 * 1024  # of a snapshot, under way to one follower
     tail_entries: int = 500  # kept before a snapshot for followers that lag
     tail_bytes: int = 4 * 1024 * 1024  # the same by their data
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -37,9 +37,9 @@
     ReadIndexReply,
     ReadIndexRequest,
     RequestVote,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotReply,
-    TransferOwnership,
+    TransferLeadership,
     VoteReply,
 )
 from ..replication.replica import Timing
@@ -62,9 +62,9 @@
     VoteReply,
     AppendEntries,
     AppendReply,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotReply,
-    TransferOwnership,
+    TransferLeadership,
     ReadIndexRequest,
     ReadIndexReply,
 )
@@ -132,7 +132,7 @@
             machine_for=self.machine_for,
             hosts=self.hosts_shard,
             on_applied=self.on_applied,
-            tells_commits=lambda shard: shard == CONFIGURATION_SHARD,  # nobody reads budgets at followers
+            announces_commits=lambda shard: shard == CONFIGURATION_SHARD,  # nobody reads budgets at followers
         )
         self.host.load(records)
         self.journal.start()
@@ -324,7 +324,7 @@
                     commit_index=replica.commit_index,
                     committed_voters=replica.committed_voters,
                     placement_number=replica.committed_placement_number,
-                    settled=replica.is_settled(now),
+                    settled=replica.is_stable(now),
                 )
             )
         return tuple(reports)
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -307,7 +307,7 @@
 
     def _work(self, node):
         effects = node.replica.take()
-        if effects.ownership_changed and node.replica.is_owner:
+        if effects.leadership_changed and node.replica.is_owner:
             self.promises.owns(node.replica)
         for ticket, record in effects.writes:
             node.unsynced.append((ticket, record))
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -43,7 +43,7 @@
     }
     now = world.fleet.now()
     for shard in SHARDS:
-        settled = [replica for replica in owners(world, shard) if replica.is_settled(now)]
+        settled = [replica for replica in owners(world, shard) if replica.is_stable(now)]
         if not settled or not here.issuperset(settled[0].voters) or len(settled[0].voters) < 3:
             return False
     return True
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -19,7 +19,7 @@
     FramingError,
 )
 from kestrelbend.tier.protocol.peer_connection import ANY_ORDER, PeerConnection
-from kestrelbend.tier.replication.messages import AppendEntries, Entry, TransferOwnership
+from kestrelbend.tier.replication.messages import AppendEntries, Entry, TransferLeadership
 from tests.tier import virtual_time
 from tests.tier.link_doubles import EndpointDouble, MemoryTransport
 
@@ -82,9 +82,9 @@
         while len(sent_at) < 30:
             path.run(path.now + 0.1)
             sent_at.append(path.now)
-            path.writers[0].add(encode(TransferOwnership("s", "a", len(sent_at))))
+            path.writers[0].add(encode(TransferLeadership("s", "a", len(sent_at))))
         path.run(path.now + 1.0)
-        arrived_at = {m.epoch: at for at, _, m in path.arrived if isinstance(m, TransferOwnership)}
+        arrived_at = {m.epoch: at for at, _, m in path.arrived if isinstance(m, TransferLeadership)}
         waits = [arrived_at[number] - at for number, at in enumerate(sent_at, 1)]
         self.assertLess(max(waits), 0.1)
         (whole_at,) = [at for at, _, message in path.arrived if isinstance(message, AppendEntries)]
@@ -96,9 +96,9 @@
         for path in paths:
             path.writers[0].add(encode(append(BODY[: 1 << 20])))
             path.run(2.0)
-            path.writers[0].add(encode(TransferOwnership("s", "a", 1)))
+            path.writers[0].add(encode(TransferLeadership("s", "a", 1)))
             path.run(2.5)
-            (at,) = [at for at, _, message in path.arrived if isinstance(message, TransferOwnership)]
+            (at,) = [at for at, _, message in path.arrived if isinstance(message, TransferLeadership)]
             waits.append(at - 2.0)
         self.assertLess(max(waits), 0.2)
 
@@ -199,7 +199,7 @@
                 connections[side].connection_made(transports[side])
             connections[0].send(append(BODY))
             await asyncio.sleep(0.5)
-            self.assertIsNone(await connections[0].request(TransferOwnership("s", "a", 1), 0.35))
+            self.assertIsNone(await connections[0].request(TransferLeadership("s", "a", 1), 0.35))
             self.assertFalse(transports[0].aborted)
             await asyncio.sleep(2.0)
             self.assertEqual(2, len(connections[1]._endpoint.got))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -163,7 +163,7 @@
 
     def test_an_unknown_guard_and_a_function_that_is_gone_are_errors(self):
         self.assertRaises(UnknownGuard, find, "no-such-guard")
-        self.assertRaises(UnknownGuard, locate, "replication.owner:Ownership.no_such_function")
+        self.assertRaises(UnknownGuard, locate, "replication.leader:LeaderState.no_such_function")
 
     def test_each_guard_is_found_by_something(self):
         finders = {*FOUND_BY_MODEL, *FOUND_BY_MODEL_OF_ORDERS, *FOUND_BY_TEST, *FOUND_BY_DAY}
@@ -347,9 +347,9 @@
         cluster = Cluster()
         cluster.run(1.0)
         owner = cluster.owner().replica
-        asker = next(node for node in cluster.nodes.values() if node.replica is not owner)
+        requester = next(node for node in cluster.nodes.values() if node.replica is not owner)
         for ticket, epoch in ((1, owner.epoch - 1), (2, owner.epoch + 1), (3, owner.epoch)):
-            owner.receive(ReadIndexRequest(SHARD, asker.identity, epoch, ticket), cluster.now)
+            owner.receive(ReadIndexRequest(SHARD, requester.identity, epoch, ticket), cluster.now)
         cluster.run(0.5)
         replies = [message for _, _, message in cluster.sent if isinstance(message, ReadIndexReply)]
         self.assertEqual([3], [reply.ticket for reply in replies])
--- a/tests/tier/test_protocol.py
+++ b/tests/tier/test_protocol.py
@@ -15,7 +15,7 @@
 from kestrelbend.tier.protocol.codec import MESSAGES, DecodeError, decode, decode_with_sequence, encode
 from kestrelbend.tier.protocol.framing import MAX_MESSAGE_BYTES, HEADER_WORD
 from kestrelbend.tier.protocol.peer_connection import PeerConnection
-from kestrelbend.tier.replication.messages import AppendEntries, DurableRecord, Entry, TransferOwnership
+from kestrelbend.tier.replication.messages import AppendEntries, DurableRecord, Entry, TransferLeadership
 from tests.tier.link_doubles import EndpointDouble, MemoryTransport
 
 PLAIN = {int: 7, str: "näme", bytes: b"\x00\xff", bool: True}
@@ -48,7 +48,7 @@
         sys.setswitchinterval(1e-6)
 
         def encode_many(name):
-            message = TransferOwnership(name * 50, name, 1)
+            message = TransferLeadership(name * 50, name, 1)
             wanted = encode(message)
             return sum(encode(message) != wanted for _ in range(4000))
 
@@ -107,7 +107,7 @@
 
     def test_given_bytes_one_by_one_when_frames_come_then_all_messages_are_there_in_order(self):
         async def play():
-            sent = [TransferOwnership("s", "a", epoch) for epoch in range(5)]
+            sent = [TransferLeadership("s", "a", epoch) for epoch in range(5)]
             for message in sent:
                 self.connections[0].send(message)
             await self.pump(chunk=1)
@@ -118,7 +118,7 @@
 
     def test_given_two_requests_when_answered_then_each_gets_its_own_reply(self):
         async def play():
-            requests = [TransferOwnership("s", "a", epoch) for epoch in (1, 2)]
+            requests = [TransferLeadership("s", "a", epoch) for epoch in (1, 2)]
             asked = [asyncio.ensure_future(self.connections[0].request(one, 5)) for one in requests]
             await self.pump()
             await self.pump()
@@ -128,17 +128,17 @@
 
     def test_given_a_request_under_way_when_the_connection_ends_then_there_is_no_reply(self):
         async def play():
-            asked = asyncio.ensure_future(self.connections[0].request(TransferOwnership("s", "a", 1), 5))
+            asked = asyncio.ensure_future(self.connections[0].request(TransferLeadership("s", "a", 1), 5))
             await asyncio.sleep(0)
             self.connections[0].connection_lost(None)
             self.assertIsNone(await asked)
-            self.assertFalse(self.connections[0].send(TransferOwnership("s", "a", 2)))
+            self.assertFalse(self.connections[0].send(TransferLeadership("s", "a", 2)))
 
         self.story(play)
 
     def test_given_a_peer_that_says_nothing_when_a_request_times_out_then_the_connection_is_given_up(self):
         async def play():
-            self.assertIsNone(await self.connections[0].request(TransferOwnership("s", "a", 1), 0))
+            self.assertIsNone(await self.connections[0].request(TransferLeadership("s", "a", 1), 0))
             self.assertTrue(self.transports[0].aborted)
 
         self.story(play)
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -14,8 +14,8 @@
 )
 from kestrelbend.tier.replication.progress import NEVER
 from kestrelbend.tier.replication.read_index import (
-    MOST_REMEMBERED,
-    MOST_WAITING_OF_ONE,
+    MAX_REMEMBERED_REQUESTS,
+    MAX_PENDING_PER_FOLLOWER,
     FollowerReads,
     PendingRead,
     PendingReads,
@@ -183,7 +183,7 @@
 
     def test_a_process_that_stood_still_is_not_current_by_what_lay_in_its_sockets(self):
         cluster = settled()
-        cluster.run_until(lambda: cluster.nodes["c"].replica._reads._asked_at, 0.5)
+        cluster.run_until(lambda: cluster.nodes["c"].replica._reads._requested_at, 0.5)
         cluster.freeze("c")
         cluster.run(3.0)
         cluster.propose(b"meanwhile")
@@ -279,15 +279,15 @@
         for ticket in range(100):
             reads.add(PendingRead(ticket, 1, 1, "b#1"))
         reads.add(PendingRead(7, 1, 1))
-        self.assertEqual(MOST_WAITING_OF_ONE + 1, len(reads.take_ready(1, 1)))
+        self.assertEqual(MAX_PENDING_PER_FOLLOWER + 1, len(reads.take_ready(1, 1)))
 
     def test_given_an_owner_that_never_answers_then_few_questions_are_remembered(self):
         reads = FollowerReads(first_ticket=1, pause=0.2)
         tickets = [reads.ask(float(number)) for number in range(100)]
         reads.answered(tickets[0], 0)
         self.assertEqual(NEVER, reads.confirmed_at)
-        reads.answered(tickets[-MOST_REMEMBERED], 0)
-        self.assertEqual(100.0 - MOST_REMEMBERED, reads.confirmed_at)
+        reads.answered(tickets[-MAX_REMEMBERED_REQUESTS], 0)
+        self.assertEqual(100.0 - MAX_REMEMBERED_REQUESTS, reads.confirmed_at)
 
     def test_given_answers_out_of_order_then_the_newest_question_counts(self):
         reads = FollowerReads(first_ticket=1, pause=0.2)
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -137,7 +137,7 @@
     def work(self, name):
         replica = self.replicas[name]
         effects = replica.take()
-        if effects.ownership_changed and replica.is_owner:
+        if effects.leadership_changed and replica.is_owner:
             self.promises.owns(replica)
         for write in effects.writes:
             self.unsynced[name].append(write)
--- a/tests/tier/test_replication_placement.py
+++ b/tests/tier/test_replication_placement.py
@@ -235,7 +235,7 @@
                     cluster.run_until(lambda c=cluster, t=target: c.group_is(t), within=CATCHUP_S)
                 )
                 settled = cluster.run_until(
-                    lambda c=cluster: c.owner().replica.is_settled(c.now), within=CATCHUP_S
+                    lambda c=cluster: c.owner().replica.is_stable(c.now), within=CATCHUP_S
                 )
                 self.assertTrue(settled)
                 cluster.wipe(leaving)
@@ -292,19 +292,17 @@
         cluster = self.given("abc", others="x")
         owner = cluster.owner()
         cluster.run(0.6)
-        self.assertTrue(owner.replica.is_settled(cluster.now))
+        self.assertTrue(owner.replica.is_stable(cluster.now))
         for other in "abc".replace(owner.name, ""):
             cluster.stall_disk(other)
         cluster.aim("abx", number=1)
         cluster.run_until(lambda: len(owner.replica.voters) == 4, within=1.0)
         self.assertEqual(4, len(owner.replica.voters))
         self.assertEqual((cluster.founders, 0), self.told(owner))
-        self.assertFalse(owner.replica.is_settled(cluster.now))
+        self.assertFalse(owner.replica.is_stable(cluster.now))
         for other in "abc".replace(owner.name, ""):
             cluster.mend_disk(other)
-        self.assertTrue(
-            cluster.run_until(lambda: cluster.owner().replica.is_settled(cluster.now), within=2.0)
-        )
+        self.assertTrue(cluster.run_until(lambda: cluster.owner().replica.is_stable(cluster.now), within=2.0))
 
     def told(self, node):
         return node.replica.committed_voters, node.replica.committed_placement_number
@@ -316,9 +314,9 @@
         cluster.stall_disk(lagging)
         self.write(cluster, b"that one lacks this")
         cluster.run(0.7)
-        self.assertFalse(owner.replica.is_settled(cluster.now))
+        self.assertFalse(owner.replica.is_stable(cluster.now))
         cluster.mend_disk(lagging)
-        self.assertTrue(cluster.run_until(lambda: owner.replica.is_settled(cluster.now), within=1.0))
+        self.assertTrue(cluster.run_until(lambda: owner.replica.is_stable(cluster.now), within=1.0))
 
     def test_given_a_voter_that_is_down_then_the_others_are_settled_and_without_a_majority_nobody_is(self):
         cluster = self.given("abc")
@@ -327,11 +325,11 @@
         cluster.lose_power(first)
         self.write(cluster, b"one is down")
         cluster.run(0.7)
-        self.assertTrue(owner.replica.is_settled(cluster.now))
-        self.assertFalse(cluster.nodes[second].replica.is_settled(cluster.now))
+        self.assertTrue(owner.replica.is_stable(cluster.now))
+        self.assertFalse(cluster.nodes[second].replica.is_stable(cluster.now))
         cluster.lose_power(second)
         cluster.run(0.7)
-        self.assertFalse(owner.replica.is_settled(cluster.now))
+        self.assertFalse(owner.replica.is_stable(cluster.now))
 
 
 class TestTimeUntilALossIsBorneAgain(PlacementStory):
@@ -352,14 +350,14 @@
         begun = cluster.now
         cluster.aim(target, number=1)
 
-        def is_whole():
+        def is_complete():
             cluster.propose(b"load")
             owner = cluster.owner()
-            if owner is None or not cluster.group_is(target) or not owner.replica.is_settled(cluster.now):
+            if owner is None or not cluster.group_is(target) or not owner.replica.is_stable(cluster.now):
                 return False
             return all(cluster.nodes[name].applied_index >= owner.applied_index - 50 for name in target)
 
-        self.assertTrue(cluster.run_until(is_whole, within=CATCHUP_S), f"{target}, {disk_delay}")
+        self.assertTrue(cluster.run_until(is_complete, within=CATCHUP_S), f"{target}, {disk_delay}")
         return cluster.now - begun
 
     def test_given_slow_disks_and_load_then_a_loss_is_borne_within_the_time_that_it_counts(self):
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -3,7 +3,7 @@
 import testtools
 
 from kestrelbend.tier.replication import Timing
-from kestrelbend.tier.replication.messages import AppendEntries, SnapshotPiece
+from kestrelbend.tier.replication.messages import AppendEntries, SnapshotChunk
 from tests.tier.replication_harness import Cluster
 
 
@@ -282,7 +282,7 @@
         cluster.start("c")
         cluster.run(0.5)
         self.assertEqual(cluster.promises.commands(), cluster.nodes["c"].commands)
-        pieces = [message for _, _, message in cluster.sent if isinstance(message, SnapshotPiece)]
+        pieces = [message for _, _, message in cluster.sent if isinstance(message, SnapshotChunk)]
         self.assertEqual(1, len({piece.snapshot.index for piece in pieces}))
         self.assertEqual(pieces[0].size, sum(len(piece.data) for piece in pieces))
 
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -8,7 +8,7 @@
 from kestrelbend.tier.budgets.shard_service import BudgetMachine
 from kestrelbend.tier.protocol.codec import decode, encode
 from kestrelbend.tier.replication import Timing
-from kestrelbend.tier.replication.host import COMPACT_ENTRIES, LATE_RECORD_BYTES, ShardHost
+from kestrelbend.tier.replication.host import COMPACT_ENTRIES, DEFERRED_RECORD_BYTES, ShardHost
 from kestrelbend.tier.storage.records import DeferredRecord, bytes_of
 
 SHARD = "budget-0"
@@ -116,10 +116,10 @@
     def test_given_a_large_record_when_it_is_written_then_the_journals_thread_makes_it(self):
         process = self.run_until_compacted()
         state = process.host.replica(SHARD).durable_record().snapshot.state
-        self.assertGreater(len(state), LATE_RECORD_BYTES)
+        self.assertGreater(len(state), DEFERRED_RECORD_BYTES)
         process.journal.wants_checkpoint = True
         process.run(1)
-        self.assertLess(process.journal.most_made_at_once, LATE_RECORD_BYTES)
+        self.assertLess(process.journal.most_made_at_once, DEFERRED_RECORD_BYTES)
         (record,) = process.journal.records
         self.assertEqual(state, decode(bytes_of(record)).snapshot.state)
 
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -6,13 +6,13 @@
 import testtools
 
 from kestrelbend.tier.replication import Timing
-from kestrelbend.tier.replication.messages import AppendEntries, Snapshot, SnapshotPiece, SnapshotReply
+from kestrelbend.tier.replication.messages import AppendEntries, Snapshot, SnapshotChunk, SnapshotReply
 from kestrelbend.tier.replication.snapshot_transfer import SnapshotReceiver, SnapshotSender
 from tests.tier.replication_harness import Cluster
 
 NARROW = 15_000_000 / 8  # bytes a second
 PIECE = 1000
-SMALL_PIECES = Timing(piece_bytes=PIECE, snapshot_window=2 * PIECE, retention=0.5, tail_entries=0)
+SMALL_PIECES = Timing(chunk_bytes=PIECE, snapshot_window=2 * PIECE, retention=0.5, tail_entries=0)
 COMMAND = b"x" * 100
 LARGE = b"z" * (4 << 20)
 
@@ -39,7 +39,7 @@
 
 
 def pieces_sent(cluster, receiver="c"):
-    return [m for _, to, m in cluster.sent if to == receiver and isinstance(m, SnapshotPiece)]
+    return [m for _, to, m in cluster.sent if to == receiver and isinstance(m, SnapshotChunk)]
 
 
 class TransferStories(testtools.TestCase):
@@ -240,7 +240,7 @@
         self.assertEqual(b"right", [receiver.take(piece) for piece in pieces][-1].state)
 
     def test_more_bytes_than_were_told_are_refused(self):
-        piece = pieces_of(b"right", piece_bytes=10)[0]
+        piece = pieces_of(b"right", chunk_bytes=10)[0]
         receiver = SnapshotReceiver()
         self.assertIsNone(receiver.take(attrs.evolve(piece, data=b"right and more")))
         self.assertEqual(0, receiver.received(piece))
@@ -286,14 +286,14 @@
         sender = sender_of(b"0123456789")
         sent(sender, 0.0)
         sender.replied(attrs.evolve(reply(sender, 10), digest=b"other"), 0.01)
-        self.assertFalse(sender.is_whole)
+        self.assertFalse(sender.is_complete)
 
 
-TINY = Timing(piece_bytes=2, snapshot_window=4)
+TINY = Timing(chunk_bytes=2, snapshot_window=4)
 
 
-def sender_of(state, index=7, piece_bytes=2):
-    timing = attrs.evolve(TINY, piece_bytes=piece_bytes)
+def sender_of(state, index=7, chunk_bytes=2):
+    timing = attrs.evolve(TINY, chunk_bytes=chunk_bytes)
     return SnapshotSender(Snapshot(index, 1, ("a", "b"), state), timing, 0.0)
 
 
@@ -305,14 +305,14 @@
     return SnapshotReply("s", "b", 1, sender.digest, received, round_number)
 
 
-def pieces_of(state, index=7, piece_bytes=2):
+def pieces_of(state, index=7, chunk_bytes=2):
     """All pieces of a snapshot, as messages of one owner."""
-    sender = sender_of(state, index, piece_bytes)
+    sender = sender_of(state, index, chunk_bytes)
     messages = []
-    while not sender.is_whole:
+    while not sender.is_complete:
         for piece in sent(sender, 0.0):
             messages.append(
-                SnapshotPiece(
+                SnapshotChunk(
                     "s", "a", 1, sender.head, sender.size, sender.digest, piece.offset, piece.data, 1
                 )
             )
@@ -321,7 +321,7 @@
 
 
 def thousand_changes_with_a_member_away():
-    tiny_pieces = attrs.evolve(SMALL_PIECES, piece_bytes=PIECE // 4, snapshot_window=PIECE // 2)
+    tiny_pieces = attrs.evolve(SMALL_PIECES, chunk_bytes=PIECE // 4, snapshot_window=PIECE // 2)
     return cluster_with_a_member_away(changes=1000, command=b"x" * 10, timing=tiny_pieces)
 
 
