--- a/kestrelbend/tier/errors.py
+++ b/kestrelbend/tier/errors.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-from typing import ClassVar
-
 
 class TierError(Exception):
     """An error of the tier; its text says what went wrong where, and what to do about it.
 
-    `code` names the kind of error for machines: "package.kind".  It does not change once it was given out.
+    `code` names the kind of error for machines; it does not change once it was given out.
     """
 
-    code: ClassVar[str] = "tier"
+    code: str = "tier"
--- a/kestrelbend/tier/fleet/settings.py
+++ b/kestrelbend/tier/fleet/settings.py
@@ -41,7 +41,7 @@
         zone=place.zone,
         region="region",
         zones={zone: "region" for zone in zones},
-        listen_front=f"{place.ip}:{FRONT_PORT}" if "front" in serves else "",
+        listen_clients=f"{place.ip}:{FRONT_PORT}" if "front" in serves else "",
         listen_ready=f"{place.ip}:{READY_PORT}" if "front" in serves else "",
         listen_control=f"{place.ip}:{CONTROL_PORT}" if "control" in serves else "",
         port_range=PORT_RANGE,
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -29,7 +29,7 @@
 SETTLE_S = 0.8
 
 
-class RoutingHolder:
+class RoutingState:
     """The routing table in force; `take` never goes back."""
 
     def __init__(self):
@@ -58,14 +58,14 @@
 
     def __init__(self, settings, settings_path, environment=None):
         super().__init__(settings, settings_path, environment)
-        self.routing = RoutingHolder()
+        self.routing = RoutingState()
         self._announced = AnnouncedVersions()
         self.view = BackendView()
         self.life = Life()
         self.budget_client: BudgetClient | None = None
         self._reservation_names = ReservationNames(settings.ip, self.incarnation)
         self._current = False
-        self._told_backends_at: float | None = None
+        self._backends_notified_at: float | None = None
         self.contact = GatewayContact(settings.ip)
         self._view_checked = 0.0
         self._serving: asyncio.Task | None = None
@@ -129,8 +129,8 @@
     def _take_backends(self, connection, update: BackendUpdate) -> None:
         now = self.now()
         self.view.take(update, now)
-        if update.whole and self._told_backends_at is None:
-            self._told_backends_at = now
+        if update.whole and self._backends_notified_at is None:
+            self._backends_notified_at = now
         connection.send(BackendAck(update.sender, update.number))
 
     def on_directory(self):
@@ -161,11 +161,11 @@
         connection = self.connections.to(address)
         if connection is None:
             return None
-        asked_at = self.now()
+        requested_at = self.now()
         reply = await connection.request(request, BUDGET_REPLY_S)
         if not isinstance(reply, BudgetReply):
             return None
-        self.contact.replied(address, request.shard, reply.owner, asked_at)
+        self.contact.replied(address, request.shard, reply.owner, requested_at)
         return reply
 
     def _may_wait(self, shard: str) -> bool:
@@ -225,17 +225,17 @@
     def _ask_for_contact(self, now: float) -> None:
         replicas = {shard: self._budget_addresses(shard) for shard in budget_shards()}
         self.contact.follow(self.control_addresses(), replicas)
-        for address, ticket in self.contact.questions(now).items():
+        for address, ticket in self.contact.due_requests(now).items():
             connection = self.connections.to(address)
             if connection is not None:
                 connection.send(ContactRequest(ticket))
 
     def _equipped(self, now: float) -> bool:
-        if not self._current or self.budget_client is None or self._told_backends_at is None:
+        if not self._current or self.budget_client is None or self._backends_notified_at is None:
             return False
         if not self.contact.serves(now):
             return False
-        if now - self._told_backends_at > SETTLED_BACKENDS_S:
+        if now - self._backends_notified_at > SETTLED_BACKENDS_S:
             return True
         table = self.routing.current()
         return all(self.view.of(service) for service in table.services)
@@ -249,7 +249,7 @@
                 [
                     Listener(
                         self.data_plane,
-                        self.settings.listen_front,
+                        self.settings.listen_clients,
                         self._served,
                         self.data_plane.close_intake,
                     ),
--- a/kestrelbend/tier/roles/gateway_contact.py
+++ b/kestrelbend/tier/roles/gateway_contact.py
@@ -1,9 +1,10 @@
 """Whether a gateway is in contact with the control nodes and with the owners of the budget shards.
 
-Contact is counted from the moment at which this gateway asked, never from the moment at which a word came:
-a process whose own packets are lost goes on hearing others for a while.  Invariants: a gateway is in contact
-only by an answer to a question of the last `CONTACT_S`; what a process on its own machine answers never
-stands for the network, except where that process itself has a majority's word (`in_contact`, `owned`).
+Contact is counted from the moment at which this gateway sent its request, never from the moment at which a
+reply came: a process whose own packets are lost goes on hearing others for a while.  Invariants: a gateway is
+in contact only by the reply to a request of the last `CONTACT_S`; what a process on its own machine replies
+never stands for the network, except where a majority has confirmed that process itself (`in_contact`,
+`owned`).
 
 Without an owner two cases differ.  While processes on other machines answer, an election is under way:
 requests wait, and readiness stays for `ELECTION_S`.  Where none of them answers, the gateway is cut off.
@@ -19,9 +20,9 @@
 from ..membership.messages import ContactWord
 from ..membership.standing import CONTACT_S
 
-ELECTION_S = 1.5  # without an owner, though others answer, until requests are no longer held
+ELECTION_S = 1.5  # without an owner, though others answer, until requests wait no longer
 STALL_S = 0.3  # between two ticks: this process stood still, and its silence is nobody else's
-FRESH_S = 0.2  # an answer to a question younger than this makes another question needless
+FRESH_S = 0.2  # the reply to a request younger than this makes another request needless
 NEVER = float("-inf")
 
 
@@ -34,19 +35,19 @@
 
 
 @attrs.define
-class _Shard:
+class _ShardContact:
     """What is known of one shard: the processes that may answer for it, and when an owner last did."""
 
     addresses: tuple[str, ...] = ()
-    confirming: str = ""  # who confirmed it last, where its word alone is enough
+    confirming: str = ""  # who confirmed it last, where its reply alone is enough
     confirmed_at: float = NEVER  # in running time, see `GatewayContact`
 
-    def confirm(self, address: str, asked_at: float) -> None:
-        """An answer to a question of that time confirms the owner; of several the nearest is asked on."""
-        if asked_at == self.confirmed_at and self._rank(self.confirming) <= self._rank(address):
+    def confirm(self, address: str, requested_at: float) -> None:
+        """The reply to a request of that time confirms the owner; of several the nearest is asked on."""
+        if requested_at == self.confirmed_at and self._rank(self.confirming) <= self._rank(address):
             return
-        if asked_at >= self.confirmed_at:
-            self.confirmed_at = asked_at
+        if requested_at >= self.confirmed_at:
+            self.confirmed_at = requested_at
             self.confirming = address
 
     def _rank(self, address: str) -> int:
@@ -64,14 +65,16 @@
 
 
 @attrs.frozen
-class _Question:
+class _SentRequest:
+    """A contact request whose reply has not come yet."""
+
     address: str
-    asked_at: float
-    asked_running: float
+    requested_at: float  # in true time, in seconds
+    requested_at_running: float  # the same in running time, see `GatewayContact`
 
 
 class GatewayContact:
-    """A gateway's questions, the answers to them, and what follows; without a clock of its own.
+    """A gateway's contact requests, the replies to them, and what follows; without a clock of its own.
 
     `machine` is the gateway's own address without the port.  Running time leaves out the spans in which this
     process stood still: after one of them nobody else counts as silent.  Refusals go by the true time.
@@ -79,12 +82,13 @@
 
     def __init__(self, machine: str) -> None:
         self._machine = machine
-        self._configuration = _Shard()
+        self._configuration = _ShardContact()
         self._confirmed_version = 0
         self._version_confirmed_at = NEVER  # in true time
-        self._shards: dict[str, _Shard] = {}
-        self._reached: dict[str, float] = {}  # address: running time of the last question that it answered
-        self._asked: dict[int, _Question] = {}  # by ticket, as long as an answer may say something
+        self._shards: dict[str, _ShardContact] = {}
+        # By address, the running time of the last request that was answered.
+        self._answered_at: dict[str, float] = {}
+        self._sent_requests: dict[int, _SentRequest] = {}  # by ticket, as long as a reply counts
         self._next_ticket = 1
         self._ticked_at = NEVER
         self._stood_still = 0.0
@@ -95,9 +99,9 @@
         """Takes the control nodes, and for each budget shard the addresses of its replicas."""
         self._configuration.addresses = tuple(controls)
         for shard, addresses in replicas.items():
-            self._shards.setdefault(shard, _Shard()).addresses = tuple(addresses)
+            self._shards.setdefault(shard, _ShardContact()).addresses = tuple(addresses)
         known = {*controls}.union(*replicas.values())
-        self._reached = {address: at for address, at in self._reached.items() if address in known}
+        self._answered_at = {address: at for address, at in self._answered_at.items() if address in known}
 
     def tick(self, now: float) -> None:
         """Time went on; to be called several times in `STALL_S`."""
@@ -106,40 +110,40 @@
             self._stood_still += gap
         self._ticked_at = now
 
-    def questions(self, now: float) -> dict[str, int]:
+    def due_requests(self, now: float) -> dict[str, int]:
         """Whom to ask now, each with a ticket.
 
         In calm times that is one control node and the owners that no request has reached lately; where one
         of these does not confirm, all that may answer for its shard.
         """
         running = now - self._stood_still
-        self._forget_old(running)
-        questions = {}
+        self._forget_expired(running)
+        tickets = {}
         for address in self._due(running):
-            questions[address] = self._next_ticket
-            self._asked[self._next_ticket] = _Question(address, now, running)
+            tickets[address] = self._next_ticket
+            self._sent_requests[self._next_ticket] = _SentRequest(address, now, running)
             self._next_ticket += 1
-        return questions
+        return tickets
 
-    def take(self, address: str, word: ContactWord) -> None:
-        """Takes an answer; without a question of its ticket to that address it says nothing."""
-        question = self._asked.get(word.ticket)
-        if question is None or question.address != address:
+    def take(self, address: str, reply: ContactWord) -> None:
+        """Takes a reply; without a request of its ticket to that address it says nothing."""
+        sent = self._sent_requests.get(reply.ticket)
+        if sent is None or sent.address != address:
             return
-        del self._asked[word.ticket]
-        self._reach(address, question.asked_running)
-        if word.in_contact:
-            tells_version = word.version > 0
-            self._configuration.confirm(address if tells_version else "", question.asked_running)
+        del self._sent_requests[reply.ticket]
+        self._note_answer(address, sent.requested_at_running)
+        if reply.in_contact:
+            tells_version = reply.version > 0
+            self._configuration.confirm(address if tells_version else "", sent.requested_at_running)
             if tells_version:
-                self._confirm_version(word.version, question.asked_at)
-        for shard in word.owned:
-            self._confirm_shard(shard, address, question.asked_running)
+                self._confirm_version(reply.version, sent.requested_at)
+        for shard in reply.owned:
+            self._confirm_shard(shard, address, sent.requested_at_running)
 
-    def replied(self, address: str, shard: str, owner: bool, asked_at: float) -> None:
+    def replied(self, address: str, shard: str, owner: bool, requested_at: float) -> None:
         """A budget request of that time was answered; `owner`: by a committed entry."""
-        running = asked_at - self._stood_still
-        self._reach(address, running)
+        running = requested_at - self._stood_still
+        self._note_answer(address, running)
         if owner:
             self._confirm_shard(shard, address, running)
 
@@ -155,7 +159,7 @@
 
     def shard(self, shard: str, now: float) -> Standing:
         """The standing to a budget shard."""
-        return self._standing(self._shards.get(shard, _Shard()), now)
+        return self._standing(self._shards.get(shard, _ShardContact()), now)
 
     def lost_shards(self, now: float) -> list[str]:
         """The shards whose owners can't be waited for."""
@@ -169,23 +173,23 @@
 
     # How it follows
 
-    def _reach(self, address: str, running: float) -> None:
-        self._reached[address] = max(self._reached.get(address, NEVER), running)
+    def _note_answer(self, address: str, running: float) -> None:
+        self._answered_at[address] = max(self._answered_at.get(address, NEVER), running)
 
     def _confirm_shard(self, shard: str, address: str, running: float) -> None:
-        self._shards.setdefault(shard, _Shard()).confirm(address, running)
+        self._shards.setdefault(shard, _ShardContact()).confirm(address, running)
 
-    def _confirm_version(self, version: int, asked_at: float) -> None:
+    def _confirm_version(self, version: int, requested_at: float) -> None:
         """Control nodes apply in order, so the higher version is the newer one."""
         self._confirmed_version = max(self._confirmed_version, version)
-        self._version_confirmed_at = max(self._version_confirmed_at, asked_at)
+        self._version_confirmed_at = max(self._version_confirmed_at, requested_at)
 
-    def _standing(self, known: _Shard, now: float) -> Standing:
+    def _standing(self, known: _ShardContact, now: float) -> Standing:
         running = now - self._stood_still
         if running - known.confirmed_at <= CONTACT_S:
             return Standing.IN_CONTACT
         answered = any(
-            running - self._reached.get(address, NEVER) <= CONTACT_S
+            running - self._answered_at.get(address, NEVER) <= CONTACT_S
             for address in self._elsewhere(known.addresses)
         )
         if answered and running - known.confirmed_at <= ELECTION_S:
@@ -204,7 +208,11 @@
             due.update(dict.fromkeys(known.due(running)))
         return due
 
-    def _forget_old(self, running: float) -> None:
-        old = [t for t, question in self._asked.items() if running - question.asked_running > CONTACT_S]
-        for ticket in old:
-            del self._asked[ticket]
+    def _forget_expired(self, running: float) -> None:
+        expired = [
+            ticket
+            for ticket, sent in self._sent_requests.items()
+            if running - sent.requested_at_running > CONTACT_S
+        ]
+        for ticket in expired:
+            del self._sent_requests[ticket]
--- a/kestrelbend/tier/roles/settings.py
+++ b/kestrelbend/tier/roles/settings.py
@@ -7,14 +7,27 @@
 from __future__ import annotations
 
 import pathlib
-from collections.abc import Callable
 from typing import Any
 
 import attrs
-import schema
 import yaml
 
-from kestrelbend.tier.configuration.field_checks import MAX_NUMBER, MAX_PORT, is_address, is_ip, is_text
+from ..errors import TierError
+from .value_rules import (
+    ADDRESS,
+    ADDRESSES,
+    COUNT,
+    FLAG,
+    IP,
+    PORTS,
+    TEXT,
+    TEXTS,
+    ZONES,
+    ValueRule,
+    not_negative,
+    positive,
+    quoted,
+)
 
 _Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _YAML_ERRORS = (
@@ -27,16 +40,18 @@
     RecursionError,
 )
 SECTIONS = ("Listen", "Limits", "Tolerate", "Bounds")
-MOST_SHOWN = 60  # characters of a wrong value in an error
 
 
-class SettingsError(Exception):
-    """A settings file that can't be used; `lines` holds one line for each fault."""
+class SettingsError(TierError):
+    """A settings file that can't be used; `messages` holds one for each fault, with the key that is wrong.
+
+    `code` is "unreadable", "not_yaml", "not_a_map" or "invalid".
+    """
 
-    def __init__(self, code: str, lines: tuple[str, ...]) -> None:
-        super().__init__("\n".join(lines))
+    def __init__(self, code: str, messages: tuple[str, ...]) -> None:
+        super().__init__("\n".join(messages))
         self.code = code
-        self.lines = lines
+        self.messages = messages
 
 
 @attrs.frozen
@@ -65,28 +80,28 @@
 class Settings:
     """What the platform tells a process; addresses are "ip:port", or "" where there is none."""
 
-    node: str
+    node: str  # the machine's name
     role: str
     machine_class: str
     serves: tuple[str, ...]
     ip: str
     zone: str
     region: str
-    zones: dict[str, str]
-    listen_front: str
-    listen_ready: str
-    listen_control: str
-    port_range: tuple[int, int]
-    seeds: tuple[str, ...]
-    bootstrap: bool
+    zones: dict[str, str]  # the region of each
+    listen_clients: str  # of the data plane, at gateways
+    listen_ready: str  # of the platform's health check, at gateways
+    listen_control: str  # of the operator's API, at control nodes
+    port_range: tuple[int, int]  # the first and the last that the tier may use itself
+    seeds: tuple[str, ...]  # addresses of control nodes to begin with
+    bootstrap: bool  # the whole tier starts for the first time, on empty disks
     counts_for_quorum: bool
-    cpu_share: float
+    cpu_share: float  # in cores
     cores: float
     ram_mb: float
     max_fds: int
     link_mbps: float
     disk_mb: float
-    data_dir: str
+    data_dir: str  # "" on machines without a disk
     heartbeat_ms: float
     contracts: tuple[str, ...]
     tolerate_nodes: int
@@ -106,13 +121,13 @@
 
     @classmethod
     def parse(cls, data: bytes, name: str = "boot.yaml") -> Settings:
-        """The settings in a file's bytes; raises `SettingsError`, whose lines begin with `name`."""
+        """The settings in a file's bytes; raises `SettingsError`, whose messages begin with `name`."""
         values = _load(data, name)
-        lines = _wrong_sections(values, name)
-        fields = _take(_KEYS, values, name, lines)
-        bounds = _take(_BOUNDS, values, name, lines)
-        if lines:
-            raise SettingsError("invalid", tuple(lines))
+        messages = _wrong_sections(values, name)
+        fields = _read_keys(_KEYS, values, name, messages)
+        bounds = _read_keys(_BOUNDS, values, name, messages)
+        if messages:
+            raise SettingsError("invalid", tuple(messages))
         return cls(**fields, bounds=Bounds(**bounds))
 
 
@@ -132,37 +147,30 @@
 
 
 @attrs.frozen
-class _Form:
-    """What a value must be, in `schema`'s terms and in words, and how it is kept."""
-
-    check: schema.Schema
-    words: str
-    keep: Callable[[Any], Any] = lambda value: value
-
-
-@attrs.frozen
-class _Key:
+class _SettingKey:
     """One key of the file: where it stands ("Bounds.AckMs") and the field that it fills."""
 
     path: str
     field: str
-    form: _Form
+    rule: ValueRule
     default: Any = _REQUIRED
 
 
-def _take(keys: tuple[_Key, ...], values: dict[Any, Any], name: str, lines: list[str]) -> dict[str, Any]:
-    """The fields that the keys fill; adds a line for each fault."""
+def _read_keys(
+    keys: tuple[_SettingKey, ...], values: dict[Any, Any], name: str, messages: list[str]
+) -> dict[str, Any]:
+    """The fields that the keys fill; adds a message for each fault."""
     fields: dict[str, Any] = {}
     for key in keys:
         value = _find(values, key.path)
         if value is _MISSING and key.default is _REQUIRED:
-            lines.append(f"{name}: {key.path}: is missing")
+            messages.append(f"{name}: {key.path}: is missing")
         elif value is _MISSING:
             fields[key.field] = key.default
-        elif not key.form.check.is_valid(value):
-            lines.append(f"{name}: {key.path}: {_shown(value)} is not {key.form.words}")
+        elif not key.rule.allows(value):
+            messages.append(f"{name}: {key.path}: {quoted(value)} is not {key.rule.description}")
         else:
-            fields[key.field] = key.form.keep(value)
+            fields[key.field] = key.rule.convert(value)
     return fields
 
 
@@ -176,9 +184,9 @@
 
 
 def _wrong_sections(values: dict[Any, Any], name: str) -> list[str]:
-    """A line for each section that holds something else than keys."""
+    """A message for each section that holds something else than keys."""
     return [
-        f"{name}: {section}: {_shown(values[section])} is not a map of keys to values"
+        f"{name}: {section}: {quoted(values[section])} is not a map of keys to values"
         for section in SECTIONS
         if not _is_empty(values.get(section)) and not isinstance(values[section], dict)
     ]
@@ -188,105 +196,58 @@
     return value is None or (isinstance(value, (str, list, dict)) and not value)
 
 
-def _shown(value: Any) -> str:
-    try:
-        text = repr(value)
-    except (ValueError, RecursionError):
-        text = type(value).__name__
-    text = text.encode("ascii", "backslashreplace").decode()
-    return text if len(text) <= MOST_SHOWN else text[: MOST_SHOWN - 3] + "..."
-
-
-def _is_number(value: Any) -> bool:
-    """A finite number, not a truth value."""
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) <= MAX_NUMBER
-
-
-def _is_whole(value: Any) -> bool:
-    return _is_number(value) and value == int(value)
-
-
-def _is_port_range(value: Any) -> bool:
-    if not isinstance(value, list) or len(value) != 2 or not all(_is_whole(port) for port in value):
-        return False
-    return 0 < value[0] <= value[1] <= MAX_PORT
-
-
-def _positive(unit: str) -> _Form:
-    return _Form(schema.Schema(lambda value: _is_number(value) and value > 0), f"a positive number of {unit}")
-
-
-def _not_negative(unit: str) -> _Form:
-    words = f"a number of {unit}, 0 or more"
-    return _Form(schema.Schema(lambda value: _is_number(value) and value >= 0), words)
-
-
-_TEXT = _Form(schema.Schema(is_text), "a text")
-_TEXTS = _Form(schema.Schema([is_text]), "a list of texts", tuple)
-_IP = _Form(schema.Schema(is_ip), "an IPv4 address")
-_ADDRESS = _Form(schema.Schema(is_address), "an address (ip:port)")
-_ADDRESSES = _Form(schema.Schema([is_address]), "a list of addresses (ip:port)", tuple)
-_ZONES = _Form(schema.Schema({schema.Optional(is_text): is_text}), "a map of zones to regions", dict)
-_PORTS = _Form(
-    schema.Schema(_is_port_range),
-    "the first and the last port of a range",
-    lambda value: (int(value[0]), int(value[1])),
-)
-_FLAG = _Form(schema.Schema(bool), "true or false")
-_COUNT = _Form(schema.Schema(lambda value: _is_whole(value) and value >= 0), "a whole number, 0 or more", int)
-
 _KEYS = (
-    _Key("Node", "node", _TEXT),
-    _Key("Role", "role", _TEXT, ""),
-    _Key("Class", "machine_class", _TEXT, ""),
-    _Key("Serves", "serves", _TEXTS, ()),
-    _Key("Ip", "ip", _IP),
-    _Key("Zone", "zone", _TEXT),
-    _Key("Region", "region", _TEXT, ""),
-    _Key("Zones", "zones", _ZONES, {}),
-    _Key("Listen.Front", "listen_front", _ADDRESS, ""),
-    _Key("Listen.Ready", "listen_ready", _ADDRESS, ""),
-    _Key("Listen.Control", "listen_control", _ADDRESS, ""),
-    _Key("PortRange", "port_range", _PORTS),
-    _Key("Seeds", "seeds", _ADDRESSES, ()),
-    _Key("Bootstrap", "bootstrap", _FLAG, False),
-    _Key("CountsForQuorum", "counts_for_quorum", _FLAG, False),
-    _Key("Limits.CpuShare", "cpu_share", _positive("cores"), 1.0),
-    _Key("Limits.Cores", "cores", _positive("cores"), 1),
-    _Key("Limits.RamMb", "ram_mb", _positive("megabytes"), 256),
-    _Key("Limits.MaxFds", "max_fds", _COUNT, 1024),
-    _Key("Limits.LinkMbps", "link_mbps", _positive("megabits a second"), 1000.0),
-    _Key("Limits.DiskMb", "disk_mb", _not_negative("megabytes"), 0),
-    _Key("DataDir", "data_dir", _TEXT, ""),
-    _Key("HeartbeatMs", "heartbeat_ms", _positive("milliseconds"), 1000),
-    _Key("Contracts", "contracts", _TEXTS, ()),
-    _Key("Tolerate.Nodes", "tolerate_nodes", _COUNT, 0),
-    _Key("Tolerate.Zones", "tolerate_zones", _COUNT, 0),
-    _Key("Tolerate.Regions", "tolerate_regions", _COUNT, 0),
+    _SettingKey("Node", "node", TEXT),
+    _SettingKey("Role", "role", TEXT, ""),
+    _SettingKey("Class", "machine_class", TEXT, ""),
+    _SettingKey("Serves", "serves", TEXTS, ()),
+    _SettingKey("Ip", "ip", IP),
+    _SettingKey("Zone", "zone", TEXT),
+    _SettingKey("Region", "region", TEXT, ""),
+    _SettingKey("Zones", "zones", ZONES, {}),
+    _SettingKey("Listen.Front", "listen_clients", ADDRESS, ""),
+    _SettingKey("Listen.Ready", "listen_ready", ADDRESS, ""),
+    _SettingKey("Listen.Control", "listen_control", ADDRESS, ""),
+    _SettingKey("PortRange", "port_range", PORTS),
+    _SettingKey("Seeds", "seeds", ADDRESSES, ()),
+    _SettingKey("Bootstrap", "bootstrap", FLAG, False),
+    _SettingKey("CountsForQuorum", "counts_for_quorum", FLAG, False),
+    _SettingKey("Limits.CpuShare", "cpu_share", positive("cores"), 1.0),
+    _SettingKey("Limits.Cores", "cores", positive("cores"), 1),
+    _SettingKey("Limits.RamMb", "ram_mb", positive("megabytes"), 256),
+    _SettingKey("Limits.MaxFds", "max_fds", COUNT, 1024),
+    _SettingKey("Limits.LinkMbps", "link_mbps", positive("megabits a second"), 1000.0),
+    _SettingKey("Limits.DiskMb", "disk_mb", not_negative("megabytes"), 0),
+    _SettingKey("DataDir", "data_dir", TEXT, ""),
+    _SettingKey("HeartbeatMs", "heartbeat_ms", positive("milliseconds"), 1000),
+    _SettingKey("Contracts", "contracts", TEXTS, ()),
+    _SettingKey("Tolerate.Nodes", "tolerate_nodes", COUNT, 0),
+    _SettingKey("Tolerate.Zones", "tolerate_zones", COUNT, 0),
+    _SettingKey("Tolerate.Regions", "tolerate_regions", COUNT, 0),
 )
 
 _DEFAULTS = Bounds()
 
 
-def _bound(key: str, field: str, form: _Form) -> _Key:
-    return _Key(f"Bounds.{key}", field, form, getattr(_DEFAULTS, field))
+def _bound(key: str, field: str, rule: ValueRule) -> _SettingKey:
+    return _SettingKey(f"Bounds.{key}", field, rule, getattr(_DEFAULTS, field))
 
 
 _BOUNDS = (
-    _bound("SeedLagS", "seed_lag_s", _not_negative("seconds")),
-    _bound("ReuseAfterS", "reuse_after_s", _not_negative("seconds")),
-    _bound("ContactMs", "contact_ms", _positive("milliseconds")),
-    _bound("AckMs", "ack_ms", _positive("milliseconds")),
-    _bound("CatchupS", "catchup_s", _not_negative("seconds")),
-    _bound("DrainMs", "drain_ms", _not_negative("milliseconds")),
-    _bound("GraceS", "grace_s", _positive("seconds")),
-    _bound("LostMs", "lost_ms", _not_negative("milliseconds")),
-    _bound("ConfigMs", "config_ms", _not_negative("milliseconds")),
-    _bound("DowngradeMs", "downgrade_ms", _not_negative("milliseconds")),
-    _bound("MaxSkewMs", "max_skew_ms", _not_negative("milliseconds")),
-    _bound("RecoverS", "recover_s", _not_negative("seconds")),
-    _bound("pass_ms", "pass_ms", _not_negative("milliseconds")),
-    _bound("again_s", "again_s", _not_negative("seconds")),
-    _bound("FinishS", "finish_s", _not_negative("seconds")),
-    _bound("SettleMs", "settle_ms", _not_negative("milliseconds")),
+    _bound("SeedLagS", "seed_lag_s", not_negative("seconds")),
+    _bound("ReuseAfterS", "reuse_after_s", not_negative("seconds")),
+    _bound("ContactMs", "contact_ms", positive("milliseconds")),
+    _bound("AckMs", "ack_ms", positive("milliseconds")),
+    _bound("CatchupS", "catchup_s", not_negative("seconds")),
+    _bound("DrainMs", "drain_ms", not_negative("milliseconds")),
+    _bound("GraceS", "grace_s", positive("seconds")),
+    _bound("LostMs", "lost_ms", not_negative("milliseconds")),
+    _bound("ConfigMs", "config_ms", not_negative("milliseconds")),
+    _bound("DowngradeMs", "downgrade_ms", not_negative("milliseconds")),
+    _bound("MaxSkewMs", "max_skew_ms", not_negative("milliseconds")),
+    _bound("RecoverS", "recover_s", not_negative("seconds")),
+    _bound("pass_ms", "pass_ms", not_negative("milliseconds")),
+    _bound("again_s", "again_s", not_negative("seconds")),
+    _bound("FinishS", "finish_s", not_negative("seconds")),
+    _bound("SettleMs", "settle_ms", not_negative("milliseconds")),
 )
--- a/tests/tier/test_gateway_contact.py
+++ b/tests/tier/test_gateway_contact.py
@@ -38,7 +38,7 @@
         self._late = []
         self._heartbeat_at = 0.0
 
-    def word(self, address, ticket):
+    def reply(self, address, ticket):
         owned = (SHARD,) if address == self.owner else ()
         version = 0 if address in self.lagging else self.version
         return ContactWord(ticket, address in self.in_contact, version, owned)
@@ -49,13 +49,13 @@
             self.contact.tick(self.now)
             if self.now >= self._heartbeat_at:
                 self._heartbeat_at = self.now + HEARTBEAT_S
-                for address, ticket in self.contact.questions(self.now).items():
+                for address, ticket in self.contact.due_requests(self.now).items():
                     self.asked.append(address)
                     if address in self.answering:
-                        self._late.append((self.now + self.delay_s, address, self.word(address, ticket)))
+                        self._late.append((self.now + self.delay_s, address, self.reply(address, ticket)))
             while self._late and self._late[0][0] <= self.now:
-                _, address, word = self._late.pop(0)
-                self.contact.take(address, word)
+                _, address, reply = self._late.pop(0)
+                self.contact.take(address, reply)
             self.now += TICK_S
 
     def cut_off(self):
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -26,7 +26,7 @@
 class Answer:
     """A turn's answer by one gateway."""
 
-    asked_at: float
+    requested_at: float
     seconds: float
     verdict: Verdict
 
@@ -70,10 +70,10 @@
 
     async def _turn(self, gateway, number: int) -> None:
         program, name = f"observed-{number}", f"observed-turn-{number}"
-        asked_at = self.world.fleet.now()
+        requested_at = self.world.fleet.now()
         outcome = await gateway.reserve("model", Reserve(program, "s", name, 1, MOST, 1000, True))
         verdict = Verdict(outcome.verdict)
-        self.answers.append(Answer(asked_at, self.world.fleet.now() - asked_at, verdict))
+        self.answers.append(Answer(requested_at, self.world.fleet.now() - requested_at, verdict))
         if verdict is Verdict.ADMITTED:
             gateway.settle("model", Settlement(program, name, MOST, int(TurnEnd.COMPLETE)))
 
@@ -118,11 +118,13 @@
         self.assertTrue(any(now > joined_at + READY_AGAIN_S for now in refusing), "never confirmed again")
 
     def check_answers(self, observer, cut_at, joined_at):
-        cut = [one for one in observer.answers if cut_at + UNREADY_WITHIN_S <= one.asked_at <= joined_at - 2]
+        cut = [
+            one for one in observer.answers if cut_at + UNREADY_WITHIN_S <= one.requested_at <= joined_at - 2
+        ]
         self.assertGreater(len(cut), 100)
         self.assertEqual({Verdict.NO_ANSWER}, {one.verdict for one in cut})
         self.assertLess(max(one.seconds for one in cut), ANSWER_S)
-        after = [one for one in observer.answers if one.asked_at > joined_at + READY_AGAIN_S]
+        after = [one for one in observer.answers if one.requested_at > joined_at + READY_AGAIN_S]
         self.assertEqual({Verdict.ADMITTED}, {one.verdict for one in after})
 
     def check_others(self, observer, name, cut_at):
@@ -158,7 +160,7 @@
             fleet = world.fleet
             machine = owner_machine(world)
             others = [other for other in fleet.machines.values() if other is not machine]
-            front = machine.processes["gateway"].instance.settings.listen_front
+            front = machine.processes["gateway"].instance.settings.listen_clients
 
             async def ask():
                 reply = await fleet.http.call(front, "GET", "/no/such/route/")
@@ -198,7 +200,7 @@
                     continue
                 self.assertFalse(gateway.life.ready)
                 reply = await fleet.http.call(
-                    gateway.settings.listen_front, "GET", "/no/such/route/", timeout=2.0
+                    gateway.settings.listen_clients, "GET", "/no/such/route/", timeout=2.0
                 )
                 self.assertNotEqual(404, getattr(reply, "status", None))
             fleet.join(machine, others)
--- a/tests/tier/test_settings.py
+++ b/tests/tier/test_settings.py
@@ -36,12 +36,12 @@
 """
 
 
-def lines(values):
+def messages(values):
     """The faults of a settings file."""
     try:
         Settings.parse(yaml.safe_dump(values).encode())
     except SettingsError as error:
-        return error.lines
+        return error.messages
     return ()
 
 
@@ -51,7 +51,7 @@
     def test_given_a_full_file_then_every_key_is_kept(self):
         settings = Settings.parse(FULL.encode())
         self.assertEqual(("front", "control"), settings.serves)
-        self.assertEqual(("10.1.0.38:8149", ""), (settings.listen_front, settings.listen_control))
+        self.assertEqual(("10.1.0.38:8149", ""), (settings.listen_clients, settings.listen_control))
         self.assertEqual(((7380, 7395), 2, 4100), (settings.port_range, settings.cores, settings.max_fds))
         self.assertEqual({"hall": "east"}, settings.zones)
         self.assertEqual(
@@ -65,7 +65,7 @@
             settings = Settings.parse(yaml.safe_dump({**LEAST, **empty}).encode())
             self.assertEqual(
                 ("", (), "", Bounds()),
-                (settings.data_dir, settings.seeds, settings.listen_front, settings.bounds),
+                (settings.data_dir, settings.seeds, settings.listen_clients, settings.bounds),
             )
 
     def test_given_several_faults_then_one_error_names_them_all(self):
@@ -79,7 +79,7 @@
                 "boot.yaml: Bounds.AckMs: 0 is not a positive number of milliseconds",
                 "boot.yaml: Bounds.GraceS: True is not a positive number of seconds",
             ),
-            lines(values),
+            messages(values),
         )
 
     def test_given_wrong_values_then_each_is_a_fault(self):
@@ -97,7 +97,7 @@
             ("HeartbeatMs", float("nan")),
             ("Limits", {"RamMb": float("inf")}),
         ):
-            self.assertEqual(1, len(lines({**LEAST, key: value})), (key, value))
+            self.assertEqual(1, len(messages({**LEAST, key: value})), (key, value))
 
     def test_given_a_file_that_cannot_be_read_then_the_error_says_so(self):
         folder = pathlib.Path(tempfile.mkdtemp())
@@ -105,7 +105,7 @@
         (folder / "boot.yaml").write_text(FULL)
         self.assertEqual("front-1", Settings.read(folder / "boot.yaml").node)
         missing = self.assertRaises(SettingsError, Settings.read, folder / "other.yaml")
-        self.assertEqual(("unreadable", 1), (missing.code, len(missing.lines)))
+        self.assertEqual(("unreadable", 1), (missing.code, len(missing.messages)))
 
     def test_given_what_is_no_map_then_the_error_says_so(self):
         for data, expected in (
@@ -125,4 +125,4 @@
             try:
                 self.assertIsInstance(Settings.parse(whole), Settings)
             except SettingsError as error:
-                self.assertTrue(error.lines)
+                self.assertTrue(error.messages)
