--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from ..storage.journal import INITIAL_BACKOFF_S, MAX_BACKOFF_S, DiskJournal
+from ..storage.journal import DiskJournal
 
 STALL_CHECK_S = 0.01
 MAINTENANCE_SYNCS = 1
@@ -204,7 +204,7 @@
                 await self._write_group()
             elif more_maintenance:
                 await self._memory_disk.wait_for(MAINTENANCE_SYNCS)
-                more_maintenance = self._maintain()
+                more_maintenance = self.maintain()
             else:
                 self._wake.clear()
                 await self._wake.wait()
@@ -215,4 +215,4 @@
         await self._memory_disk.wait_for(1)
         self._writing = False
         if not self.write_once():
-            await asyncio.sleep(min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self._failures, 8)))
+            await asyncio.sleep(self.retry_backoff_s)
--- a/kestrelbend/tier/storage/checkpoint_writer.py
+++ b/kestrelbend/tier/storage/checkpoint_writer.py
@@ -1,8 +1,8 @@
-"""A large checkpoint, written aside in short steps while versions go on being written.
+"""A large checkpoint, written under a temporary name in short steps while segments go on being written.
 
-Invariant: the checkpoint holds the effect of all versions below its number and of none above, since its
-records are those of the moment at which the number was the next one.  Until its name lasts, nothing that it
-replaces may go; a checkpoint that was begun and not ended is a leftover.
+Invariant: the checkpoint holds the effect of all segments below its number and of none above, since its
+records are those of the moment at which the number was the next one.  Until its final name is durable,
+nothing that it replaces may be removed; a checkpoint that was begun and not ended is removed as obsolete.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class CheckpointWriter:
-    """Each `step` makes one record, or writes and syncs one slice."""
+    """Each `step` makes one record's bytes, or writes and syncs one chunk."""
 
     def __init__(
         self, disk: Disk, path: str, number: int, records: Iterable[Record], chunk_bytes: int = CHUNK_BYTES
@@ -28,45 +28,49 @@
         self._disk = disk
         self._chunk_bytes = chunk_bytes
         self._records = iter(list(records))
-        self._packer = SegmentEncoder(number)
-        self._slices: Iterator[bytes | memoryview] | None = None
+        self._encoder = SegmentEncoder(number)
+        self._chunks: Iterator[bytes | memoryview] | None = None  # once all records are made
 
     def step(self) -> bool:
-        """Whether more is to do; once it isn't, the file is whole and synced."""
-        if self._slices is None:
-            self._make_next()
+        """Whether more is to do; once it isn't, the file is complete and synced.  Raises `OSError`.
+
+        Each chunk is synced by itself, so that no sync has the complete checkpoint to bring to the disk and
+        the syncs of segments don't wait behind it.
+        """
+        if self._chunks is None:
+            self._encode_next()
             return True
-        part = next(self._slices, None)
-        if part is None:
+        chunk = next(self._chunks, None)
+        if chunk is None:
             return False
-        self._disk.append(self.path, part)
+        self._disk.append(self.path, chunk)
         self._disk.sync(self.path)
         return True
 
-    def _make_next(self) -> None:
+    def _encode_next(self) -> None:
         record = next(self._records, None)
         if record is not None:
-            self._packer.add(bytes_of(record))
+            self._encoder.add(bytes_of(record))
             return
         self._disk.write(self.path, b"")
-        self.length = self._packer.length
-        self._slices = _slices(self._packer.parts(), self._chunk_bytes)
+        self.length = self._encoder.length
+        self._chunks = _chunks(self._encoder.buffers(), self._chunk_bytes)
 
 
-def _slices(parts: Iterable[bytes], size: int) -> Iterator[bytes | memoryview]:
-    """The parts in their order, the small ones joined, the large ones cut."""
+def _chunks(buffers: Iterable[bytes], size: int) -> Iterator[bytes | memoryview]:
+    """The buffers in their order, the small ones joined, the large ones cut."""
     small: list[bytes] = []
-    for part in parts:
-        if len(part) < size:
-            small.append(part)
+    for buffer in buffers:
+        if len(buffer) < size:
+            small.append(buffer)
             if sum(map(len, small)) < size:
                 continue
         if small:
             yield b"".join(small)
             small = []
-        if len(part) >= size:
-            view = memoryview(part)
-            for begin in range(0, len(part), size):
+        if len(buffer) >= size:
+            view = memoryview(buffer)
+            for begin in range(0, len(buffer), size):
                 yield view[begin : begin + size]
     if small:
         yield b"".join(small)
--- a/kestrelbend/tier/storage/identity.py
+++ b/kestrelbend/tier/storage/identity.py
@@ -1,7 +1,11 @@
-"""A process's data folder: the disk's identity, and where its journal stands.
+"""A process's data directory: the disk's identity, and where its journal stands.
 
-Invariant: an identity is used only once it lasts, and an emptied disk gets another one.  So no replica that
-has forgotten its votes and entries can pass for the replica that gave them.
+Invariant: an identity is used only once it is durable, and an emptied disk gets another one.  So no replica
+that has forgotten its votes and entries can pass for the replica that gave them.
+
+The identity is written under a temporary name, synced, renamed, and the directory is synced: the first sync
+guards against a torn identity under its final name, the second against a process that acts under an identity
+whose name a loss of power takes away.
 """
 
 from __future__ import annotations
@@ -17,14 +21,14 @@
 
 FIRST_IDENTITY = "first"
 _IDENTITY_NAME = "identity"
-_ASIDE_NAME = "identity.new"
+_TEMPORARY_NAME = "identity.new"
 _JOURNAL_NAME = "journal"
 _IDENTITY_BYTES = 4
 
 
 @attrs.frozen
 class DataDirectory:
-    """What a process finds in its `DataDir`, or puts there at its first start."""
+    """What a process finds in its `DataDir`, or puts there at its first start (`created`)."""
 
     identity: str
     journal_directory: str
@@ -38,8 +42,9 @@
         disk: Disk | None = None,
         new_identity: Callable[[], str] = lambda: secrets.token_hex(_IDENTITY_BYTES),
     ) -> DataDirectory:
-        """`bootstrap`: the whole system starts on empty disks, so the disks' identities are known ahead.
+        """Reads the identity, or gives the disk one.
 
+        `bootstrap`: the complete system starts on empty disks, so the disks' identities are known ahead.
         Raises `StorageCorruptedError`, and `OSError` where the disk does not take the identity.
         """
         disk = disk or OsDisk()
@@ -59,10 +64,10 @@
 
 
 def _write_identity(disk: Disk, data_dir: str, identity: str) -> None:
-    aside = f"{data_dir}/{_ASIDE_NAME}"
-    disk.write(aside, identity.encode())
-    disk.sync(aside)
-    disk.rename(aside, f"{data_dir}/{_IDENTITY_NAME}")
+    temporary = f"{data_dir}/{_TEMPORARY_NAME}"
+    disk.write(temporary, identity.encode())
+    disk.sync(temporary)
+    disk.rename(temporary, f"{data_dir}/{_IDENTITY_NAME}")
     disk.sync_directory(data_dir)
 
 
--- a/kestrelbend/tier/storage/records.py
+++ b/kestrelbend/tier/storage/records.py
@@ -1,6 +1,7 @@
 """Records as a journal takes them: bytes, or the means to make them on the thread that writes them.
 
-Making the bytes of a large record takes long enough to hold up a serving loop, so its thread is the writer's.
+Making the bytes of a large record takes long enough to hold up the event loop, so the writer's thread makes
+them.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 class DeferredRecord:
     """A record that is made when it is written; `make` gives the same bytes at each call.
 
-    `size` is about its length, and serves to decide what is written together.
+    `size` is about its length in bytes, and serves to decide what is written together.
     """
 
     size: int
@@ -22,13 +23,14 @@
 
 
 Record = bytes | DeferredRecord
+"""What a journal takes."""
 
 
 def size_of(record: Record) -> int:
-    """About the length of a record."""
+    """About the length of a record in bytes."""
     return record.size if isinstance(record, DeferredRecord) else len(record)
 
 
 def bytes_of(record: Record) -> bytes:
-    """The record's bytes, made now where that was put off."""
+    """The record's bytes, made now where that was deferred."""
     return record.make() if isinstance(record, DeferredRecord) else record
--- a/kestrelbend/tier/storage/segment.py
+++ b/kestrelbend/tier/storage/segment.py
@@ -1,7 +1,11 @@
-"""The content of a file of versions: a header with a checksum, then records.
+"""The content of one file of the write-ahead log, a segment or a checkpoint: a header, then records.
 
-A file counts as a whole or not at all, so a torn file can be written anew without losing a record that
-somebody has read.
+    magic (4) | number (8) | bytes of the body (4) | CRC-32 of number and body (4) | [length (4) | record]...
+
+All integers are little-endian.  The number is the file's own, so no file passes for another.  Invariant: a
+file counts as complete or not at all.  So a torn file can be written anew without losing a record that
+somebody has read.  The magic is that of a "version file", as a segment was first called; its files still end
+in `.versions`.
 """
 
 from __future__ import annotations
@@ -13,45 +17,49 @@
 _MAGIC = b"kbv1"
 _HEADER = struct.Struct("<4sQII")  # magic, number, bytes of the body, checksum
 _LENGTH = struct.Struct("<I")
+RECORD_OVERHEAD_BYTES = _LENGTH.size
 
 
 class SegmentEncoder:
-    """A file's content, a record at a time; `number` is the file's own, so no file passes for another."""
+    """A file's content, made of one record at a time; `number` is the file's own."""
 
     def __init__(self, number: int) -> None:
         self._number = number
-        self._parts: list[bytes] = []
+        self._body: list[bytes] = []
         self._body_length = 0
         self._checksum = _checksum(number, b"")
 
     def add(self, record: bytes) -> None:
         """Adds the next record."""
-        for part in (_LENGTH.pack(len(record)), record):
-            self._parts.append(part)
-            self._body_length += len(part)
-            self._checksum = zlib.crc32(part, self._checksum)
+        self._add_to_body(_LENGTH.pack(len(record)))
+        self._add_to_body(record)
 
     @property
     def length(self) -> int:
-        """The length of the whole content."""
+        """The length of the complete content in bytes."""
         return _HEADER.size + self._body_length
 
-    def parts(self) -> list[bytes]:
-        """The content, to be written one part after the other."""
+    def buffers(self) -> list[bytes]:
+        """The content, to be written one buffer after the other."""
         header = _HEADER.pack(_MAGIC, self._number, self._body_length, self._checksum)
-        return [header, *self._parts]
+        return [header, *self._body]
+
+    def _add_to_body(self, content: bytes) -> None:
+        self._body.append(content)
+        self._body_length += len(content)
+        self._checksum = zlib.crc32(content, self._checksum)
 
 
 def encode_segment(number: int, records: Iterable[bytes]) -> bytes:
-    """A file's content at once."""
-    packer = SegmentEncoder(number)
+    """A file's complete content."""
+    encoder = SegmentEncoder(number)
     for record in records:
-        packer.add(record)
-    return b"".join(packer.parts())
+        encoder.add(record)
+    return b"".join(encoder.buffers())
 
 
 def decode_segment(number: int, content: bytes) -> list[bytes] | None:
-    """The records of a whole file, None for one that is torn."""
+    """The records of a complete file; None for one that is torn or another's."""
     if len(content) < _HEADER.size:
         return None
     magic, found_number, length, checksum = _HEADER.unpack_from(content)
@@ -68,11 +76,11 @@
 
 
 def _split(body: memoryview) -> list[bytes]:
-    records = []
-    position = 0
-    while position < len(body):
-        (length,) = _LENGTH.unpack_from(body, position)
-        position += _LENGTH.size
-        records.append(bytes(body[position : position + length]))
-        position += length
+    records: list[bytes] = []
+    offset = 0
+    while offset < len(body):
+        (length,) = _LENGTH.unpack_from(body, offset)
+        offset += _LENGTH.size
+        records.append(bytes(body[offset : offset + length]))
+        offset += length
     return records
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -125,7 +125,7 @@
         endings = 0
         for step in range(10):
             disk = MemoryDisk()
-            journal_on(disk, [])._maintain()  # the files are made ahead
+            journal_on(disk, []).maintain()  # the files are made ahead
             acknowledged = []
             disk.fail_at = step
             try:
--- a/tests/tier/test_storage_journal.py
+++ b/tests/tier/test_storage_journal.py
@@ -252,7 +252,7 @@
             self.journal.write_once()
         self.assertEqual(([1, 2], []), (self.written, made))
         for ticket in range(3, 20):
-            self.journal._maintain()
+            self.journal.maintain()
             self.journal.append(ticket, b"between")
             self.journal.write_once()
             self.assertEqual(ticket, self.written[-1])
@@ -273,7 +273,7 @@
         for ticket in range(400):
             journal.append(ticket, b"x" * 40_000)
             journal.write_once()
-            journal._maintain()
+            journal.maintain()
             self.assertEqual(JournalState.OK, journal.state(self.now))
             if journal.wants_checkpoint:
                 checkpoints += 1
@@ -290,9 +290,9 @@
             self.journal.write_once()
         self.journal.checkpoint([b"s" * (2 << 20)])
         self.journal.write_once()
-        self.journal._maintain()
+        self.journal.maintain()
         self.disk.fail_at, self.disk.failure = 2, lambda: OSError(errno.EIO, "fault")
-        while self.journal._advance_checkpoint():
+        while self.journal.advance_checkpoint():
             pass
         self.assertTrue(self.journal.wants_checkpoint)
         self.assertEqual([b"x" * 70_000] * 9, self.start(4 << 20).load())
