--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -85,7 +85,7 @@
     def of(self, service: str) -> tuple[Backend, ...]:
         return self.backends
 
-    def mark_gone(self, identity: str) -> None:
+    def mark_departed(self, identity: str) -> None:
         raise AssertionError(identity)
 
 
--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -58,11 +58,11 @@
         if self._registry.urgent_number > self._streamed:
             self._spread(self._changes())
 
-    def spread_quiet_changes(self) -> None:
+    def publish_pending_changes(self) -> None:
         """Tells, all together, of the backends of which nothing is new but that they are there."""
         self._spread(self._changes())
 
-    def presume_silent_gone(self, in_contact_s: float, heartbeat_interval_s: float) -> None:
+    def expire_unresponsive(self, in_contact_s: float, heartbeat_interval_s: float) -> None:
         """Takes silent backends for gone, where this node has been in contact for long enough to say so."""
         now = self._now()
         self._registry.expired(now, heartbeat_interval_s, now - in_contact_s)
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from ..membership.messages import Heartbeat, MemberSummary, QuietMember
+from ..membership.messages import Heartbeat, MemberSummary, UnresponsiveMember
 from ..membership.table import MemberTable
 from ..protocol.codec import encode
 from ..protocol.peer_connection import PeerConnection
@@ -57,16 +57,19 @@
 
     def take(self, summary: MemberSummary, now: float) -> None:
         """Takes in another node's summary."""
-        if summary.whole:
+        if summary.complete:
             self._reported[summary.sender] = {}
         reported = self._reported.setdefault(summary.sender, {})
         for heartbeat in summary.heartbeats:
             reported[heartbeat.member.address] = heartbeat.member.incarnation
-        silences = {quiet.address: quiet.silent_ms / 1000 for quiet in summary.quiet}
+        silences = {
+            unresponsive.address: unresponsive.heartbeat_age_ms / 1000
+            for unresponsive in summary.unresponsive
+        }
         for heartbeat in summary.heartbeats:
             silence = silences.get(heartbeat.member.address, 0.0)
             self._members.told(heartbeat, now - silence)
-        for address in summary.gone:
+        for address in summary.departed:
             reported.pop(address, None)
         for address, incarnation in reported.items():
             self._members.still_there(address, incarnation, now - silences.get(address, 0.0))
@@ -78,19 +81,21 @@
             if self._is_due(address, heartbeat, now):
                 self._told[address] = _Told(heartbeat, lasting(heartbeat), now)
                 heartbeats.append(heartbeat)
-        gone = tuple(address for address in self._told if address not in live)
-        for address in gone:
+        departed = tuple(address for address in self._told if address not in live)
+        for address in departed:
             del self._told[address]
-        return encode(MemberSummary(self._sender, False, tuple(heartbeats), self._quiet(now), gone))
+        return encode(MemberSummary(self._sender, False, tuple(heartbeats), self._quiet(now), departed))
 
     def _whole(self, now: float) -> MemberSummary:
         heartbeats = tuple(told.heartbeat for told in self._told.values())
         return MemberSummary(self._sender, True, heartbeats, self._quiet(now), ())
 
-    def _quiet(self, now: float) -> tuple[QuietMember, ...]:
+    def _quiet(self, now: float) -> tuple[UnresponsiveMember, ...]:
         silences = ((address, self._members.silence_here(address, now)) for address in self._told)
         return tuple(
-            QuietMember(address, round(silence * 1000)) for address, silence in silences if silence > QUIET_S
+            UnresponsiveMember(address, round(silence * 1000))
+            for address, silence in silences
+            if silence > QUIET_S
         )
 
     def _is_due(self, address: str, heartbeat: Heartbeat, now: float) -> bool:
--- a/kestrelbend/tier/dataplane/choice.py
+++ b/kestrelbend/tier/dataplane/choice.py
@@ -86,7 +86,7 @@
 
     def _load(self, backend: Backend, service: ports.Service, now: float) -> float:
         load = self._occupied(backend, service, now)
-        if backend.cold_left_ms > 0:
+        if backend.warming_up_ms > 0:
             load += COLD_LOAD
         slower = (self._pace.ratio(backend.identity, now) or 1.0) - 1
         if slower > 0:
@@ -149,7 +149,7 @@
         """In proportion to the time in which an answer may be expected."""
         slots = backend.slots or service.slots or 1
         load = self._occupied(backend, service, now) + 1 / slots
-        if backend.cold_left_ms > 0:
+        if backend.warming_up_ms > 0:
             load += COLD_LOAD
         if not self._connections.rests(backend.identity):
             load += NEW_CONNECTION_LOAD
--- a/kestrelbend/tier/dataplane/forward.py
+++ b/kestrelbend/tier/dataplane/forward.py
@@ -202,7 +202,7 @@
         elif failure is Failure.OTHER_VERSION:
             course.other_version.add(identity)
         elif failure is Failure.OTHER_INSTANCE:
-            self._backends.mark_gone(identity)
+            self._backends.mark_departed(identity)
             course.lost.add(identity)
             course.ran_at.discard(identity)
 
--- a/kestrelbend/tier/discovery/exchange.py
+++ b/kestrelbend/tier/discovery/exchange.py
@@ -19,18 +19,20 @@
 
     def __init__(self, link, sender: str):
         self.link = link
-        self.whole = False
+        self.complete = False
         self._sender = sender
         self._number = 0
         self.acknowledged = 0
         self._waiting: list[tuple[int, asyncio.Future]] = []
 
-    def send(self, backends: Iterable[Backend], whole: bool) -> int:
+    def send(self, backends: Iterable[Backend], complete: bool) -> int:
         """Streams one update, if there is anything in it for this gateway; the number of the last one."""
-        wanted = tuple(backend for backend in backends if self.whole or backend.state != BackendState.READY)
-        if wanted or whole:
+        wanted = tuple(
+            backend for backend in backends if self.complete or backend.state != BackendState.READY
+        )
+        if wanted or complete:
             self._number += 1
-            self.link.send(BackendUpdate(self._sender, self._number, whole, wanted))
+            self.link.send(BackendUpdate(self._sender, self._number, complete, wanted))
         return self._number
 
     def take_ack(self, ack: BackendAck) -> None:
@@ -67,14 +69,14 @@
         self._peers = peers
         self._subscribers: dict[object, Subscriber] = {}
 
-    def subscribe(self, link, whole: bool = True) -> None:
+    def subscribe(self, link, complete: bool = True) -> None:
         """Begins a gateway's stream with all that is known, or with the backends that have left.
 
         The numbers on a connection go on where its gateway changes from one to the other.
         """
         subscriber = self._subscribers.setdefault(link, Subscriber(link, self._sender))
-        subscriber.whole = whole
-        subscriber.send(self._everything(), whole)
+        subscriber.complete = complete
+        subscriber.send(self._everything(), complete)
 
     def lost(self, link) -> None:
         """A connection ended."""
@@ -93,7 +95,8 @@
         if not backends:
             return []
         return [
-            (subscriber, subscriber.send(backends, whole=False)) for subscriber in self._subscribers.values()
+            (subscriber, subscriber.send(backends, complete=False))
+            for subscriber in self._subscribers.values()
         ]
 
     def tell_peers(self, backends: list[Backend]) -> None:
--- a/kestrelbend/tier/discovery/freshness.py
+++ b/kestrelbend/tier/discovery/freshness.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 SUSPECT_INTERVALS = 3.5
-GONE_INTERVALS = 10.0
+DEPARTED_INTERVALS = 10.0
 
 
 class Freshness:
@@ -26,14 +26,14 @@
 
     def silent(self, identities: Iterable[str], now: float, longest: float) -> tuple[str, ...]:
         """Those of the identities that weren't heard for `longest` seconds, if most others were."""
-        quiet = []
+        unresponsive = []
         count = 0
         for identity in identities:
             count += 1
             if now - self._heard.get(identity, now) > longest:
-                quiet.append(identity)
-        if not quiet:
+                unresponsive.append(identity)
+        if not unresponsive:
             return ()
-        fresh = count - len(quiet)
+        fresh = count - len(unresponsive)
         others = count - 1
-        return tuple(quiet) if fresh > 0 and 2 * fresh >= others else ()
+        return tuple(unresponsive) if fresh > 0 and 2 * fresh >= others else ()
--- a/kestrelbend/tier/discovery/messages.py
+++ b/kestrelbend/tier/discovery/messages.py
@@ -12,7 +12,7 @@
 
     READY = 0
     DRAINING = 1
-    GONE = 2
+    DEPARTED = 2
 
 
 @attrs.frozen
@@ -26,18 +26,18 @@
     software: str
     slots: int
     state: int
-    cold_left_ms: int
+    warming_up_ms: int
     sequence: int
     models: str = ""  # the report's Models, as JSON
 
 
 @attrs.frozen
 class BackendUpdate:
-    """Backends that changed, streamed; `whole` replaces what the sender told before."""
+    """Backends that changed, streamed; `complete` replaces what the sender told before."""
 
     sender: str
     number: int  # rises by one on a connection; acknowledged by it
-    whole: bool
+    complete: bool
     backends: tuple[Backend, ...]
 
 
--- a/kestrelbend/tier/discovery/registry.py
+++ b/kestrelbend/tier/discovery/registry.py
@@ -9,16 +9,16 @@
 
 import attrs
 
-from kestrelbend.tier.discovery.freshness import GONE_INTERVALS, SUSPECT_INTERVALS, Freshness
+from kestrelbend.tier.discovery.freshness import DEPARTED_INTERVALS, SUSPECT_INTERVALS, Freshness
 from kestrelbend.tier.discovery.messages import Backend, BackendState
-from kestrelbend.tier.discovery.order import differs, has_left, presumed_gone, supersedes
+from kestrelbend.tier.discovery.order import differs, as_departed, presumed_departed, supersedes
 from kestrelbend.tier.discovery.report import HeartbeatRejected, is_name, read_report
 
 TOMBSTONE_S = 600.0
 MOST_TOMBSTONES = 10_000
 MOST_LIVE = 20_000
 FULL = "full"  # the rejection that says nothing about the report
-QUIET_STREAM_S = 2.0  # a change of nothing but counters is streamed at most this often
+COUNTERS_STREAM_INTERVAL_S = 2.0  # a change of nothing but counters is streamed at most this often
 
 
 @attrs.define(eq=False)
@@ -27,15 +27,15 @@
     changed: int  # the registry's number when it was last to be streamed
     streamed_at: float
     drained: bool
-    gone_at: float = 0.0
+    departed_at: float = 0.0
 
 
 @attrs.frozen
-class Silent:
-    """Backends that fell silent: `suspects` are chosen last, `gone` were just presumed gone."""
+class UnresponsiveBackends:
+    """Backends that fell silent: `suspects` are chosen last, `departed` were just presumed gone."""
 
     suspects: tuple[str, ...]
-    gone: tuple[Backend, ...]
+    departed: tuple[Backend, ...]
 
 
 @attrs.frozen
@@ -119,7 +119,7 @@
             return HeartbeatRejected("identity", "the id is no short text")
         entry = self._entries.get(identity)
         known = entry.backend if entry else Backend(identity, "", "", "", "", 0, 0, 0, 0)
-        self._offer(has_left(known), now)
+        self._offer(as_departed(known), now)
         return self._entries[identity].backend
 
     def merge(self, backend: Backend, now: float) -> bool:
@@ -154,20 +154,22 @@
         changed.reverse()
         return Changes(self._number, tuple(changed))
 
-    def expired(self, now: float, heartbeat_interval: float, in_touch_since: float) -> Silent:
+    def expired(self, now: float, heartbeat_interval: float, in_touch_since: float) -> UnresponsiveBackends:
         """Presumes long silent backends gone, if the node was in touch meanwhile; drops old tombstones."""
         self._drop_tombstones(now)
         live = self._live.identities()
         suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * heartbeat_interval)
-        longest = GONE_INTERVALS * heartbeat_interval
+        longest = DEPARTED_INTERVALS * heartbeat_interval
         if not suspects or now - in_touch_since <= longest:
-            return Silent(suspects, ())
-        gone = []
+            return UnresponsiveBackends(suspects, ())
+        departed = []
         for identity in self._freshness.silent(live, now, longest):
-            self._offer(presumed_gone(self._entries[identity].backend), now)
-            gone.append(self._entries[identity].backend)
-        departed = {backend.identity for backend in gone}
-        return Silent(tuple(name for name in suspects if name not in departed), tuple(gone))
+            self._offer(presumed_departed(self._entries[identity].backend), now)
+            departed.append(self._entries[identity].backend)
+        departed_identities = {backend.identity for backend in departed}
+        return UnresponsiveBackends(
+            tuple(name for name in suspects if name not in departed_identities), tuple(departed)
+        )
 
     def _offer(self, backend: Backend, now: float) -> bool:
         entry = self._entries.get(backend.identity)
@@ -194,7 +196,7 @@
         if differs(backend, before):
             self._publish(entry, now)
             self._urgent_number = self._number
-        elif now - entry.streamed_at >= QUIET_STREAM_S:
+        elif now - entry.streamed_at >= COUNTERS_STREAM_INTERVAL_S:
             self._publish(entry, now)
         self._place(entry, before, now)
 
@@ -210,7 +212,7 @@
         backend = entry.backend
         if before is not None:
             self._live.remove(before.address, before.identity)
-        if backend.state == BackendState.GONE:
+        if backend.state == BackendState.DEPARTED:
             self._bury(entry, now)
             return
         self._tombstones.pop(backend.identity, None)
@@ -218,14 +220,14 @@
 
     def _displace_others(self, backend: Backend, now: float) -> None:
         """The backend has just reported, so earlier incarnations at its address have ended."""
-        if backend.state != BackendState.GONE:
+        if backend.state != BackendState.DEPARTED:
             for identity in self._live.others(backend.address, backend.identity):
-                self._offer(presumed_gone(self._entries[identity].backend), now)
+                self._offer(presumed_departed(self._entries[identity].backend), now)
 
     def _bury(self, entry: _Entry, now: float) -> None:
         identity = entry.backend.identity
         if identity not in self._tombstones:
-            entry.gone_at = now
+            entry.departed_at = now
             self._tombstones[identity] = None
             self._freshness.forget(identity)
         while len(self._tombstones) > MOST_TOMBSTONES:
@@ -234,7 +236,7 @@
     def _drop_tombstones(self, now: float) -> None:
         while self._tombstones:
             oldest = next(iter(self._tombstones))
-            if now - self._entries[oldest].gone_at < TOMBSTONE_S:
+            if now - self._entries[oldest].departed_at < TOMBSTONE_S:
                 return
             self._forget(oldest)
 
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -16,7 +16,7 @@
     is_text,
 )
 from kestrelbend.tier.discovery.messages import Backend, BackendState
-from kestrelbend.tier.discovery.order import LEFT_SEQUENCE
+from kestrelbend.tier.discovery.order import DEPARTURE_SEQUENCE
 
 MOST_NAME = 256  # characters
 MOST_MODELS_TEXT = 16 * 1024  # characters
@@ -47,7 +47,7 @@
 
 
 def _is_sequence(value: Any) -> bool:
-    return type(value) is int and 0 <= value < LEFT_SEQUENCE
+    return type(value) is int and 0 <= value < DEPARTURE_SEQUENCE
 
 
 def _is_cold(value: Any) -> bool:
@@ -88,7 +88,7 @@
         software=fields.get("Ver") or "",
         slots=fields["Slots"],
         state=int(STATES[fields["State"]]),
-        cold_left_ms=int(fields.get("ColdLeftMs") or 0),
+        warming_up_ms=int(fields.get("ColdLeftMs") or 0),
         sequence=fields["Seq"],
         models=models,
     )
--- a/kestrelbend/tier/discovery/view.py
+++ b/kestrelbend/tier/discovery/view.py
@@ -9,9 +9,9 @@
 
 import attrs
 
-from kestrelbend.tier.discovery.freshness import GONE_INTERVALS, SUSPECT_INTERVALS, Freshness
+from kestrelbend.tier.discovery.freshness import DEPARTED_INTERVALS, SUSPECT_INTERVALS, Freshness
 from kestrelbend.tier.discovery.messages import Backend, BackendState, BackendUpdate
-from kestrelbend.tier.discovery.order import differs, presumed_gone, supersedes
+from kestrelbend.tier.discovery.order import differs, presumed_departed, supersedes
 
 TOMBSTONE_S = 600.0
 MOST_TOMBSTONES = 10_000
@@ -40,7 +40,7 @@
 class BackendView:
     """The backends by service, ready ones only, those that fell silent last.
 
-    `of` is asked for each request; its tuples hold a backend's counters (`sequence`, `cold_left_ms`) as they
+    `of` is asked for each request; its tuples hold a backend's counters (`sequence`, `warming_up_ms`) as they
     were at the last change that matters, `get` holds the newest ones.
     """
 
@@ -79,24 +79,26 @@
         self._contact.heard(now)
         return tuple(backend.identity for backend in update.backends if self._offer(backend, now))
 
-    def mark_gone(self, identity: str, now: float) -> None:
+    def mark_departed(self, identity: str, now: float) -> None:
         """Another backend answered at its address: it counts as gone until it reports again."""
         backend = self._backends.get(identity)
-        if backend is not None and backend.state != BackendState.GONE:
-            self._offer(presumed_gone(backend), now)
+        if backend is not None and backend.state != BackendState.DEPARTED:
+            self._offer(presumed_departed(backend), now)
 
     def refresh(self, now: float, heartbeat_interval: float) -> tuple[str, ...]:
         """Finds who fell silent, and presumes gone who was silent for long; call it about once a second."""
         self._drop_tombstones(now)
-        live = tuple(name for name, backend in self._backends.items() if backend.state != BackendState.GONE)
-        longest = GONE_INTERVALS * heartbeat_interval
+        live = tuple(
+            name for name, backend in self._backends.items() if backend.state != BackendState.DEPARTED
+        )
+        longest = DEPARTED_INTERVALS * heartbeat_interval
         unbroken = self._contact.unbroken(now, SUSPECT_INTERVALS * heartbeat_interval)
-        gone = self._freshness.silent(live, now, longest) if unbroken > longest else ()
-        for identity in gone:
-            self._offer(presumed_gone(self._backends[identity]), now)
+        departed = self._freshness.silent(live, now, longest) if unbroken > longest else ()
+        for identity in departed:
+            self._offer(presumed_departed(self._backends[identity]), now)
         suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * heartbeat_interval)
-        self._suspect(frozenset(suspects).difference(gone))
-        return gone
+        self._suspect(frozenset(suspects).difference(departed))
+        return departed
 
     def _rank(self, backend: Backend) -> tuple[bool, str]:
         return (backend.identity in self._suspects, backend.identity)
@@ -135,7 +137,7 @@
             self._chosen.pop(backend.service, None)
 
     def _bury_or_raise(self, backend: Backend, now: float) -> None:
-        if backend.state != BackendState.GONE:
+        if backend.state != BackendState.DEPARTED:
             self._tombstones.pop(backend.identity, None)
             return
         self._tombstones.setdefault(backend.identity, now)
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -61,25 +61,26 @@
 
 
 @attrs.frozen
-class QuietMember:
-    """One whose heartbeats are late; `silent_ms` since the last one."""
+class UnresponsiveMember:
+    """One whose heartbeats are late; `heartbeat_age_ms` since the last one."""
 
     address: str
-    silent_ms: int
+    heartbeat_age_ms: int
 
 
 @attrs.frozen
 class MemberSummary:
     """From a control node to another: what has changed about those that report to it.
 
-    Who was told of on a connection, and is neither quiet nor gone, was heard just now.  `whole` begins anew.
+    A member reported on this connection earlier, and neither unresponsive nor departed, was heard just now.
+    A `complete` summary replaces all earlier ones.
     """
 
     sender: str
-    whole: bool
+    complete: bool
     heartbeats: tuple[Heartbeat, ...]
-    quiet: tuple[QuietMember, ...]
-    gone: tuple[str, ...]
+    unresponsive: tuple[UnresponsiveMember, ...]
+    departed: tuple[str, ...]
 
 
 @attrs.frozen
@@ -111,13 +112,13 @@
 class Subscribe:
     """Asks a control node for its streams; the last word on a connection counts.
 
-    `whole`: configuration, backends and directory.  Otherwise a gateway gets notices alone: the numbers of
+    `complete`: configuration, backends and directory.  Otherwise a gateway gets notices alone: the numbers of
     new versions, and the backends that leave.
     """
 
     member: Member
     config_version: int
-    whole: bool
+    complete: bool
 
 
 @attrs.frozen
@@ -151,7 +152,7 @@
 
 
 @attrs.frozen
-class ContactWord:
+class ContactReply:
     """The answer to a `ContactRequest`, true at some moment after the request was sent.
 
     It is an answer and not a stream: a gateway whose own packets are lost would go on hearing a stream.
--- a/kestrelbend/tier/membership/status.py
+++ b/kestrelbend/tier/membership/status.py
@@ -16,7 +16,7 @@
 from .messages import Heartbeat, Member, ShardPlacement, ShardReport
 from .table import LIVE_S, MemberTable
 
-STATE_NAMES = {BackendState.READY: "Ready", BackendState.DRAINING: "Draining", BackendState.GONE: "Gone"}
+STATE_NAMES = {BackendState.READY: "Ready", BackendState.DRAINING: "Draining", BackendState.DEPARTED: "Gone"}
 
 
 @attrs.frozen
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -187,10 +187,10 @@
 
     def _subscribe(self, connection: PeerConnection, message: Subscribe) -> None:
         if message.member.serves_front:
-            self.config_stream.subscribe(connection, message.config_version, message.whole)
-            self.exchange.subscribe(connection, message.whole)
+            self.config_stream.subscribe(connection, message.config_version, message.complete)
+            self.exchange.subscribe(connection, message.complete)
             self._stream_configuration()
-        if message.whole:
+        if message.complete:
             self.directory_stream.subscribe(connection)
         else:
             self.directory_stream.lost(connection)
@@ -224,9 +224,9 @@
         self._refresh_directory(now)
         self.directory_stream.send()
         self._placer.place(now)
-        self.backend_reports.spread_quiet_changes()
+        self.backend_reports.publish_pending_changes()
         heartbeat_interval_s = self.settings.heartbeat_ms / 1000
-        self.backend_reports.presume_silent_gone(self._contact.seconds(now), heartbeat_interval_s)
+        self.backend_reports.expire_unresponsive(self._contact.seconds(now), heartbeat_interval_s)
 
     def _refresh_directory(self, now: float) -> None:
         directory = self.directory_stream.refresh(self.configuration, self._contact.seconds(now), now)
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -42,12 +42,12 @@
         chosen = self._choice.to_stream_from(order, now)
         for address in order:
             connection = self._connections.to(address)
-            whole = address in chosen
-            if connection is None or self._wanted_whole.get(connection) is whole:
+            complete = address in chosen
+            if connection is None or self._wanted_whole.get(connection) is complete:
                 continue
-            self._wanted_whole[connection] = whole
-            connection.send(wish(whole))
-            if not whole:
+            self._wanted_whole[connection] = complete
+            connection.send(wish(complete))
+            if not complete:
                 self._on_unfollowed(address)
 
     def report(self, order: Sequence[str], heartbeat: Heartbeat, now: float) -> None:
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -17,7 +17,7 @@
 from ..dataplane.server import Listener
 from ..discovery.messages import BackendAck, BackendUpdate
 from ..discovery.view import BackendView
-from ..membership.messages import ConfigAck, ConfigFetch, ConfigUpdate, ContactRequest, ContactWord
+from ..membership.messages import ConfigAck, ConfigFetch, ConfigUpdate, ContactReply, ContactRequest
 from ..membership.placement import BUDGET_SHARDS, address_of, budget_shards
 from .gateway_contact import GatewayContact, Standing
 from .process import GATEWAY_PORT, TierProcess
@@ -95,7 +95,7 @@
             self._take_configuration(connection, message)
         elif isinstance(message, BackendUpdate):
             self._take_backends(connection, message)
-        elif isinstance(message, ContactWord):
+        elif isinstance(message, ContactReply):
             self.contact.take(connection.address, message)
 
     def _take_configuration(self, connection, update: ConfigUpdate) -> None:
@@ -129,7 +129,7 @@
     def _take_backends(self, connection, update: BackendUpdate) -> None:
         now = self.now()
         self.view.take(update, now)
-        if update.whole and self._backends_notified_at is None:
+        if update.complete and self._backends_notified_at is None:
             self._backends_notified_at = now
         connection.send(BackendAck(update.sender, update.number))
 
@@ -200,9 +200,9 @@
         """The ready backends of a service."""
         return self.view.of(service)
 
-    def mark_gone(self, identity: str) -> None:
+    def mark_departed(self, identity: str) -> None:
         """Another backend answered in this one's place."""
-        self.view.mark_gone(identity, self.now())
+        self.view.mark_departed(identity, self.now())
 
     # Time
 
--- a/kestrelbend/tier/roles/gateway_contact.py
+++ b/kestrelbend/tier/roles/gateway_contact.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from ..membership.messages import ContactWord
+from ..membership.messages import ContactReply
 from ..membership.standing import CONTACT_S
 
 ELECTION_S = 1.5  # without an owner, though others answer, until requests wait no longer
@@ -125,7 +125,7 @@
             self._next_ticket += 1
         return tickets
 
-    def take(self, address: str, reply: ContactWord) -> None:
+    def take(self, address: str, reply: ContactReply) -> None:
         """Takes a reply; without a request of its ticket to that address it says nothing."""
         sent = self._sent_requests.get(reply.ticket)
         if sent is None or sent.address != address:
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -16,7 +16,7 @@
 from ..membership.directory import DirectoryView
 from ..membership.messages import (
     ContactRequest,
-    ContactWord,
+    ContactReply,
     Directory,
     Heartbeat,
     HeartbeatAck,
@@ -218,7 +218,7 @@
         """Asks control nodes for their streams, as far as they are wanted now."""
         self._reports.subscribe(
             self.control_addresses(),
-            lambda whole: Subscribe(self.member, self.config_version(), whole),
+            lambda complete: Subscribe(self.member, self.config_version(), complete),
             now,
         )
 
@@ -258,7 +258,7 @@
         elif isinstance(message, HeartbeatAck):
             self._reports.answered(connection, message)
         elif isinstance(message, ContactRequest):
-            connection.send(self.contact_word(message.ticket))
+            connection.send(self.contact_reply(message.ticket))
         else:
             self.on_message(connection, message, sequence)
 
@@ -329,9 +329,9 @@
             )
         return tuple(reports)
 
-    def contact_word(self, ticket: int) -> ContactWord:
+    def contact_reply(self, ticket: int) -> ContactReply:
         """What a gateway may believe of this process's replicas now."""
-        return ContactWord(
+        return ContactReply(
             ticket=ticket,
             in_contact=self._has_standing(CONFIGURATION_SHARD, in_contact),
             version=self.config_version() if self._has_standing(CONFIGURATION_SHARD, is_current) else 0,
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -436,7 +436,7 @@
     def of(self, service: str) -> tuple[Backend, ...]:
         return tuple(backend for backend in self.live.values() if backend.service == service)
 
-    def mark_gone(self, identity: str) -> None:
+    def mark_departed(self, identity: str) -> None:
         self.gone.append(identity)
         self.live.pop(identity, None)
 
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -11,7 +11,7 @@
 from kestrelbend.tier.discovery import registry as registry_module
 from kestrelbend.tier.discovery.exchange import ACK_WAIT_S, BackendExchange
 from kestrelbend.tier.discovery.messages import BackendAck, BackendState, BackendUpdate
-from kestrelbend.tier.discovery.registry import QUIET_STREAM_S, BackendRegistry
+from kestrelbend.tier.discovery.registry import COUNTERS_STREAM_INTERVAL_S, BackendRegistry
 from kestrelbend.tier.discovery.report import read_report
 from tests.tier.virtual_time import run
 
@@ -198,10 +198,10 @@
         async def story():
             await self.heartbeat()
             told = len(self.near.news)
-            await asyncio.sleep(QUIET_STREAM_S)
+            await asyncio.sleep(COUNTERS_STREAM_INTERVAL_S)
             await self.heartbeat(Seq=2)
             self.assertEqual(told, len(self.near.news))
-            self.reports.spread_quiet_changes()
+            self.reports.publish_pending_changes()
             self.assertEqual(2, self.near.news[-1].backends[0].sequence)
 
         self.play(story)
@@ -210,7 +210,7 @@
         async def story():
             backend = read_report("i-9", READY)
             self.reports.merge([backend])
-            self.reports.spread_quiet_changes()
+            self.reports.publish_pending_changes()
             self.assertEqual([], self.near.news)
 
         self.play(story)
--- a/tests/tier/test_dataplane_requests.py
+++ b/tests/tier/test_dataplane_requests.py
@@ -206,7 +206,7 @@
 
     def test_bytes_behind_an_answer_close_its_connection(self):
         late = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
         self.first.answers(whole(behind=late), whole())
 
         async def story():
@@ -219,7 +219,7 @@
         self.assertEqual(2, len(self.first.connections))
 
     def test_bytes_that_come_while_a_connection_rests_close_it(self):
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
 
         async def story():
             await self.world.ask("/pay/x")
@@ -232,7 +232,7 @@
     def test_a_surplus_answer_in_place_of_ours_is_dropped_and_ours_is_read(self):
         late = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\n"
         late += b"X-Kestrelbend-Server-Stamp: 9\r\nContent-Length: 5\r\n\r\nother"
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
 
         async def surplus_first(asked):
             asked.connection.send(late[:40])
@@ -257,7 +257,7 @@
         self.assertEqual((502, 1), (got.status, self.runs()))
 
     def test_a_large_answer_that_is_cut_does_not_look_complete(self):
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
         lines = b"X-Kestrelbend-Server-Stamp: 1\r\nX-Kestrelbend-Request-Id: try-1\r\n"
         large = b"HTTP/1.1 200 X\r\n" + lines + b"Content-Length: 900000\r\n\r\n" + b"x" * 600000
         self.first.answers(raw(large, "close"))
@@ -346,7 +346,7 @@
         self.assertEqual(200, got.status)
 
     def test_the_urgent_goes_first_when_room_comes(self):
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
         self.first.answers(*[turned_away()] * 3, whole(), turned_away(), whole())
         fields = {"program": "p"}
 
@@ -360,7 +360,7 @@
         self.assertTrue(quick.at < slow.at, (quick.at, slow.at))
 
     def test_a_backend_that_drains_while_a_connection_comes_up_gets_nothing(self):
-        self.world.mark_gone("i-2")
+        self.world.mark_departed("i-2")
 
         async def story():
             asked = asyncio.ensure_future(self.world.ask("/pay/x"))
--- a/tests/tier/test_dataplane_sockets.py
+++ b/tests/tier/test_dataplane_sockets.py
@@ -61,7 +61,7 @@
     def of(self, service: str) -> tuple[Backend, ...]:
         return (self.backend,) if service == self._service else ()
 
-    def mark_gone(self, identity: str) -> None:
+    def mark_departed(self, identity: str) -> None:
         raise AssertionError("nobody is gone here")
 
     async def serve_backend(self, reader, writer) -> None:
--- a/tests/tier/test_dataplane_streams.py
+++ b/tests/tier/test_dataplane_streams.py
@@ -346,7 +346,7 @@
 
     def test_other_zones_serve_where_this_one_has_none(self):
         for identity in ("i-1", "i-3", "i-5"):
-            self.world.mark_gone(identity)
+            self.world.mark_departed(identity)
         self.assertEqual({"i-2", "i-4", "i-6"}, self.used(f"p{number}" for number in range(40)))
 
     def test_a_burst_spills_to_all(self):
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -10,12 +10,12 @@
 
 from kestrelbend.tier.discovery import registry as registry_module
 from kestrelbend.tier.discovery.messages import Backend, BackendState
-from kestrelbend.tier.discovery.order import LEFT_SEQUENCE, has_left, presumed_gone, supersedes
-from kestrelbend.tier.discovery.registry import QUIET_STREAM_S, TOMBSTONE_S, BackendRegistry
+from kestrelbend.tier.discovery.order import DEPARTURE_SEQUENCE, as_departed, presumed_departed, supersedes
+from kestrelbend.tier.discovery.registry import COUNTERS_STREAM_INTERVAL_S, TOMBSTONE_S, BackendRegistry
 from kestrelbend.tier.discovery.report import HeartbeatRejected
 
 REPEATABLE = hypothesis.settings(derandomize=True, database=None, deadline=None)
-READY, DRAINING, GONE = (int(state) for state in BackendState)
+READY, DRAINING, DEPARTED = (int(state) for state in BackendState)
 INTERVAL = 1.0
 
 
@@ -52,7 +52,7 @@
             "Zone": (None, "", []),
             "Slots": (None, 0, -1, 1.5, True, 2**40),
             "State": (None, "gone", 0, []),
-            "Seq": (None, -1, 1.0, "4", True, LEFT_SEQUENCE, 2**70),
+            "Seq": (None, -1, 1.0, "4", True, DEPARTURE_SEQUENCE, 2**70),
             "ColdLeftMs": (-1, "0", float("nan"), float("inf"), 2**90),
             "Models": ({}, "m", ["x" * 20000]),
             "Ver": ("", 7),
@@ -87,7 +87,7 @@
             backend = BackendRegistry().heartbeat("i-1", values, 0.0)
             if not isinstance(backend, HeartbeatRejected):
                 self.assertIsInstance(backend, Backend)
-                self.assertTrue(backend.slots > 0 and 0 <= backend.sequence < LEFT_SEQUENCE)
+                self.assertTrue(backend.slots > 0 and 0 <= backend.sequence < DEPARTURE_SEQUENCE)
                 backend.service.encode(), backend.software.encode(), backend.models.encode()
 
 
@@ -128,19 +128,19 @@
         self.registry.leave("i-1", 0.0)
         self.registry.heartbeat("i-1", report(99), 0.0)
         self.registry.merge(attrs.evolve(self.registry.get("i-1"), state=READY, sequence=100), 0.0)
-        self.assertEqual((GONE, []), (self.state(), self.ready()))
+        self.assertEqual((DEPARTED, []), (self.state(), self.ready()))
 
     def test_given_the_word_of_an_unknown_backend_that_it_left_then_its_late_reports_change_nothing(self):
         self.registry.leave("i-1", 0.0)
         self.registry.heartbeat("i-1", report(5), 0.0)
-        self.assertEqual(GONE, self.state())
+        self.assertEqual(DEPARTED, self.state())
 
     def test_given_a_new_incarnation_at_an_address_then_the_earlier_one_is_gone_and_streamed(self):
         self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry.heartbeat("i-2", report(1), 1.0)
-        self.assertEqual((GONE, ["i-2"]), (self.state(), self.ready()))
+        self.assertEqual((DEPARTED, ["i-2"]), (self.state(), self.ready()))
         changed = {backend.identity: backend.state for backend in self.registry.changes_since(1).backends}
-        self.assertEqual({"i-1": GONE, "i-2": READY}, changed)
+        self.assertEqual({"i-1": DEPARTED, "i-2": READY}, changed)
 
     def test_given_a_late_report_of_the_earlier_incarnation_then_the_living_one_wins_by_its_next(self):
         self.registry.heartbeat("i-2", report(8), 0.0)
@@ -160,13 +160,13 @@
 
     def test_given_changes_of_counters_only_then_they_are_streamed_seldom(self):
         self.registry.heartbeat("i-1", report(1, ColdLeftMs=900), 0.0)
-        self.registry.heartbeat("i-1", report(2, ColdLeftMs=100), QUIET_STREAM_S / 2)
+        self.registry.heartbeat("i-1", report(2, ColdLeftMs=100), COUNTERS_STREAM_INTERVAL_S / 2)
         self.assertEqual(1, self.registry.number)
-        self.registry.heartbeat("i-1", report(3, ColdLeftMs=0), QUIET_STREAM_S / 2)
+        self.registry.heartbeat("i-1", report(3, ColdLeftMs=0), COUNTERS_STREAM_INTERVAL_S / 2)
         self.assertEqual(2, self.registry.number)
-        self.registry.heartbeat("i-1", report(4), QUIET_STREAM_S)
+        self.registry.heartbeat("i-1", report(4), COUNTERS_STREAM_INTERVAL_S)
         self.assertEqual(2, self.registry.number)
-        self.registry.heartbeat("i-1", report(5), QUIET_STREAM_S * 2)
+        self.registry.heartbeat("i-1", report(5), COUNTERS_STREAM_INTERVAL_S * 2)
         self.assertEqual(3, self.registry.number)
 
     def test_given_a_number_then_exactly_the_later_changes_are_told_each_once(self):
@@ -180,10 +180,12 @@
     def test_given_the_same_words_in_any_order_then_registries_agree(self):
         words = [self.word(sequence, READY) for sequence in range(1, 6)]
         words += [self.word(6, DRAINING), self.word(7, DRAINING)]
-        words += [presumed_gone(words[2]), presumed_gone(words[4]), presumed_gone(words[6])]
+        words += [presumed_departed(words[2]), presumed_departed(words[4]), presumed_departed(words[6])]
         for seed in range(200):
             rng = random.Random(seed)
-            told = rng.sample(words, rng.randrange(1, len(words))) + [has_left(words[0])] * rng.randrange(2)
+            told = rng.sample(words, rng.randrange(1, len(words))) + [as_departed(words[0])] * rng.randrange(
+                2
+            )
             states = set()
             for _ in range(4):
                 registry = BackendRegistry()
@@ -196,7 +198,7 @@
         return Backend("i-1", "blue", "10.0.0.9:80", "east", "v1", 4, state, 0, sequence)
 
     def test_given_any_two_words_then_at_most_one_is_newer(self):
-        words = [self.word(sequence, state) for sequence in (1, 2) for state in (READY, DRAINING, GONE)]
+        words = [self.word(sequence, state) for sequence in (1, 2) for state in (READY, DRAINING, DEPARTED)]
         for one in words:
             for other in words:
                 self.assertFalse(supersedes(one, other) and supersedes(other, one))
@@ -233,8 +235,8 @@
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.assertEqual(("a",), self.registry.expired(3.6, INTERVAL, 0.0).suspects)
         silent = self.registry.expired(11.0, INTERVAL, 0.0)
-        self.assertEqual(((), ["a"]), (silent.suspects, [backend.identity for backend in silent.gone]))
-        self.assertEqual(GONE, self.registry.get("a").state)
+        self.assertEqual(((), ["a"]), (silent.suspects, [backend.identity for backend in silent.departed]))
+        self.assertEqual(DEPARTED, self.registry.get("a").state)
 
     def test_given_one_presumed_gone_then_its_next_report_brings_it_back(self):
         for second in range(12):
@@ -245,7 +247,7 @@
 
     def test_given_a_draining_one_presumed_gone_then_it_comes_back_draining_only(self):
         self.registry.heartbeat("a", report(5, "draining"), 0.0)
-        self.registry.merge(presumed_gone(self.registry.get("a")), 0.0)
+        self.registry.merge(presumed_departed(self.registry.get("a")), 0.0)
         self.registry.heartbeat("a", report(6), 0.0)
         self.assertEqual(DRAINING, self.registry.get("a").state)
 
@@ -254,10 +256,10 @@
         self.send_heartbeats(9.0, "a")
         for now in (20.0, 9.5):
             silent = self.registry.expired(now, INTERVAL, 0.0)
-            self.assertEqual(((), ()), (silent.suspects, silent.gone))
+            self.assertEqual(((), ()), (silent.suspects, silent.departed))
 
     def test_given_a_node_that_was_out_of_touch_then_it_presumes_nobody_gone(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         silent = self.registry.expired(11.0, INTERVAL, 5.0)
-        self.assertEqual((("a",), ()), (silent.suspects, silent.gone))
+        self.assertEqual((("a",), ()), (silent.suspects, silent.departed))
--- a/tests/tier/test_discovery_view.py
+++ b/tests/tier/test_discovery_view.py
@@ -4,10 +4,10 @@
 import testtools
 
 from kestrelbend.tier.discovery.messages import Backend, BackendState, BackendUpdate
-from kestrelbend.tier.discovery.order import has_left, presumed_gone
+from kestrelbend.tier.discovery.order import as_departed, presumed_departed
 from kestrelbend.tier.discovery.view import TOMBSTONE_S, BackendView
 
-READY, DRAINING, GONE = (int(state) for state in BackendState)
+READY, DRAINING, DEPARTED = (int(state) for state in BackendState)
 INTERVAL = 1.0
 
 
@@ -24,8 +24,8 @@
         super().setUp()
         self.view = BackendView()
 
-    def take(self, *backends, sender="c-1", whole=False, now=0.0):
-        return self.view.take(BackendUpdate(sender, 1, whole, backends), now)
+    def take(self, *backends, sender="c-1", complete=False, now=0.0):
+        return self.view.take(BackendUpdate(sender, 1, complete, backends), now)
 
     def names(self, service="blue"):
         return [known.identity for known in self.view.of(service)]
@@ -38,8 +38,8 @@
 
     def test_given_a_sender_that_knows_less_then_nothing_is_removed(self):
         self.take(backend("a"), backend("b"))
-        self.take(backend("b", 9), sender="c-2", whole=True)
-        self.take(whole=True)
+        self.take(backend("b", 9), sender="c-2", complete=True)
+        self.take(complete=True)
         self.assertEqual(["a", "b"], self.names())
 
     def test_given_a_word_that_one_drains_then_it_is_out_whatever_others_still_tell(self):
@@ -50,14 +50,14 @@
 
     def test_given_one_that_left_then_it_stays_out(self):
         self.take(backend("a", 5))
-        self.take(has_left(backend("a", 5)))
+        self.take(as_departed(backend("a", 5)))
         self.take(backend("a", 99), sender="c-2")
-        self.assertEqual(([], GONE), (self.names(), self.view.get("a").state))
+        self.assertEqual(([], DEPARTED), (self.names(), self.view.get("a").state))
 
     def test_given_one_that_another_answered_for_then_it_is_out_until_it_reports_again(self):
         self.take(backend("a", 5))
-        self.view.mark_gone("a", 0.0)
-        self.view.mark_gone("unknown", 0.0)
+        self.view.mark_departed("a", 0.0)
+        self.view.mark_departed("unknown", 0.0)
         self.take(backend("a", 5), sender="c-2")
         self.assertEqual([], self.names())
         self.take(backend("a", 6))
@@ -107,7 +107,7 @@
         self.assertEqual(["b", "c", "a"], self.names())
 
     def test_given_old_tombstones_then_they_are_forgotten(self):
-        self.take(presumed_gone(backend("a")), now=0.0)
+        self.take(presumed_departed(backend("a")), now=0.0)
         self.view.refresh(TOMBSTONE_S - 1, INTERVAL)
         self.assertIsNotNone(self.view.get("a"))
         self.view.refresh(TOMBSTONE_S, INTERVAL)
--- a/tests/tier/test_gateway_contact.py
+++ b/tests/tier/test_gateway_contact.py
@@ -8,7 +8,7 @@
 from kestrelbend.tier.budgets.client import BudgetClient
 from kestrelbend.tier.budgets.messages import Reserve, Verdict
 from kestrelbend.tier.dataplane.life import Life
-from kestrelbend.tier.membership.messages import ContactWord
+from kestrelbend.tier.membership.messages import ContactReply
 from kestrelbend.tier.roles.gateway_contact import CONTACT_S, ELECTION_S, GatewayContact, Standing
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
@@ -41,7 +41,7 @@
     def reply(self, address, ticket):
         owned = (SHARD,) if address == self.owner else ()
         version = 0 if address in self.lagging else self.version
-        return ContactWord(ticket, address in self.in_contact, version, owned)
+        return ContactReply(ticket, address in self.in_contact, version, owned)
 
     def run(self, seconds):
         ends = self.now + seconds
@@ -159,8 +159,8 @@
         self.world.answering = set()
         self.world.run(0.3)
         for ticket in range(40):
-            self.contact.take("10.0.0.9:1", ContactWord(ticket, True, 7, (SHARD,)))
-        self.contact.take(OWN, ContactWord(999, True, 7, (SHARD,)))
+            self.contact.take("10.0.0.9:1", ContactReply(ticket, True, 7, (SHARD,)))
+        self.contact.take(OWN, ContactReply(999, True, 7, (SHARD,)))
         self.assertEqual((Standing.LOST, Standing.LOST), self.world.standing())
 
     def test_given_this_process_stood_still_when_it_wakes_then_nobody_else_is_silent_but_nothing_refused(
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -118,7 +118,7 @@
 
     def test_given_an_old_version_or_no_ready_backend_then_they_are_remarked(self):
         self.table.heard(Heartbeat(member(4, "gateway"), 2, 6, False, ()), NOW)
-        self.backends = [backend("i", BackendState.GONE), backend("ii", BackendState.DRAINING)]
+        self.backends = [backend("i", BackendState.DEPARTED), backend("ii", BackendState.DRAINING)]
         said = self.printed(self.status())[1]
         self.assertIn("gateway on gateway-4: still serves by version 6", said)
         self.assertIn("service chat: no ready backend", said)
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -104,7 +104,7 @@
     def test_given_a_gateway_that_wants_notices_then_it_hears_of_those_that_leave_alone(self):
         self.given_an_exchange()
         other = FakeConnection()
-        self.exchange.subscribe(other, whole=False)
+        self.exchange.subscribe(other, complete=False)
         self.exchange.stream([backend(0), backend(1)])
         self.exchange.stream([backend(0, 3)])
         self.assertEqual([BackendUpdate("c:1", 1, False, (backend(1),))], other.sent)
@@ -112,9 +112,9 @@
     def test_given_a_gateway_that_wants_all_later_then_it_gets_everything_and_numbers_go_on(self):
         self.given_an_exchange()
         other = FakeConnection()
-        self.exchange.subscribe(other, whole=False)
+        self.exchange.subscribe(other, complete=False)
         self.exchange.stream([backend(1)])
-        self.exchange.subscribe(other, whole=True)
+        self.exchange.subscribe(other, complete=True)
         self.assertEqual([1, 2], [update.number for update in other.sent])
         self.assertEqual((backend(0),), other.sent[-1].backends)
 
