--- /dev/null
+++ b/kestrelbend/tier/configuration/backend_calls.py
@@ -0,0 +1,43 @@
+"""The calls `Instances.Heartbeat` and `Instances.Leave`, by which backends report themselves."""
+
+from __future__ import annotations
+
+from kestrelbend.tier.configuration.http_answers import (
+    OK,
+    UNAVAILABLE,
+    Answer,
+    json_answer,
+    read_object,
+    rejected,
+    status_answer,
+)
+from kestrelbend.tier.configuration.operator_call import Call
+from kestrelbend.tier.configuration.ports import ControlPort, ReportOutcome
+
+REPORT_STATUS = {
+    ReportOutcome.ACCEPTED: OK,
+    ReportOutcome.MALFORMED: 400,
+    ReportOutcome.UNAVAILABLE: UNAVAILABLE,
+}
+
+
+class BackendCalls:
+    """Backends' calls, each answered by what the port says; a call names the backend's id."""
+
+    def __init__(self, port: ControlPort) -> None:
+        self._port = port
+
+    async def heartbeat(self, call: Call) -> Answer:
+        """Takes a heartbeat; the answer may name an address for the next ones."""
+        report = read_object(call.body)
+        if report is None:
+            return rejected(400, "the report is no JSON object")
+        outcome = await self._port.backend_heartbeat(call.name, report)
+        url = self._port.heartbeat_url()
+        if outcome is ReportOutcome.ACCEPTED and url:
+            return json_answer(OK, {"BeatUrl": url})
+        return status_answer(REPORT_STATUS[outcome])
+
+    async def leave(self, call: Call) -> Answer:
+        """Takes a backend's report that it is gone; the body does not matter."""
+        return status_answer(REPORT_STATUS[await self._port.leave(call.name)])
--- /dev/null
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -0,0 +1,51 @@
+"""The calls `Config.Put`, `Config.Patch` and `Config.Get`: HTTP values to orders, outcomes to answers."""
+
+from __future__ import annotations
+
+from kestrelbend.tier.configuration.http_answers import OK, Answer, json_answer, rejected, unavailable
+from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
+from kestrelbend.tier.configuration.operator_call import Call
+from kestrelbend.tier.configuration.ports import ControlPort
+from kestrelbend.tier.configuration.schemas import MAX_VERSION
+
+
+class ConfigCalls:
+    """The configuration's calls, each answered by what the port says."""
+
+    def __init__(self, port: ControlPort) -> None:
+        self._port = port
+
+    async def put(self, call: Call) -> Answer:
+        """Gives a complete configuration."""
+        return await self._order(OrderKind.PUT, call)
+
+    async def patch(self, call: Call) -> Answer:
+        """Changes the current configuration."""
+        return await self._order(OrderKind.PATCH, call)
+
+    async def get(self, call: Call) -> Answer:
+        """The newest configuration, byte for byte."""
+        reply = await self._port.read()
+        if not reply.owner:
+            return unavailable()
+        if not reply.body:
+            return rejected(404, "there is no configuration yet")
+        return Answer(OK, bytes(reply.body))
+
+    async def _order(self, kind: OrderKind, call: Call) -> Answer:
+        base = _base_version(call.base)
+        if base is None:
+            return rejected(400, "X-Kestrelbend-Base-Version is missing or no whole number")
+        outcome = await self._port.order(ConfigOrder(int(kind), base, call.body))
+        if outcome.status == OK:
+            return json_answer(OK, {"Ver": outcome.version})
+        if outcome.status == UNDETERMINED:
+            return unavailable()
+        return json_answer(outcome.status, {"Error": outcome.reason, "Ver": outcome.version})
+
+
+def _base_version(value: bytes | None) -> int | None:
+    if value is None or not value.isdigit() or len(value) > len(str(MAX_VERSION)):
+        return None
+    version = int(value)
+    return version if version < MAX_VERSION else None
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -7,74 +7,42 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import re
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 import attrs
 
-from kestrelbend.tier.configuration.field_checks import is_positive
-from kestrelbend.tier.configuration.schemas import MAX_VERSION
-from kestrelbend.tier.configuration.messages import ConfigOrder, OrderKind
+from kestrelbend.tier.configuration.backend_calls import BackendCalls
+from kestrelbend.tier.configuration.config_calls import ConfigCalls
+from kestrelbend.tier.configuration.http_answers import (
+    OK,
+    UNAVAILABLE,
+    Answer,
+    json_answer,
+    rejected,
+    unavailable,
+)
+from kestrelbend.tier.configuration.operator_call import Call, Handler
+from kestrelbend.tier.configuration.ports import ControlPort
 from kestrelbend.tier.configuration.rejections import is_rejection, may_reject
-from kestrelbend.tier.configuration.ports import ControlPort, ReportOutcome, RetireOutcome, RetireState
+from kestrelbend.tier.configuration.retirement_calls import RetirementCalls
 
 MAX_ORDER_BYTES = 8 * 1024 * 1024
 MAX_REPORT_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of a body that is too large; beyond, the rest is not read
+MAX_NAME = 256  # characters
 BODY_TIMEOUT_S = 20.0
 RETRY_AFTER_S = "0.2"
-MAX_NAME = 256
 BASE_VERSION = b"x-kestrelbend-base-version"
 CALL = re.compile(r"/api/(?P<call>[A-Za-z]+(?:\.[A-Za-z]+)?)(?:/(?P<name>[^/]+))?")
 
-UNAVAILABLE = 503
-REPORT_STATUS = {
-    ReportOutcome.ACCEPTED: 200,
-    ReportOutcome.MALFORMED: 400,
-    ReportOutcome.UNAVAILABLE: UNAVAILABLE,
-}
-RETIRE_STATUS = {
-    RetireOutcome.ACCEPTED: 200,
-    RetireOutcome.UNKNOWN_NODE: 404,
-    RetireOutcome.TOO_FEW_LEFT: 409,
-    RetireOutcome.UNAVAILABLE: UNAVAILABLE,
-}
-
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
-@attrs.frozen
-class Answer:
-    """A status, a JSON body and whether the caller is told when to ask again."""
-
-    status: int
-    body: bytes
-    allow: str = ""
-
-
-@attrs.frozen(eq=False)
-class Call:
-    """One call as its handler needs it."""
-
-    name: str
-    base: bytes | None
-    body: bytes
-
-
-@attrs.frozen
-class _Handler:
-    call: str
-    method: str
-    takes_name: bool
-    max_bytes: int
-    run: Callable[[Call], Awaitable[Answer]]
-
-
 class _Disconnected(Exception):
-    """The caller went away before its body had come."""
+    """The caller went away before its body had come; there is nobody to answer."""
 
 
 class OperatorApi:
@@ -82,15 +50,18 @@
 
     def __init__(self, port: ControlPort) -> None:
         self._port = port
+        config = ConfigCalls(port)
+        backends = BackendCalls(port)
+        retirement = RetirementCalls(port)
         handlers = (
-            _Handler("Config.Put", "POST", False, MAX_ORDER_BYTES, self._put),
-            _Handler("Config.Patch", "POST", False, MAX_ORDER_BYTES, self._patch),
-            _Handler("Config.Get", "GET", False, 0, self._get),
-            _Handler("Instances.Heartbeat", "POST", True, MAX_REPORT_BYTES, self._heartbeat),
-            _Handler("Instances.Leave", "POST", True, MAX_REPORT_BYTES, self._leave),
-            _Handler("Retire.Start", "POST", True, MAX_REPORT_BYTES, self._retire_start),
-            _Handler("Retire.Get", "GET", True, 0, self._retire_get),
-            _Handler("Status", "GET", False, 0, self._status),
+            Handler("Config.Put", "POST", False, MAX_ORDER_BYTES, config.put),
+            Handler("Config.Patch", "POST", False, MAX_ORDER_BYTES, config.patch),
+            Handler("Config.Get", "GET", False, 0, config.get),
+            Handler("Instances.Heartbeat", "POST", True, MAX_REPORT_BYTES, backends.heartbeat),
+            Handler("Instances.Leave", "POST", True, MAX_REPORT_BYTES, backends.leave),
+            Handler("Retire.Start", "POST", True, MAX_REPORT_BYTES, retirement.start),
+            Handler("Retire.Get", "GET", True, 0, retirement.get),
+            Handler("Status", "GET", False, 0, self._status),
         )
         self._handlers = {handler.call: handler for handler in handlers}
 
@@ -108,7 +79,7 @@
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, _rejection(408, "the body did not come in time"))
+            await _send(send, rejected(408, "the body did not come in time"))
             return
         except _Disconnected:
             return
@@ -118,122 +89,34 @@
         handler, name = found
         await _send(send, await self._answer(handler, name, scope, body))
 
-    def _find(self, scope: dict[str, Any]) -> tuple[_Handler, str] | Answer:
+    def _find(self, scope: dict[str, Any]) -> tuple[Handler, str] | Answer:
         match = CALL.fullmatch(scope["path"])
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
         if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
-            return _rejection(404, "no such call")
+            return rejected(404, "no such call")
         if scope["method"] != handler.method:
-            return attrs.evolve(_rejection(405, f"the call takes {handler.method}"), allow=handler.method)
+            return attrs.evolve(rejected(405, f"the call takes {handler.method}"), allow=handler.method)
         return handler, name
 
-    async def _answer(
-        self, handler: _Handler, name: str, scope: dict[str, Any], body: bytes | None
-    ) -> Answer:
+    async def _answer(self, handler: Handler, name: str, scope: dict[str, Any], body: bytes | None) -> Answer:
         if body is None:
-            return _rejection(413, "the body is too large")
+            return rejected(413, "the body is too large")
         base = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION]
         answer = await handler.run(Call(name, base[0] if len(base) == 1 else None, body))
         return _allowed(handler.call, answer)
 
-    async def _put(self, call: Call) -> Answer:
-        return await self._order(OrderKind.PUT, call)
-
-    async def _patch(self, call: Call) -> Answer:
-        return await self._order(OrderKind.PATCH, call)
-
-    async def _order(self, kind: OrderKind, call: Call) -> Answer:
-        base = _base_version(call.base)
-        if base is None:
-            return _rejection(400, "X-Kestrelbend-Base-Version is missing or no whole number")
-        outcome = await self._port.order(ConfigOrder(int(kind), base, call.body))
-        if outcome.status == 200:
-            return _json(200, {"Ver": outcome.version})
-        if outcome.status == 0:
-            return _unavailable()
-        return _json(outcome.status, {"Error": outcome.reason, "Ver": outcome.version})
-
-    async def _get(self, call: Call) -> Answer:
-        reply = await self._port.read()
-        if not reply.owner:
-            return _unavailable()
-        if not reply.body:
-            return _rejection(404, "there is no configuration yet")
-        return Answer(200, bytes(reply.body))
-
-    async def _heartbeat(self, call: Call) -> Answer:
-        report = _object(call.body)
-        if report is None:
-            return _rejection(400, "the report is no JSON object")
-        outcome = await self._port.backend_heartbeat(call.name, report)
-        url = self._port.heartbeat_url()
-        if outcome is ReportOutcome.ACCEPTED and url:
-            return _json(200, {"BeatUrl": url})
-        return _plain(REPORT_STATUS[outcome])
-
-    async def _leave(self, call: Call) -> Answer:
-        return _plain(REPORT_STATUS[await self._port.leave(call.name)])
-
-    async def _retire_start(self, call: Call) -> Answer:
-        order = _object(call.body)
-        deadline = order.get("DeadlineS") if order is not None else None
-        if not is_positive(deadline):
-            return _rejection(400, "DeadlineS is no positive number of seconds")
-        return _plain(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline))])
-
-    async def _retire_get(self, call: Call) -> Answer:
-        state = await self._port.retire_state(call.name)
-        if state is RetireState.UNAVAILABLE:
-            return _unavailable()
-        if state is RetireState.NOT_ORDERED:
-            return _rejection(404, "nobody asked for the node to be emptied")
-        return _json(200, {"State": state.value})
-
     async def _status(self, call: Call) -> Answer:
-        return _json(200, self._port.status())
+        return json_answer(OK, self._port.status())
 
 
 def _allowed(call: str, answer: Answer) -> Answer:
     """The answer, or a 503 in place of a rejection that the call may not get."""
     if is_rejection(answer.status) and not may_reject(call, answer.status):
-        return _unavailable()
+        return unavailable()
     return answer
 
 
-def _base_version(value: bytes | None) -> int | None:
-    if value is None or not value.isdigit() or len(value) > len(str(MAX_VERSION)):
-        return None
-    version = int(value)
-    return version if version < MAX_VERSION else None
-
-
-def _object(body: bytes) -> dict[str, Any] | None:
-    try:
-        values = json.loads(body)
-    except (ValueError, RecursionError):
-        return None
-    return values if isinstance(values, dict) else None
-
-
-def _json(status: int, values: dict[str, Any]) -> Answer:
-    return Answer(status, json.dumps(values, separators=(",", ":")).encode())
-
-
-def _rejection(status: int, reason: str) -> Answer:
-    return _json(status, {"Error": reason})
-
-
-def _unavailable() -> Answer:
-    return _rejection(UNAVAILABLE, "can't be answered here now")
-
-
-def _plain(status: int) -> Answer:
-    if status == UNAVAILABLE:
-        return _unavailable()
-    return _json(status, {} if status < 300 else {"Error": "refused"})
-
-
 async def _read_body(receive: Receive, max_bytes: int) -> bytes | None:
     """The whole body, or None if it was longer; what is too long is read and dropped, so that the caller,
     which may still be writing, gets its answer."""
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -2,23 +2,50 @@
 
 The shard's owner decides.  A rejection is given only after the owner has confirmed that it still is the
 owner, since a former one would reject by an old version; an acceptance is a committed entry.
+
+The life of an order (`ConfigurationService.order`, `decide`):
+
+    received      at any control node (`operator_api`)
+       |          forwarded to the owner that this node's replica knows, again every `ATTEMPT_INTERVAL_S`;
+       |          no clear answer within `ANSWER_TIMEOUT_S`: UNDETERMINED, the caller may ask any node again
+       v
+    checked       by the owner's state (`state.check`), large documents beside the event loop
+       |          changes nothing: rejected, or accepted before; said once the owner is confirmed
+       v
+    proposed      as a checked entry of the shard's log, valid on its base version alone
+       |          ownership or time lost: UNDETERMINED, since the entry may be committed, now or later
+       v
+    committed     on a majority's disks, and applied (`state.apply`); another order came first: rejected by
+       |          the entry itself
+       v
+    acknowledged  200 to the caller, once the gateways subscribed here serve by it (`stream`), or their time
+                  is over
+
+Invariant: an order is never both rejected and in force, however often it is sent and wherever.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, ClassVar
 
 import attrs
 
-from ..protocol.codec import decode, encode
+from ..errors import TierError
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
+from ..protocol.codec import decode, encode
 from .document_orders import checked_entry
+from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
+from .shard_ports import HostedShards, OwnerConnections, RunAside, run_here
 from .state import ConfigurationState
 
+if TYPE_CHECKING:
+    from ..replication.replica import Replica
+
 ANSWER_TIMEOUT_S = 0.9  # callers go on to another node after a second
 FORWARD_TIMEOUT_S = 0.85
+MIN_FORWARD_TIMEOUT_S = 0.01
 ATTEMPT_INTERVAL_S = 0.03
 OK = 200
 NOT_OWNER = ConfigOutcome(UNDETERMINED, 0, "not the owner")
@@ -28,13 +55,14 @@
 LARGE_BYTES = 64 * 1024  # of an order and the document that it changes
 MAX_EVALUATIONS = 3  # of one order, where other changes come between
 
-RunAside = Callable[[Callable[[], object]], Awaitable[object]]
-"""Runs a function that touches nothing of the caller's beside the event loop."""
 
+class ShardNotOpen(TierError):
+    """The configuration's replica has not been opened in this process."""
 
-async def run_here(function: Callable[[], object]) -> object:
-    """Runs a function on the spot."""
-    return function()
+    code: ClassVar[str] = "configuration.not_open"
+
+    def __init__(self) -> None:
+        super().__init__("configuration's shard: no replica here yet: ask `is_open` first")
 
 
 @attrs.frozen
@@ -44,48 +72,53 @@
     state: bytes
 
     def advance(self) -> bytes:
-        """The whole state."""
+        """The complete state."""
         return self.state
 
 
 class ConfigurationMachine:
     """The configuration's state as a shard's state machine."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.state = ConfigurationState()
 
     def apply(self, command: bytes) -> ConfigOutcome:
         """Applies one order."""
-        return self.state.apply(decode(command))
+        order: ConfigOrder = decode(command)
+        return self.state.apply(order)
 
     def begin_snapshot(self) -> SavedState:
         """The state as it is now; it takes milliseconds, since the document is kept as bytes."""
         return SavedState(self.state.snapshot())
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """The complete state."""
         return self.state.snapshot()
 
     def restore(self, state: bytes) -> None:
-        """Replaces the state."""
+        """Replaces the state; raises `snapshot.SnapshotError` and leaves it where that can't be read."""
         self.state.restore(state)
 
 
 class ConfigurationService:
-    """Carries orders to the owner and decides them where this process is the owner."""
+    """Carries orders to the owner and decides them where this process is the owner.
+
+    `now` gives seconds of a steady clock; `acknowledged(version, within)` waits until the gateways subscribed
+    here serve by a version, `within` seconds at most.
+    """
 
     def __init__(
         self,
-        host,
-        links,
+        host: HostedShards,
+        connections: OwnerConnections,
         now: Callable[[], float],
-        accepted: Callable[[int, float], Awaitable[None]],
+        acknowledged: Callable[[int, float], Awaitable[None]],
         run_aside: RunAside = run_here,
-    ):
+    ) -> None:
         self._host = host
-        self._links = links
+        self._connections = connections
         self._now = now
-        self._accepted = accepted
+        self._acknowledged = acknowledged
         self._run_aside = run_aside
         self.owner_check: Callable[[ConfigOrder], ConfigOutcome | None] = lambda order: None
 
@@ -96,36 +129,42 @@
 
     @property
     def state(self) -> ConfigurationState:
-        """The state as far as this replica has applied it."""
-        return self._host.machine(CONFIGURATION_SHARD).state
+        """The state as far as this replica has applied it; raises `ShardNotOpen`."""
+        machine: ConfigurationMachine | None = self._host.machine(CONFIGURATION_SHARD)
+        if machine is None:
+            raise ShardNotOpen
+        return machine.state
 
     @property
-    def replica(self):
-        """The replica here."""
-        return self._host.replica(CONFIGURATION_SHARD)
+    def replica(self) -> Replica:
+        """The replica here; raises `ShardNotOpen`."""
+        replica = self._host.replica(CONFIGURATION_SHARD)
+        if replica is None:
+            raise ShardNotOpen
+        return replica
 
     async def order(self, order: ConfigOrder) -> ConfigOutcome:
         """The outcome; `UNDETERMINED` where no owner said anything clear in time."""
-        ends = self._now() + ANSWER_TIMEOUT_S
+        deadline = self._now() + ANSWER_TIMEOUT_S
         while True:
-            outcome = await self._attempt(order, ends)
-            if outcome.status != UNDETERMINED or self._now() + ATTEMPT_INTERVAL_S >= ends:
+            outcome = await self._attempt(order, deadline)
+            if outcome.status != UNDETERMINED or self._now() + ATTEMPT_INTERVAL_S >= deadline:
                 return outcome
             await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
-    async def _attempt(self, order: ConfigOrder, ends: float) -> ConfigOutcome:
+    async def _attempt(self, order: ConfigOrder, deadline: float) -> ConfigOutcome:
         if self.replica.is_owner:
-            return await self.decide(order, ends - self._now())
-        reply = await self._ask_owner(order, ends)
+            return await self.decide(order, deadline - self._now())
+        reply = await self._ask_owner(order, deadline)
         return reply if isinstance(reply, ConfigOutcome) else NOT_OWNER
 
     async def decide(self, order: ConfigOrder, within: float = float("inf")) -> ConfigOutcome:
         """As the owner: accept by a committed entry, reject after a confirmation or by such an entry.
 
         An operator's order that is committed is acknowledged once the gateways subscribed here serve by it,
-        or the time is over.
+        or the time (`within`, seconds) is over.
         """
-        ends = self._now() + within
+        deadline = self._now() + within
         await self._evaluate_aside(order)
         rejection = self._rejection(order)
         if rejection is not None:
@@ -134,13 +173,13 @@
             rejection = self._rejection(order)
         if rejection is not None:
             return rejection
-        outcome = await self._propose(checked_entry(order), ends - self._now())
+        outcome = await self._propose(checked_entry(order), deadline - self._now())
         if outcome.status == OK and order.kind in OPERATORS_KINDS:
-            await self._accepted(outcome.version, ends - self._now())
+            await self._acknowledged(outcome.version, deadline - self._now())
         return outcome
 
     async def _evaluate_aside(self, order: ConfigOrder) -> None:
-        """Has a large order checked beside the loop: an owner that stands still loses its ownership."""
+        """Has a large order evaluated beside the loop: an owner that stands still loses its ownership."""
         state = self.state
         if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
             return
@@ -157,9 +196,9 @@
 
     async def _propose(self, order: ConfigOrder, within: float) -> ConfigOutcome:
         """The committed entry's outcome; `UNDETERMINED` where it may be committed, now or later, or not."""
-        future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[ConfigOutcome | None] = asyncio.get_running_loop().create_future()
 
-        def done(outcome):
+        def done(outcome: ConfigOutcome | None) -> None:
             if not future.done():
                 future.set_result(outcome)
 
@@ -173,11 +212,12 @@
             return NOT_IN_TIME
 
     async def _confirmed(self) -> bool:
-        future = asyncio.get_running_loop().create_future()
+        """Whether a majority has answered this owner since the call."""
+        future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
-        def done(sure):
+        def done(is_confirmed: bool) -> None:
             if not future.done():
-                future.set_result(sure)
+                future.set_result(is_confirmed)
 
         if not self._host.confirm(CONFIGURATION_SHARD, done, self._now()):
             return False
@@ -188,18 +228,18 @@
             return False
 
     async def read(self) -> ReadReply:
-        """The newest configuration, by the owner's word."""
-        ends = self._now() + ANSWER_TIMEOUT_S
+        """The newest configuration, as the owner has it."""
+        deadline = self._now() + ANSWER_TIMEOUT_S
         while True:
-            reply = await self._attempt_read(ends)
-            if reply.owner or self._now() + ATTEMPT_INTERVAL_S >= ends:
+            reply = await self._attempt_read(deadline)
+            if reply.owner or self._now() + ATTEMPT_INTERVAL_S >= deadline:
                 return reply
             await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
-    async def _attempt_read(self, ends: float) -> ReadReply:
+    async def _attempt_read(self, deadline: float) -> ReadReply:
         if self.replica.is_owner:
             return await self.read_here()
-        reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), ends)
+        reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), deadline)
         return reply if isinstance(reply, ReadReply) else NOT_READ
 
     async def read_here(self) -> ReadReply:
@@ -208,10 +248,12 @@
             return NOT_READ
         return ReadReply(True, self.state.version, self.state.body)
 
-    async def _ask_owner(self, message: ConfigOrder | ReadRequest, ends: float) -> object | None:
+    async def _ask_owner(self, message: ConfigOrder | ReadRequest, deadline: float) -> object | None:
         """What the owner that this replica knows replies; None without an owner, a connection or a reply."""
         owner = self.replica.owner
-        link = self._links.to(address_of(owner)) if owner else None
-        if link is None:
+        connection = self._connections.to(address_of(owner)) if owner else None
+        if connection is None:
             return None
-        return await link.request(message, max(0.01, min(FORWARD_TIMEOUT_S, ends - self._now())))
+        timeout = max(MIN_FORWARD_TIMEOUT_S, min(FORWARD_TIMEOUT_S, deadline - self._now()))
+        reply: object | None = await connection.request(message, timeout)
+        return reply
