--- a/kestrelbend/tier/configuration/field_checks.py
+++ b/kestrelbend/tier/configuration/field_checks.py
@@ -158,22 +158,22 @@
     return is_number(value) and value > 0
 
 
-def is_not_negative(value: Any) -> bool:
+def is_non_negative(value: Any) -> bool:
     """A number, 0 or above."""
     return is_number(value) and value >= 0
 
 
-def is_count(value: Any) -> bool:
+def is_non_negative_integer(value: Any) -> bool:
     """A whole number, 0 or above."""
     return is_integer(value) and value >= 0
 
 
-def is_positive_count(value: Any) -> bool:
+def is_positive_integer(value: Any) -> bool:
     """A whole number above 0."""
     return is_integer(value) and value > 0
 
 
-def is_flag(value: Any) -> bool:
+def is_boolean(value: Any) -> bool:
     """True or false."""
     return isinstance(value, bool)
 
--- a/kestrelbend/tier/configuration/schemas.py
+++ b/kestrelbend/tier/configuration/schemas.py
@@ -13,11 +13,11 @@
     ObjectSchema,
     ListSchema,
     MapSchema,
-    is_count,
-    is_flag,
-    is_not_negative,
+    is_non_negative_integer,
+    is_boolean,
+    is_non_negative,
     is_positive,
-    is_positive_count,
+    is_positive_integer,
     is_text,
     is_integer,
 )
@@ -40,7 +40,7 @@
     return is_text(value) and value[0] == "/"
 
 
-TARGET = ObjectSchema(required={"Upstream": is_text, "Weight": is_not_negative}, optional={})
+TARGET = ObjectSchema(required={"Upstream": is_text, "Weight": is_non_negative}, optional={})
 ROUTE = ObjectSchema(
     required={
         "Name": is_text,
@@ -52,29 +52,33 @@
     optional={
         "Upstream": is_text,
         "Split": ListSchema(TARGET),
-        "SloMs": is_not_negative,
+        "SloMs": is_non_negative,
         "Prio": is_integer,
-        "Retries": is_count,
-        "Stored": is_flag,
-        "RetainS": is_not_negative,
-        "Sticky": is_flag,
-        "Resumable": is_flag,
-        "gap_aim_ms": is_not_negative,
+        "Retries": is_non_negative_integer,
+        "Stored": is_boolean,
+        "RetainS": is_non_negative,
+        "Sticky": is_boolean,
+        "Resumable": is_boolean,
+        "gap_aim_ms": is_non_negative,
     },
 )
 ENGINE = ObjectSchema(
     required={},
-    optional={"Slots": is_positive_count, "KvTokens": is_count, "Stride": is_positive_count},
+    optional={
+        "Slots": is_positive_integer,
+        "KvTokens": is_non_negative_integer,
+        "Stride": is_positive_integer,
+    },
 )
 SERVICE = ObjectSchema(
     required={"Name": is_text},
-    optional={"HealthPath": is_path, "MaxConns": is_positive_count, "Engine": ENGINE},
+    optional={"HealthPath": is_path, "MaxConns": is_positive_integer, "Engine": ENGINE},
 )
 LIMITS = ObjectSchema(
     required={},
     optional={
-        "MaxHeaderBytes": is_positive_count,
-        "MaxBodyBytes": is_count,
+        "MaxHeaderBytes": is_positive_integer,
+        "MaxBodyBytes": is_non_negative_integer,
         "HeaderTimeoutMs": is_positive,
         "IdleTimeoutMs": is_positive,
     },
--- a/kestrelbend/tier/configuration/shard_ports.py
+++ b/kestrelbend/tier/configuration/shard_ports.py
@@ -13,7 +13,7 @@
 _Result = TypeVar("_Result")
 
 
-class RunAside(Protocol):
+class RunOffLoop(Protocol):
     """Runs a function that touches nothing of the caller's beside the event loop."""
 
     async def __call__(self, function: Callable[[], _Result], /) -> _Result:
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -37,7 +37,7 @@
 from ..protocol.codec import decode, encode
 from .document_orders import checked_entry
 from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
-from .shard_ports import HostedShards, OwnerConnections, RunAside, run_here
+from .shard_ports import HostedShards, OwnerConnections, RunOffLoop, run_here
 from .state import ConfigurationState
 
 if TYPE_CHECKING:
@@ -113,13 +113,13 @@
         connections: OwnerConnections,
         now: Callable[[], float],
         acknowledged: Callable[[int, float], Awaitable[None]],
-        run_aside: RunAside = run_here,
+        run_off_loop: RunOffLoop = run_here,
     ) -> None:
         self._host = host
         self._connections = connections
         self._now = now
         self._acknowledged = acknowledged
-        self._run_aside = run_aside
+        self._run_off_loop = run_off_loop
         self.owner_check: Callable[[ConfigOrder], ConfigOutcome | None] = lambda order: None
 
     @property
@@ -165,7 +165,7 @@
         or the time (`within`, seconds) is over.
         """
         deadline = self._now() + within
-        await self._evaluate_aside(order)
+        await self._evaluate_off_loop(order)
         rejection = self._rejection(order)
         if rejection is not None:
             if not await self._confirmed():
@@ -178,7 +178,7 @@
             await self._acknowledged(outcome.version, deadline - self._now())
         return outcome
 
-    async def _evaluate_aside(self, order: ConfigOrder) -> None:
+    async def _evaluate_off_loop(self, order: ConfigOrder) -> None:
         """Has a large order evaluated beside the loop: an owner that stands still loses its ownership."""
         state = self.state
         if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
@@ -187,7 +187,7 @@
             if not state.documents.needs_evaluation(order):
                 return
             version = state.version
-            result = await self._run_aside(state.documents.evaluation(order))
+            result = await self._run_off_loop(state.documents.evaluation(order))
             state.documents.keep_evaluation(order, version, result)
 
     def _rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -12,7 +12,7 @@
     ObjectSchema,
     is_address,
     is_number,
-    is_positive_count,
+    is_positive_integer,
     is_text,
 )
 from kestrelbend.tier.discovery.messages import Backend, BackendState
@@ -43,7 +43,7 @@
 
 
 def _is_slots(value: Any) -> bool:
-    return is_positive_count(value) and value <= MOST_SLOTS
+    return is_positive_integer(value) and value <= MOST_SLOTS
 
 
 def _is_sequence(value: Any) -> bool:
--- a/kestrelbend/tier/fleet/machines.py
+++ b/kestrelbend/tier/fleet/machines.py
@@ -50,7 +50,7 @@
     async def close_journal(self, journal: SteppedJournal, within: float) -> None:
         await journal.close_within(within)
 
-    async def run_aside(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], object]) -> object:
         await asyncio.sleep(0)
         return function()
 
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -76,7 +76,7 @@
             self.connections,
             self.now,
             self.config_stream.until_acknowledged,
-            self.environment.run_aside,
+            self.environment.run_off_loop,
         )
         tolerated_nodes = settings.tolerate_nodes
         self._placer = ShardPlacer(self.configuration, self.members, tolerated_nodes, self.spawn)
--- a/kestrelbend/tier/roles/environment.py
+++ b/kestrelbend/tier/roles/environment.py
@@ -49,7 +49,7 @@
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
         """Writes what waits, for a time in seconds at most."""
 
-    async def run_aside(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], object]) -> object:
         """Runs a function that touches nothing of the process's state, while the event loop goes on."""
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
@@ -90,7 +90,7 @@
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
         await asyncio.to_thread(journal.close, within)
 
-    async def run_aside(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], object]) -> object:
         return await asyncio.to_thread(function)
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
