--- a/kestrelbend/tier/budgets/bounds.py
+++ b/kestrelbend/tier/budgets/bounds.py
@@ -32,13 +32,13 @@
     )
 
 
-def bounded_settlement(settle: Settlement) -> Settlement:
+def bounded_settlement(settlement: Settlement) -> Settlement:
     """The command with its names and figures within bounds."""
     return attrs.evolve(
-        settle,
-        program=bounded_name(settle.program),
-        reservation=bounded_name(settle.reservation),
-        used_tokens=_bounded_tokens(settle.used_tokens),
+        settlement,
+        program=bounded_name(settlement.program),
+        reservation=bounded_name(settlement.reservation),
+        used_tokens=_bounded_tokens(settlement.used_tokens),
     )
 
 
--- a/kestrelbend/tier/budgets/commands.py
+++ b/kestrelbend/tier/budgets/commands.py
@@ -1,4 +1,10 @@
-"""Commands as a log entry's bytes: one entry holds all commands of one request."""
+"""Commands as a log entry's bytes: one entry holds all commands of one request.
+
+    elapsed (4) | settlements (2) | reservations (2) | settlement... | reservation...
+
+Each command is a fixed header with the lengths of its names, then the names in UTF-8.  All integers are
+little-endian.  The bytes are found in logs and on disks of earlier releases and stay.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +12,9 @@
 
 from kestrelbend.tier.budgets.messages import Reserve, Settlement
 
-_HEAD = struct.Struct("<IHH")  # milliseconds since the owner's last entry, settlements, reservations
-_SETTLEMENT = struct.Struct("<HHqB")  # lengths of the two names, tokens, end
-_RESERVE = struct.Struct("<HHHqqqBI")  # lengths of the names, fingerprint, maximum, budget, spare, retain_s
+_HEADER = struct.Struct("<IHH")  # milliseconds since the owner's last entry, settlements, reservations
+_SETTLEMENT = struct.Struct("<HHqB")  # lengths of program and reservation, tokens, end
+_RESERVE = struct.Struct("<HHHqqqBI")  # lengths of the names, then fields from the fingerprint on
 _MAX_ELAPSED_MS = 2**32 - 1
 
 
@@ -16,85 +22,83 @@
     settlements: tuple[Settlement, ...], reserves: tuple[Reserve, ...], elapsed_ms: int = 0
 ) -> bytes:
     """The bytes of an entry; settlements come first, as they are applied first."""
-    parts = [_HEAD.pack(min(elapsed_ms, _MAX_ELAPSED_MS), len(settlements), len(reserves))]
-    for settle in settlements:
-        _put_settlement(parts, settle)
+    buffers = [_HEADER.pack(min(elapsed_ms, _MAX_ELAPSED_MS), len(settlements), len(reserves))]
+    for settlement in settlements:
+        _encode_settlement(buffers, settlement)
     for reserve in reserves:
-        _put_reserve(parts, reserve)
-    return b"".join(parts)
+        _encode_reserve(buffers, reserve)
+    return b"".join(buffers)
 
 
 def elapsed_ms_of(data: bytes) -> int:
     """The time since the entry before, as its owner counted it."""
-    return _HEAD.unpack_from(data)[0]
+    elapsed_ms: int = _HEADER.unpack_from(data)[0]
+    return elapsed_ms
 
 
 def decode_commands(data: bytes) -> tuple[list[Settlement], list[Reserve]]:
     """The settlements and reservations of an entry."""
-    _, settlement_count, reserve_count = _HEAD.unpack_from(data)
-    position = _HEAD.size
-    settlements = []
+    _, settlement_count, reserve_count = _HEADER.unpack_from(data)
+    offset = _HEADER.size
+    settlements: list[Settlement] = []
     for _ in range(settlement_count):
-        settle, position = _get_settlement(data, position)
-        settlements.append(settle)
-    reserves = []
+        settlement, offset = _decode_settlement(data, offset)
+        settlements.append(settlement)
+    reserves: list[Reserve] = []
     for _ in range(reserve_count):
-        reserve, position = _get_reserve(data, position)
+        reserve, offset = _decode_reserve(data, offset)
         reserves.append(reserve)
     return settlements, reserves
 
 
-def _put_settlement(parts: list[bytes], settle: Settlement) -> None:
-    program = settle.program.encode()
-    reservation = settle.reservation.encode()
-    parts.append(_SETTLEMENT.pack(len(program), len(reservation), settle.used_tokens, settle.end))
-    parts.append(program)
-    parts.append(reservation)
+def _encode_settlement(buffers: list[bytes], settlement: Settlement) -> None:
+    program = settlement.program.encode()
+    reservation = settlement.reservation.encode()
+    header = _SETTLEMENT.pack(len(program), len(reservation), settlement.used_tokens, settlement.end)
+    buffers += (header, program, reservation)
 
 
-def _get_settlement(data: bytes, position: int) -> tuple[Settlement, int]:
-    program_length, reservation_length, used, end = _SETTLEMENT.unpack_from(data, position)
-    position += _SETTLEMENT.size
-    middle = position + program_length
-    stop = middle + reservation_length
-    settle = Settlement(data[position:middle].decode(), data[middle:stop].decode(), used, end)
-    return settle, stop
+def _decode_settlement(data: bytes, offset: int) -> tuple[Settlement, int]:
+    """The settlement at an offset, and the offset behind it."""
+    program_length, reservation_length, used_tokens, end = _SETTLEMENT.unpack_from(data, offset)
+    program_start = offset + _SETTLEMENT.size
+    reservation_start = program_start + program_length
+    next_offset = reservation_start + reservation_length
+    program = data[program_start:reservation_start].decode()
+    reservation = data[reservation_start:next_offset].decode()
+    return Settlement(program, reservation, used_tokens, end), next_offset
 
 
-def _put_reserve(parts: list[bytes], reserve: Reserve) -> None:
+def _encode_reserve(buffers: list[bytes], reserve: Reserve) -> None:
     program = reserve.program.encode()
     session = reserve.session.encode()
     reservation = reserve.reservation.encode()
-    lengths = len(program), len(session), len(reservation)
-    figures = (
+    header = _RESERVE.pack(
+        len(program),
+        len(session),
+        len(reservation),
         reserve.fingerprint,
         reserve.max_tokens,
         reserve.budget,
         reserve.spare_capacity,
         reserve.retain_s,
     )
-    parts.append(_RESERVE.pack(*lengths, *figures))
-    parts += program, session, reservation
-
-
-def _get_reserve(data: bytes, position: int) -> tuple[Reserve, int]:
-    figures = _RESERVE.unpack_from(data, position)
-    (
-        program_length,
-        session_length,
-        reservation_length,
-        fingerprint,
-        most,
-        budget,
-        spare_capacity,
-        retain_s,
-    ) = figures
-    session_start = position + _RESERVE.size + program_length
+    buffers += (header, program, session, reservation)
+
+
+def _decode_reserve(data: bytes, offset: int) -> tuple[Reserve, int]:
+    """The reservation at an offset, and the offset behind it."""
+    header = _RESERVE.unpack_from(data, offset)
+    program_length, session_length, reservation_length, *fields = header
+    program_start = offset + _RESERVE.size
+    session_start = program_start + program_length
     reservation_start = session_start + session_length
-    stop = reservation_start + reservation_length
-    program = data[position + _RESERVE.size : session_start].decode()
+    next_offset = reservation_start + reservation_length
+    program = data[program_start:session_start].decode()
     session = data[session_start:reservation_start].decode()
-    reservation = data[reservation_start:stop].decode()
-    return Reserve(
-        program, session, reservation, fingerprint, most, budget, bool(spare_capacity), retain_s
-    ), stop
+    reservation = data[reservation_start:next_offset].decode()
+    fingerprint, max_tokens, budget, spare_capacity, retain_s = fields
+    reserve = Reserve(
+        program, session, reservation, fingerprint, max_tokens, budget, bool(spare_capacity), retain_s
+    )
+    return reserve, next_offset
--- a/kestrelbend/tier/budgets/messages.py
+++ b/kestrelbend/tier/budgets/messages.py
@@ -1,4 +1,7 @@
-"""Commands on programs' budgets, their outcomes, and how they are carried."""
+"""Commands on programs' budgets, their outcomes, and how they are carried.
+
+A field travels by its position, so fields are only ever added at the end (see `protocol.wire_names`).
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
     ADMITTED = 0
     SPENT = 1  # answered 402
     RETRY_LATER = 2  # the retry budget is used up: a refusal with a retry-after
-    NO_ANSWER = 3  # the counter did not answer: the turn is not sent (given by the client side alone)
+    NO_ANSWER = 3  # no owner answered: the turn is not sent (given by the client side alone)
 
 
 class TurnEnd(enum.IntEnum):
@@ -26,13 +29,13 @@
 
 @attrs.frozen
 class Reserve:
-    """Adds a turn's most tokens to its program's total, or refuses.
+    """Adds a turn's upper bound of tokens to its program's total, or refuses.
 
-    `reservation` is unique to one try of a client (a repeat of the same command changes nothing and gets the
-    same outcome, or a refusal once it is forgotten; see `names.py`).  `fingerprint` tells a turn's repeat
-    from the session's next turn.  `spare_capacity` says that the quota alone decides: a backend has
-    capacity, so the retry budget does not act.
-    `retain_s` is how long the program may stay away and come back, 0 where it is unset.
+    `reservation` is unique to one attempt of a client (a repeat of the same command changes nothing and gets
+    the same outcome, or a refusal once it is forgotten; see `names.py`).  `fingerprint` tells a turn's
+    repeat from the session's next turn.  `budget` is the program's, in tokens, 0 where it has none.
+    `spare_capacity` says that the quota alone decides: a backend has capacity, so the retry budget does not
+    act.  `retain_s` is how long the program may stay away and come back, in seconds, 0 where it is unset.
     """
 
     program: str
@@ -47,7 +50,7 @@
 
 @attrs.frozen
 class Settlement:
-    """Replaces a reservation's tokens by those handed to the client."""
+    """Replaces a reservation's tokens by those handed to the client; `end` is a `TurnEnd`."""
 
     program: str
     reservation: str
@@ -57,7 +60,10 @@
 
 @attrs.frozen
 class ReserveOutcome:
-    """`total` counts settled and reserved tokens, `settled` only those handed out: it never falls."""
+    """The `Verdict` on a reservation, and the program's tokens after it.
+
+    `total` counts settled and reserved tokens, `settled` only those handed out: it never falls.
+    """
 
     reservation: str
     verdict: int
--- a/kestrelbend/tier/budgets/shard_queue.py
+++ b/kestrelbend/tier/budgets/shard_queue.py
@@ -25,11 +25,17 @@
 
 MAX_COMMANDS_PER_REQUEST = 256
 
+Send = Callable[[str, BudgetRequest], Awaitable[BudgetReply | None]]
+"""Sends a request to an address; None where there was no reply.  Cancelled once its time is over."""
+
+Replicas = Callable[[str], Sequence[str]]
+"""The addresses that may own a shard, in the order in which they are to be asked."""
+
 _Key = tuple[str, str]  # a program and one of its reservations
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _PendingReservation:
     """A reservation whose caller waits; once sent, it may have been recorded whatever comes back."""
 
     reserve: Reserve
@@ -40,18 +46,12 @@
 class ShardRequestQueue:
     """The queue of one shard and the task that works through it while there is anything in it."""
 
-    def __init__(
-        self,
-        shard: str,
-        send: Callable[[str, BudgetRequest], Awaitable[BudgetReply | None]],
-        replicas: Callable[[str], Sequence[str]],
-        settings: ClientSettings,
-    ) -> None:
+    def __init__(self, shard: str, send: Send, replicas: Replicas, settings: ClientSettings) -> None:
         self._shard = shard
         self._send = send
         self._replicas = replicas
         self._settings = settings
-        self._reserves: dict[_Key, _Waiting] = {}
+        self._reservations: dict[_Key, _PendingReservation] = {}
         self._settlements: dict[_Key, Settlement] = {}
         self._urgent = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
@@ -64,36 +64,36 @@
         return len(self._settlements)
 
     async def reserve(self, reserve: Reserve, within: float) -> ReserveOutcome:
-        """The owner's outcome, or NO_ANSWER."""
-        waiting = _Waiting(reserve, asyncio.get_running_loop().create_future())
-        self._reserves[_key(reserve)] = waiting
-        self._work(urgent=True)
+        """The owner's outcome, or NO_ANSWER where none came within a time in seconds."""
+        pending = _PendingReservation(reserve, asyncio.get_running_loop().create_future())
+        self._reservations[_key(reserve)] = pending
+        self._wake(urgent=True)
         try:
             async with asyncio.timeout(within):
-                return await waiting.outcome
+                return await pending.outcome
         except TimeoutError:
-            self._give_up(waiting)
+            self._abandon(pending)
             return unanswered(reserve)
         except asyncio.CancelledError:
-            self._give_up(waiting)
+            self._abandon(pending)
             raise
 
     def fail_pending(self) -> None:
-        """Answers all reservations that wait with NO_ANSWER; those that were sent are settled as not run."""
-        for waiting in list(self._reserves.values()):
-            if not waiting.outcome.done():
-                waiting.outcome.set_result(unanswered(waiting.reserve))
-                self._give_up(waiting)
-
-    def settle(self, settle: Settlement) -> None:
-        """Queues a settlement."""
-        self._settlements[_key(settle)] = settle
+        """Answers all pending reservations with NO_ANSWER; those that were sent are settled as not run."""
+        for pending in list(self._reservations.values()):
+            if not pending.outcome.done():
+                pending.outcome.set_result(unanswered(pending.reserve))
+                self._abandon(pending)
+
+    def settle(self, settlement: Settlement) -> None:
+        """Queues a settlement; beyond the bound the oldest is dropped."""
+        self._settlements[_key(settlement)] = settlement
         if len(self._settlements) > self._settings.max_pending_settlements:
             del self._settlements[next(iter(self._settlements))]
-        self._work(urgent=False)
+        self._wake(urgent=False)
 
     async def close(self, within: float) -> bool:
-        """Sends what waits; whether all settlements were recorded within the time."""
+        """Sends what is pending; whether all settlements were recorded within the time in seconds."""
         self._closing = True
         if self._task is None:
             return True
@@ -102,25 +102,25 @@
         self._task.cancel()
         return not self._settlements
 
-    def _give_up(self, waiting: _Waiting) -> None:
+    def _abandon(self, pending: _PendingReservation) -> None:
         """Takes back a reservation whose caller has not got the outcome, even if one is there just now."""
-        reserve = waiting.reserve
-        if self._reserves.get(_key(reserve)) is waiting:
-            del self._reserves[_key(reserve)]
-        if waiting.sent:
+        reserve = pending.reserve
+        if self._reservations.get(_key(reserve)) is pending:
+            del self._reservations[_key(reserve)]
+        if pending.sent:
             self.settle(Settlement(reserve.program, reserve.reservation, 0, TurnEnd.NOT_RUN))
 
-    def _work(self, urgent: bool) -> None:
+    def _wake(self, urgent: bool) -> None:
         if urgent:
             self._urgent.set()
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        while self._reserves or self._settlements:
-            if not self._reserves and not self._closing:
+        while self._reservations or self._settlements:
+            if not self._reservations and not self._closing:
                 await self._linger()
-            await self._send_one()
+            await self._send_next()
 
     async def _linger(self) -> None:
         """Lets settlements gather, until a reservation comes."""
@@ -131,41 +131,47 @@
         except TimeoutError:
             pass
 
-    async def _send_one(self) -> None:
+    async def _send_next(self) -> None:
+        """Sends one request, or waits where the search for the owner begins a new round."""
         now = asyncio.get_running_loop().time()
         target = self._route.target(self._replicas(self._shard), now)
         if target is None:
-            await asyncio.sleep(self._route.pause())
+            await asyncio.sleep(self._route.backoff_s())
             return
         settlements = tuple(islice(self._settlements.values(), MAX_COMMANDS_PER_REQUEST))
-        waiting = list(islice(self._reserves.values(), MAX_COMMANDS_PER_REQUEST))
-        for one in waiting:
-            one.sent = True
-        request = BudgetRequest(self._shard, tuple(one.reserve for one in waiting), settlements)
-        reply = await self._ask(target, request)
+        reservations = list(islice(self._reservations.values(), MAX_COMMANDS_PER_REQUEST))
+        for pending in reservations:
+            pending.sent = True
+        request = BudgetRequest(self._shard, tuple(pending.reserve for pending in reservations), settlements)
+        reply = await self._request(target, request)
         if reply is None:
-            self._route.no_reply(target, now, asyncio.get_running_loop().time())
+            self._route.record_no_reply(target, now, asyncio.get_running_loop().time())
         elif not answers(request, reply):
-            self._route.not_owner(target, reply.owner_hint, reply.epoch)
+            self._route.record_not_owner(target, reply.owner_hint, reply.epoch)
         else:
-            self._route.owner(target, reply.epoch)
-            self._take(reply, waiting, settlements)
+            self._route.record_owner(target, reply.epoch)
+            self._complete(reply, reservations, settlements)
 
-    async def _ask(self, target: str, request: BudgetRequest) -> BudgetReply | None:
+    async def _request(self, target: str, request: BudgetRequest) -> BudgetReply | None:
         try:
             async with asyncio.timeout(self._settings.attempt_timeout_s):
                 return await self._send(target, request)
         except (TimeoutError, OSError):
             return None
 
-    def _take(self, reply: BudgetReply, waiting: list[_Waiting], settlements: tuple[Settlement, ...]) -> None:
-        for settle in settlements:
-            if self._settlements.get(_key(settle)) is settle:
-                del self._settlements[_key(settle)]
-        for one, outcome in zip(waiting, reply.outcomes, strict=True):
-            if not one.outcome.done():  # else its caller has gone, and gives it up in a moment
-                del self._reserves[_key(one.reserve)]
-                one.outcome.set_result(outcome)
+    def _complete(
+        self,
+        reply: BudgetReply,
+        reservations: list[_PendingReservation],
+        settlements: tuple[Settlement, ...],
+    ) -> None:
+        for settlement in settlements:
+            if self._settlements.get(_key(settlement)) is settlement:
+                del self._settlements[_key(settlement)]
+        for pending, outcome in zip(reservations, reply.outcomes, strict=True):
+            if not pending.outcome.done():  # else its caller has gone, and abandons it in a moment
+                del self._reservations[_key(pending.reserve)]
+                pending.outcome.set_result(outcome)
 
 
 def answers(request: BudgetRequest, reply: BudgetReply) -> bool:
--- a/kestrelbend/tier/budgets/shards.py
+++ b/kestrelbend/tier/budgets/shards.py
@@ -1,9 +1,9 @@
 """Which shard keeps a program's counter.
 
-A deployment may have a single service that takes turns; a hash of services alone would then put every counter
-in one shard, and one owner would do all the writing.  And a program may take turns at several services while
-its budget is one.  So the program's name decides, and the service does not take part: all turns of a program
-meet one counter.
+A deployment may have a single service that takes turns; a hash of services alone would then put every
+counter in one shard, and one owner would do all the writing.  And a program may take turns at several
+services while its budget is one.  So the program's name decides, and the service does not take part: all
+turns of a program meet one counter.
 """
 
 from __future__ import annotations
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -95,8 +95,8 @@
                 taken.append(Taken(asked_at, address, reply.shard, reply.owner, reply.epoch, names))
             return reply
 
-        for line in gateway.budget_client._lines.values():
-            line._send = noting
+        for queue in gateway.budget_client._queues.values():
+            queue._send = noting
         gateway.budget_client._send = noting
 
     async def turns(self, world, gateways, seconds):
