--- a/kestrelbend/tier/configuration/stream.py
+++ b/kestrelbend/tier/configuration/stream.py
@@ -3,7 +3,7 @@
 Most gateways take bodies from another control node and get notices here: the number of each new version.
 
 Invariant: on one connection versions only rise, and `current` is said of a version only while this node's
-replica is current (see `membership.standing`).  A gateway that was never notified that its version is
+replica is current (see `membership.owner_contact`).  A gateway that was never notified that its version is
 current is notified as soon as that holds.
 """
 
--- a/kestrelbend/tier/control/directory_stream.py
+++ b/kestrelbend/tier/control/directory_stream.py
@@ -74,4 +74,4 @@
 
 def without_progress(report: ShardReport) -> ShardReport:
     """A report as the directory tells it: what changes with each command is left out."""
-    return attrs.evolve(report.without_indexes(), settled=False)
+    return attrs.evolve(report.without_indexes(), stable=False)
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -39,7 +39,7 @@
 
 
 def emptied_by(node: str, report: ShardReport) -> Emptied | None:
-    """What a report proves of a shard's group: nothing unless its owner tells it and the group is settled."""
-    if report.replica != report.owner or not report.settled or not report.committed_voters:
+    """What a report proves of a shard's group: nothing unless its owner tells it and the group is stable."""
+    if report.replica != report.owner or not report.stable or not report.committed_voters:
         return None
     return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
--- a/kestrelbend/tier/fleet/answers.py
+++ b/kestrelbend/tier/fleet/answers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..membership.placement import address_of
-from ..membership.standing import CONTACT_S
+from ..membership.owner_contact import CONTACT_S
 from .fleet import Fleet
 from .http import Failure, Reply
 
--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/removals/contact.py
@@ -33,12 +33,12 @@
     replica._now = now
 
 
-@guard("contact", "membership.standing:in_contact", "promises by a node that is cut off")
+@guard("contact", "membership.owner_contact:in_contact", "promises by a node that is cut off")
 def count_as_in_contact(replica, now):
     return True
 
 
-@guard("current", "membership.standing:is_current", "old configurations handed out as the newest")
+@guard("current", "membership.owner_contact:is_current", "old configurations handed out as the newest")
 def count_as_current(replica, now):
     return True
 
--- a/kestrelbend/tier/fleet/watch.py
+++ b/kestrelbend/tier/fleet/watch.py
@@ -7,7 +7,7 @@
 from ..budgets.messages import Verdict
 from ..budgets.shards import shard_of
 from ..membership.placement import BUDGET_SHARDS
-from ..membership.standing import CONTACT_S, in_contact, is_current
+from ..membership.owner_contact import CONTACT_S, in_contact, is_current
 from .answers import SLACK_S
 from .backends import DRAIN_S, Backends
 from .fleet import Fleet
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -18,7 +18,7 @@
     commit_index: int
     committed_voters: tuple[str, ...] = ()  # the newest group that is known to be committed
     placement_number: int = 0  # of the placement that this group was moved towards
-    settled: bool = False  # at the owner: no change is under way and every live voter holds what is committed
+    stable: bool = False  # at the owner: no change is under way and every live voter holds what is committed
 
     def without_indexes(self) -> ShardReport:
         """The report without what changes with each command."""
@@ -54,10 +54,10 @@
 
 @attrs.frozen
 class HeartbeatAck:
-    """A control node's answer; `settled`: it has been in contact for so long that it knows who is there."""
+    """A control node's answer; `stable`: it has been in contact for so long that it knows who is there."""
 
     sequence: int
-    settled: bool
+    stable: bool
 
 
 @attrs.frozen
--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from ..membership import standing
-from ..membership.standing import CONTACT_S
+from ..membership import owner_contact
+from ..membership.owner_contact import CONTACT_S
 from ..replication.group import Voters, decode_group, has_quorum, quorum_size
 from ..replication.messages import DurableState, Entry, EntryKind, ReplicaId
 from ..replication.replica import Replica
@@ -107,14 +107,14 @@
         """Contact and currency are claimed only by what was asked, and answered, within `CONTACT_S`."""
         replica, now = node.replica, node.clock
         since = now - CONTACT_S
-        if standing.in_contact(replica, now):
+        if owner_contact.in_contact(replica, now):
             heard = node.heard_since(since)
             if replica.is_owner:
                 enough = has_quorum(replica.voters, heard.__contains__)
             else:
                 enough = len(heard) > 1
             require(enough, f"{node.name} claims contact and heard {sorted(heard)} lately")
-        if standing.is_current(replica, now):
+        if owner_contact.is_current(replica, now):
             self.read(node.applied_index, node.committed_by(since), f"as current at {node.name}")
 
     def logs_match(self, replicas: Iterable[Replica]) -> None:
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -40,7 +40,8 @@
     Subscribe,
 )
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from ..membership.standing import ContactSpan, in_contact, is_current
+from ..membership.contact_period import ContactPeriod
+from ..membership.owner_contact import in_contact, is_current
 from ..membership.status import ShardsWanted, status
 from ..membership.table import LIVE_S, MemberTable
 from ..protocol.peer_connection import PeerConnection
@@ -83,7 +84,7 @@
         self.retirement = Retirement(
             self.configuration, self.members, tolerated_nodes, self.now, self._placer.owned_for
         )
-        self._contact = ContactSpan(self.now())
+        self._contact = ContactPeriod(self.now())
         self._serving: asyncio.Task | None = None
 
     # The shards
@@ -153,7 +154,7 @@
         """What others say to a control node."""
         if isinstance(message, Heartbeat):
             self.members.heard(message, self.now())
-            connection.send(HeartbeatAck(message.sequence, self._is_settled()))
+            connection.send(HeartbeatAck(message.sequence, self._is_stable()))
         elif isinstance(message, MemberSummary):
             self._summaries.take(message, self.now())
         elif isinstance(message, Subscribe):
@@ -201,7 +202,7 @@
             current = is_current(self.configuration.replica, self.now())
             connection.send(ConfigUpdate(state.version, current, state.body))
 
-    def _is_settled(self) -> bool:
+    def _is_stable(self) -> bool:
         """Whether whoever is live can be expected to have been heard of here."""
         now = self.now()
         return in_contact(self.configuration.replica, now) and self._contact.seconds(now) > LIVE_S
@@ -219,7 +220,7 @@
 
     def on_heartbeat(self, now):
         """Tells all subscribers who is there, places shards, and spreads what can wait about backends."""
-        self._contact.look(in_contact(self.configuration.replica, now), now)
+        self._contact.observe(in_contact(self.configuration.replica, now), now)
         self.members.forget_old(now)
         self._refresh_directory(now)
         self.directory_stream.send()
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -31,14 +31,14 @@
 
     def answered(self, connection: PeerConnection, answer: HeartbeatAck) -> None:
         """A control node has answered a heartbeat."""
-        self._choice.answered(connection.address, answer.sequence, answer.settled)
+        self._choice.answered(connection.address, answer.sequence, answer.stable)
 
     def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
         self._wanted_whole.pop(connection, None)
 
     def subscribe(self, order: Sequence[str], wish: Callable[[bool], Subscribe], now: float) -> None:
-        """Asks the nearest settled of the control nodes for all of its streams, the others for notices."""
+        """Asks the nearest stable of the control nodes for all of its streams, the others for notices."""
         chosen = self._choice.to_stream_from(order, now)
         for address in order:
             connection = self._connections.to(address)
--- a/kestrelbend/tier/roles/gateway_contact.py
+++ b/kestrelbend/tier/roles/gateway_contact.py
@@ -18,7 +18,7 @@
 import attrs
 
 from ..membership.messages import ContactReply
-from ..membership.standing import CONTACT_S
+from ..membership.owner_contact import CONTACT_S
 
 ELECTION_S = 1.5  # without an owner, though others answer, until requests wait no longer
 STALL_S = 0.3  # between two ticks: this process stood still, and its silence is nobody else's
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -26,7 +26,7 @@
     Subscribe,
 )
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from ..membership.standing import Confirmed, in_contact, is_current
+from ..membership.owner_contact import ConfirmedReplica, in_contact, is_current
 from ..protocol.codec import decode, encode
 from ..protocol.peer_connection import PeerConnection
 from ..protocol.peer_connections import PeerConnections
@@ -324,7 +324,7 @@
                     commit_index=replica.commit_index,
                     committed_voters=replica.committed_voters,
                     placement_number=replica.committed_placement_number,
-                    settled=replica.is_stable(now),
+                    stable=replica.is_stable(now),
                 )
             )
         return tuple(reports)
@@ -340,7 +340,7 @@
             ),
         )
 
-    def _has_standing(self, shard: str, standing: Callable[[Confirmed, float], bool]) -> bool:
+    def _has_standing(self, shard: str, standing: Callable[[ConfirmedReplica, float], bool]) -> bool:
         replica = None if self.host is None else self.host.replica(shard)
         return replica is not None and standing(replica, self.now())
 
--- a/tests/tier/test_control_choice.py
+++ b/tests/tier/test_control_choice.py
@@ -5,10 +5,10 @@
 import testtools
 
 from kestrelbend.tier.membership.control_choice import (
-    ANSWER_S,
-    FIRST_SETTLING_S,
-    MOST_CHOSEN,
-    SETTLING_S,
+    REPLY_VALIDITY_S,
+    FIRST_STABILIZATION_TIMEOUT_S,
+    MAX_CHOSEN,
+    STABILIZATION_TIMEOUT_S,
     ControlChoice,
 )
 from kestrelbend.tier.membership.messages import Member
@@ -39,8 +39,8 @@
     def reports(self):
         return self.choice.to_report_to(self.order, self.now)
 
-    def run_for(self, seconds, settled=(), answering=()):
-        """Heartbeats to whoever is chosen; some of them answer, and some of those as settled."""
+    def run_for(self, seconds, stable=(), answering=()):
+        """Heartbeats to whoever is chosen; some of them answer, and some of those as stable."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += HEARTBEAT_S
@@ -48,8 +48,8 @@
             self.streams()
             asked = self.reports()
             self.choice.sent(self.sequence, self.now)
-            for address in set(asked).intersection([*settled, *answering]):
-                self.choice.answered(address, self.sequence, address in settled)
+            for address in set(asked).intersection([*stable, *answering]):
+                self.choice.answered(address, self.sequence, address in stable)
 
     def test_given_a_directory_then_this_zone_comes_first_and_unknown_seeds_last(self):
         order = self.choice.order(MEMBERS, ["10.9.9.9:7", HERE])
@@ -58,51 +58,51 @@
         self.assertEqual(4, len(order))
 
     def test_given_a_settled_node_in_this_zone_then_it_alone_is_chosen(self):
-        self.run_for(10.0, settled=[HERE, ELSEWHERE, FURTHER])
+        self.run_for(10.0, stable=[HERE, ELSEWHERE, FURTHER])
         self.assertEqual([HERE], self.streams())
 
     def test_given_it_falls_silent_then_another_one_is_chosen_before_it_counts_as_dead(self):
-        self.run_for(5.0, settled=[HERE])
-        self.run_for(ANSWER_S + HEARTBEAT_S, settled=[ELSEWHERE, FURTHER])
+        self.run_for(5.0, stable=[HERE])
+        self.run_for(REPLY_VALIDITY_S + HEARTBEAT_S, stable=[ELSEWHERE, FURTHER])
         self.assertEqual(self.order[:2], self.streams())
 
     def test_given_it_comes_back_and_has_not_settled_then_the_other_one_is_kept(self):
-        self.run_for(5.0, settled=[HERE])
-        self.run_for(5.0, settled=[ELSEWHERE, FURTHER])
-        self.run_for(5.0, settled=[ELSEWHERE, FURTHER], answering=[HERE])
+        self.run_for(5.0, stable=[HERE])
+        self.run_for(5.0, stable=[ELSEWHERE, FURTHER])
+        self.run_for(5.0, stable=[ELSEWHERE, FURTHER], answering=[HERE])
         self.assertEqual(self.order[:2], self.streams())
-        self.run_for(HEARTBEAT_S, settled=[HERE, ELSEWHERE, FURTHER])
+        self.run_for(HEARTBEAT_S, stable=[HERE, ELSEWHERE, FURTHER])
         self.assertEqual([HERE], self.streams())
 
     def test_given_an_election_then_a_node_that_answers_is_waited_for(self):
-        self.run_for(5.0, settled=[HERE])
-        self.run_for(SETTLING_S - HEARTBEAT_S, answering=self.order)
+        self.run_for(5.0, stable=[HERE])
+        self.run_for(STABILIZATION_TIMEOUT_S - HEARTBEAT_S, answering=self.order)
         self.assertEqual([HERE], self.streams())
         self.assertEqual(self.order, self.reports())
 
     def test_given_it_says_that_it_lost_contact_then_others_are_reported_to_at_once(self):
-        self.run_for(5.0, settled=[HERE])
+        self.run_for(5.0, stable=[HERE])
         self.run_for(HEARTBEAT_S, answering=[HERE])
         self.assertEqual(self.order, self.reports())
         self.assertEqual([HERE], self.streams())
 
     def test_given_nobody_settles_then_more_are_chosen_and_never_more_than_a_few(self):
-        self.run_for(5.0, settled=[HERE])
-        self.run_for(2 * SETTLING_S + HEARTBEAT_S, answering=self.order)
-        self.assertEqual(MOST_CHOSEN, len(self.streams()))
+        self.run_for(5.0, stable=[HERE])
+        self.run_for(2 * STABILIZATION_TIMEOUT_S + HEARTBEAT_S, answering=self.order)
+        self.assertEqual(MAX_CHOSEN, len(self.streams()))
         self.run_for(60.0)
-        self.assertEqual(MOST_CHOSEN, len(self.streams()))
+        self.assertEqual(MAX_CHOSEN, len(self.streams()))
 
     def test_given_the_whole_tier_starts_then_the_nearest_is_waited_for_longer(self):
-        self.run_for(FIRST_SETTLING_S - HEARTBEAT_S, answering=self.order)
+        self.run_for(FIRST_STABILIZATION_TIMEOUT_S - HEARTBEAT_S, answering=self.order)
         self.assertEqual([HERE], self.streams())
         self.run_for(2 * HEARTBEAT_S, answering=self.order)
         self.assertEqual(self.order[:2], self.streams())
 
     def test_given_an_answer_to_an_old_heartbeat_then_it_proves_nothing(self):
-        self.run_for(5.0, settled=[HERE])
+        self.run_for(5.0, stable=[HERE])
         old = self.sequence
-        self.run_for(ANSWER_S + HEARTBEAT_S)
+        self.run_for(REPLY_VALIDITY_S + HEARTBEAT_S)
         self.choice.answered(HERE, old, True)
         self.assertNotEqual([HERE], self.streams())
 
--- a/tests/tier/test_control_store_facts.py
+++ b/tests/tier/test_control_store_facts.py
@@ -57,7 +57,7 @@
         for change in (
             {"replica": "c:1#x"},
             {"owner": ""},
-            {"settled": False},
+            {"stable": False},
             {"committed_voters": ()},
             {"placement_number": 1},
             {"committed_voters": ("a:1#x", "b:1#x", "c:1#x")},
@@ -73,4 +73,4 @@
         self.assertEqual(CONFIGURATION_SHARD, self.noted(report)[0].shard)
 
     def test_given_a_report_without_an_owner_then_it_proves_nothing(self):
-        self.assertIsNone(emptied_by("a", attrs.evolve(REPORT, replica="", owner="", settled=False)))
+        self.assertIsNone(emptied_by("a", attrs.evolve(REPORT, replica="", owner="", stable=False)))
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -6,7 +6,7 @@
 
 from kestrelbend.tier.control.directory_stream import DirectoryStream
 from kestrelbend.tier.membership.messages import Heartbeat, Member
-from kestrelbend.tier.membership.standing import ContactSpan
+from kestrelbend.tier.membership.contact_period import ContactPeriod
 from kestrelbend.tier.membership.table import LIVE_S, MemberTable
 
 CONFIGURATION = SimpleNamespace(
@@ -26,7 +26,7 @@
         super().setUp()
         self.members = MemberTable()
         self.stream = DirectoryStream(self.members)
-        self.contact = ContactSpan(0.0)
+        self.contact = ContactPeriod(0.0)
         self.sequence = 0
 
     def look(self, now, heard, in_contact):
@@ -34,7 +34,7 @@
         self.sequence += 1
         for address in heard:
             self.members.heard(heartbeat(address, self.sequence), now)
-        self.contact.look(in_contact, now)
+        self.contact.observe(in_contact, now)
         directory = self.stream.refresh(CONFIGURATION, self.contact.seconds(now), now)
         self.named = self.named if directory is None else [member.address for member in directory.members]
         return self.named
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -3,7 +3,7 @@
 import attrs
 import testtools
 
-from kestrelbend.tier.membership.standing import CONTACT_S, in_contact, is_current
+from kestrelbend.tier.membership.owner_contact import CONTACT_S, in_contact, is_current
 from kestrelbend.tier.replication import Replica, Timing
 from kestrelbend.tier.replication.messages import (
     AppendEntries,
