--- a/kestrelbend/tier/budgets/shard_service.py
+++ b/kestrelbend/tier/budgets/shard_service.py
@@ -81,7 +81,7 @@
             if outcomes is None:
                 reply(self._not_owner(shard))
             else:
-                reply(BudgetReply(shard, True, "", outcomes, self._host.replica(shard).epoch))
+                reply(BudgetReply(shard, True, "", outcomes, self._host.replica(shard).term))
 
         now = 0.0 if self._host is None else self._now()
         elapsed_ms = self._elapsed_ms(shard, now)
@@ -105,17 +105,17 @@
         """The rest of a millisecond goes to the next entry."""
         last = self._last_proposed(shard)
         at = now if last is None else last.at + elapsed_ms / 1000
-        self._proposed[shard] = _Proposed(self._host.replica(shard).epoch, at)
+        self._proposed[shard] = _Proposed(self._host.replica(shard).term, at)
 
     def _last_proposed(self, shard: str) -> _Proposed | None:
         last = self._proposed.get(shard)
         replica = None if self._host is None else self._host.replica(shard)
-        if last is None or replica is None or replica.epoch != last.epoch:
+        if last is None or replica is None or replica.term != last.epoch:
             return None
         return last
 
     def _not_owner(self, shard: str) -> BudgetReply:
         replica = self._host.replica(shard) if self._host is not None else None
-        hint = address_of(replica.owner) if replica is not None and not replica.is_owner else ""
-        epoch = 0 if replica is None else replica.epoch
+        hint = address_of(replica.leader) if replica is not None and not replica.is_leader else ""
+        epoch = 0 if replica is None else replica.term
         return BudgetReply(shard, False, hint, (), epoch)
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -153,7 +153,7 @@
             await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
     async def _attempt(self, order: ConfigOrder, deadline: float) -> ConfigOutcome:
-        if self.replica.is_owner:
+        if self.replica.is_leader:
             return await self.decide(order, deadline - self._now())
         reply = await self._ask_owner(order, deadline)
         return reply if isinstance(reply, ConfigOutcome) else NOT_OWNER
@@ -237,7 +237,7 @@
             await asyncio.sleep(ATTEMPT_INTERVAL_S)
 
     async def _attempt_read(self, deadline: float) -> ReadReply:
-        if self.replica.is_owner:
+        if self.replica.is_leader:
             return await self.read_here()
         reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), deadline)
         return reply if isinstance(reply, ReadReply) else NOT_READ
@@ -250,7 +250,7 @@
 
     async def _ask_owner(self, message: ConfigOrder | ReadRequest, deadline: float) -> object | None:
         """What the owner that this replica knows replies; None without an owner, a connection or a reply."""
-        owner = self.replica.owner
+        owner = self.replica.leader
         connection = self._connections.to(address_of(owner)) if owner else None
         if connection is None:
             return None
--- a/kestrelbend/tier/control/placing.py
+++ b/kestrelbend/tier/control/placing.py
@@ -63,12 +63,12 @@
     def owned_for(self, now: float) -> float:
         """For how long the configuration's shard has been owned here; 0 where it isn't."""
         replica = self._configuration.replica
-        is_same = replica.is_owner and replica.epoch == self._owned_epoch
+        is_same = replica.is_leader and replica.term == self._owned_epoch
         return now - self._owner_since if is_same else 0.0
 
     def _note_ownership(self, now: float) -> None:
         replica = self._configuration.replica
-        epoch = replica.epoch if replica.is_owner else None
+        epoch = replica.term if replica.is_leader else None
         if epoch != self._owned_epoch:
             self._owned_epoch = epoch
             self._owner_since = now
@@ -93,7 +93,7 @@
             lambda voter: self._silence(voter, now),
             [voter for voter in replica.voters if stores.must_be_emptied(voter)],
         )
-        replica.set_target(voters, epoch=replica.epoch)
+        replica.set_target(voters, term=replica.term)
 
     def _silence(self, replica_id: str, now: float) -> float:
         """For how long a replica has been away.
--- a/kestrelbend/tier/fleet/answers.py
+++ b/kestrelbend/tier/fleet/answers.py
@@ -28,7 +28,7 @@
         for process in fleet.processes(role):
             for shard in process.instance.host.shards():
                 replica = process.instance.host.replica(shard)
-                if replica.is_owner:
+                if replica.is_leader:
                     _check_group(fleet, machine, shard, replica)
 
 
--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/removals/contact.py
@@ -9,13 +9,13 @@
 
 
 @guard("confirmed-read", "replication.leader:LeaderState._acknowledged_round", "reads of an old state")
-def count_as_acknowledged(owner, identity):
-    return owner._rounds.current
+def count_as_acknowledged(leader, identity):
+    return leader._rounds.current
 
 
 @guard("read-after-first-entry", "replication.leader:LeaderState._read_index", "reads of an old state")
-def read_what_is_known(owner):
-    return owner._state.commit_index
+def read_what_is_known(leader):
+    return leader._state.commit_index
 
 
 @guard("rounds", "replication.progress:Rounds.began", "contact claimed by replies that lay in a socket")
@@ -24,7 +24,7 @@
 
 
 @guard("check-quorum", "replication.leader:LeaderState.in_touch", "an owner that nobody follows")
-def be_in_touch(owner, now):
+def be_in_touch(leader, now):
     return True
 
 
@@ -108,13 +108,13 @@
 
 @guard("read-request", "replication.replica:Replica._receive_read_request", "answers in another epoch's name")
 def confirm_for_any_epoch(replica, request):
-    if replica._owner is not None:
-        replica._owner.confirm_for(request.sender, request.ticket)
+    if replica._leader_state is not None:
+        replica._leader_state.confirm_for(request.sender, request.ticket)
 
 
 @guard("current-after-first-entry", "replication.replica:Replica.current_at", "an owner current too early")
 @property
 def be_current_once_confirmed(replica):
-    if replica._owner is None:
+    if replica._leader_state is None:
         return replica._reads.current_at(replica.applied_index)
-    return replica._owner.confirmed_at
+    return replica._leader_state.confirmed_at
--- a/kestrelbend/tier/fleet/removals/log.py
+++ b/kestrelbend/tier/fleet/removals/log.py
@@ -13,7 +13,7 @@
 
 @guard("one-vote", "replication.election:Election._grants", "two owners of one epoch")
 def grant_again(elections, request):
-    return request.epoch == elections._state.epoch and elections._may_vote_for(request)
+    return request.term == elections._state.term and elections._may_vote_for(request)
 
 
 @guard("vote-for-full-logs", "replication.election:Election._may_vote_for", "an owner that lacks entries")
@@ -28,10 +28,10 @@
 
 
 @guard("own-entry-on-disk", "replication.leader:LeaderState._match_index", "acknowledged entries lost")
-def count_unwritten(owner, identity):
-    if identity == owner._state.identity:
-        return owner._log.last_index
-    progress = owner.followers.get(identity)
+def count_unwritten(leader, identity):
+    if identity == leader._state.identity:
+        return leader._log.last_index
+    progress = leader.followers.get(identity)
     return progress.match_index if progress else 0
 
 
@@ -40,11 +40,11 @@
     "replication.leader:LeaderState.advance_commit",
     "committed entries replaced by a later owner",
 )
-def commit_any_epoch(owner):
-    index = owner._quorum_value(owner._match_index)
-    if index <= owner._state.commit_index:
+def commit_any_epoch(leader):
+    index = leader._quorum_value(leader._match_index)
+    if index <= leader._state.commit_index:
         return False
-    owner._state.commit_to(index)
+    leader._state.commit_to(index)
     return True
 
 
@@ -69,8 +69,8 @@
 
 
 @guard("retained-entries", "replication.leader:LeaderState.needed_after", "a follower that never catches up")
-def need_nothing(owner, now):
-    return owner._log.last_index
+def need_nothing(leader, now):
+    return leader._log.last_index
 
 
 @guard(
--- a/kestrelbend/tier/fleet/troubles/picking.py
+++ b/kestrelbend/tier/fleet/troubles/picking.py
@@ -16,7 +16,7 @@
     for role in ("control", "store"):
         for process in world.fleet.processes(role):
             replica = process.instance.host.replica(shard)
-            if replica is not None and replica.is_owner:
+            if replica is not None and replica.is_leader:
                 return process.machine
     return None
 
--- a/kestrelbend/tier/fleet/watch.py
+++ b/kestrelbend/tier/fleet/watch.py
@@ -72,12 +72,12 @@
         host = process.instance.host
         for shard in host.shards():
             replica = host.replica(shard)
-            if not replica.is_owner:
+            if not replica.is_leader:
                 continue
-            owner = self._owners.setdefault((shard, replica.epoch), replica.identity)
+            owner = self._owners.setdefault((shard, replica.term), replica.identity)
             if owner != replica.identity:
-                key = f"owners {shard} {replica.epoch}"
-                self._broken_once(key, f"{owner} and {replica.identity} own {shard} in epoch {replica.epoch}")
+                key = f"owners {shard} {replica.term}"
+                self._broken_once(key, f"{owner} and {replica.identity} own {shard} in epoch {replica.term}")
 
     def _look_at_groups(self) -> None:
         """After `CatchupS` the next machine may be lost: by then each group is whole again."""
@@ -89,7 +89,7 @@
             for shard in host.shards():
                 replica = host.replica(shard)
                 gone = [voter for voter in replica.voters if voter not in live]
-                if replica.is_owner and (gone or len(replica.voters) < GROUP):
+                if replica.is_leader and (gone or len(replica.voters) < GROUP):
                     key = f"group {shard} {replica.voters}"
                     self._broken_once(
                         key, f"{shard} is held by {replica.voters} after CatchupS, lost are {gone}"
@@ -126,7 +126,7 @@
             host = process.instance.host
             for shard in host.shards():
                 replica = host.replica(shard)
-                if replica.is_owner:
+                if replica.is_leader:
                     self._committed[shard] = (replica.commit_index, replica.voters)
 
     def _look_at_lag(self, process: Process) -> None:
@@ -223,7 +223,7 @@
         for role in ("control", "store"):
             for process in self._fleet.processes(role):
                 for shard in process.instance.host.shards():
-                    if process.instance.host.replica(shard).is_owner:
+                    if process.instance.host.replica(shard).is_leader:
                         owners[shard] = process
         return owners
 
--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -28,7 +28,7 @@
         self.commands: list[bytes] = []
         self.reads: dict[int, int] = {}  # tickets, each with the length of the history when it was asked
         self.heard: dict[ReplicaId, float] = {}  # by its own clock, when what it last heard of each was sent
-        self.owner_since = NEVER
+        self.leader_since = NEVER
         self.stood_until = NEVER  # when it last went on after it had stood still
         self.committed_at: list[tuple[float, int]] = []  # by its own clock, the length of the history
 
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -1,7 +1,7 @@
 """Orders on top of the model: operators' orders at any node, decided by the real service and state machine.
 
 Rules: of two orders on one version one is acknowledged at most; what was acknowledged is acknowledged again
-and in force; what was refused is never in force and never acknowledged; and only an owner that a majority has
+and in force; what was refused is never in force and never acknowledged; and only a leader that a majority has
 answered since the order came refuses.
 
 A run can't be copied, since the service's calls wait in it: runs are played again from their beginning, with
@@ -79,7 +79,7 @@
         """Proposes a command."""
         index = self._node.replica.propose(command, self._node.clock)
         if index is not None:
-            self.waiting[index] = (self._node.replica.epoch, outcome)
+            self.waiting[index] = (self._node.replica.term, outcome)
         return index is not None
 
     def confirm(self, shard: str, outcome: Callable, now: float) -> bool:
@@ -107,8 +107,8 @@
         super().__init__(script, faults)
 
     def order(self, name: str, order: str) -> None:
-        """An operator's order comes to a node; one that does not own gives no answer."""
-        if self.nodes[name].replica.is_owner:
+        """An operator's order comes to a node; one that does not lead gives no answer."""
+        if self.nodes[name].replica.is_leader:
             call = asyncio.get_running_loop().create_task(self._decide(name, order))
             self._calls.add(call)
 
@@ -191,7 +191,7 @@
     def _work(self, node: Node) -> None:
         super()._work(node)
         carrier = self.carriers[node.name]
-        if not node.replica.is_owner:
+        if not node.replica.is_leader:
             waiting, carrier.waiting = carrier.waiting, {}
             for _, outcome in waiting.values():
                 outcome(None)
@@ -215,9 +215,9 @@
             self._note_applied(node, entry)
             is_order = entry.kind == EntryKind.COMMAND and entry.data != b"calm"
             outcome = carrier.table.apply(entry.data) if is_order else None
-            epoch, callback = carrier.waiting.pop(entry.index, (0, None))
+            term, callback = carrier.waiting.pop(entry.index, (0, None))
             if callback is not None:
-                callback(outcome if epoch == entry.epoch else None)
+                callback(outcome if term == entry.term else None)
 
 
 async def _at_once(version: int, within: float) -> None:
--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -1,6 +1,6 @@
 """What must hold in every state of the model, whatever has failed up to there.
 
-One owner an epoch; one history, of which nothing is lost; logs that agree in one entry agree in all before
+One leader a term; one history, of which nothing is lost; logs that agree in one entry agree in all before
 it; consecutive groups whose majorities meet; a committed entry on the disks of a majority of the committed
 group; a confirmed read that misses nothing; no contact claimed without fresh replies of a majority.
 """
@@ -38,19 +38,19 @@
         self.group = founders
         self.emptied: set[ReplicaId] = set()  # identities whose disks are lost
         self._committed_in: list[int] = []
-        self._owners: dict[int, ReplicaId] = {}
+        self._leaders: dict[int, ReplicaId] = {}
 
-    def owns(self, replica: Replica) -> None:
-        """A replica has just become the owner of its epoch."""
-        owner = self._owners.setdefault(replica.epoch, replica.identity)
-        require(owner == replica.identity, f"{owner} and {replica.identity} own epoch {replica.epoch}")
+    def becomes_leader(self, replica: Replica) -> None:
+        """A replica has just become the leader of its term."""
+        leader = self._leaders.setdefault(replica.term, replica.identity)
+        require(leader == replica.identity, f"{leader} and {replica.identity} lead term {replica.term}")
         held = replica.durable_record()
         entries = {entry.index: entry for entry in held.entries}
-        for entry, epoch in zip(self.history, self._committed_in, strict=True):
-            if held.snapshot.index < entry.index and epoch < replica.epoch:
-                require(entries.get(entry.index) == entry, f"the owner lacks committed {entry}")
+        for entry, term in zip(self.history, self._committed_in, strict=True):
+            if held.snapshot.index < entry.index and term < replica.term:
+                require(entries.get(entry.index) == entry, f"the leader lacks committed {entry}")
 
-    def applied(self, entry: Entry, epoch: int, nodes: Iterable[Node]) -> None:
+    def applied(self, entry: Entry, term: int, nodes: Iterable[Node]) -> None:
         """A replica has handed out a committed entry."""
         if entry.index <= len(self.history):
             known = self.history[entry.index - 1]
@@ -58,7 +58,7 @@
             return
         require(entry.index == len(self.history) + 1, f"{entry} leaves a gap")
         self.history.append(entry)
-        self._committed_in.append(epoch)
+        self._committed_in.append(term)
         if entry.kind == EntryKind.GROUP:
             self._changes_group(decode_group(entry.data))
         self._lasts(entry, nodes)
@@ -83,22 +83,22 @@
         """A read sees the state at `applied_index`; `committed` is the history when it was asked."""
         require(applied_index >= committed, f"a read {how} sees {applied_index} of {committed} entries")
 
-    def owns_on(self, node: Node, election_timeout: float) -> None:
-        """An owner that no majority has answered for two election timeouts has given up."""
+    def keeps_leading(self, node: Node, election_timeout: float) -> None:
+        """A leader that no majority has answered for two election timeouts has given up."""
         since = node.clock - 2 * election_timeout
-        if node.replica.is_owner and node.owner_since < since:
+        if node.replica.is_leader and node.leader_since < since:
             heard = node.heard_since(since)
             kept = has_quorum(node.replica.voters, heard.__contains__)
-            require(kept, f"{node.name} owns on and heard {sorted(heard)} lately")
+            require(kept, f"{node.name} goes on leading and heard {sorted(heard)} lately")
 
     def votes_are_fresh(self, node: Node) -> None:
-        """A process that stood still begins to own by votes given since then alone."""
+        """A process that stood still begins to lead by votes given since then alone."""
         heard = node.heard_since(node.stood_until)
         fresh = has_quorum(node.replica.voters, heard.__contains__)
-        require(fresh, f"{node.name} owns by votes from before it stood still, heard {sorted(heard)} since")
+        require(fresh, f"{node.name} leads by votes from before it stood still, heard {sorted(heard)} since")
 
     def refuses(self, node: Node, asked_at: float) -> None:
-        """A refusal is given only by an owner that a majority has answered since it was asked."""
+        """A refusal is given only by a leader that a majority has answered since it was asked."""
         heard = node.heard_since(asked_at)
         confirmed = has_quorum(node.replica.voters, heard.__contains__)
         require(confirmed, f"{node.name} refuses an order and heard {sorted(heard)} since")
@@ -109,7 +109,7 @@
         since = now - CONTACT_S
         if owner_contact.in_contact(replica, now):
             heard = node.heard_since(since)
-            if replica.is_owner:
+            if replica.is_leader:
                 enough = has_quorum(replica.voters, heard.__contains__)
             else:
                 enough = len(heard) > 1
@@ -118,7 +118,7 @@
             self.read(node.applied_index, node.committed_by(since), f"as current at {node.name}")
 
     def logs_match(self, replicas: Iterable[Replica]) -> None:
-        """Two logs that agree on the epoch of an entry agree on it and on all before it."""
+        """Two logs that agree on the term of an entry agree on it and on all before it."""
         logs = [entries_of(replica) for replica in replicas]
         for position, log in enumerate(logs):
             for other in logs[:position]:
@@ -156,7 +156,7 @@
 
 
 def _match(log: dict[int, Entry], other: dict[int, Entry]) -> None:
-    agreed = [index for index in log.keys() & other.keys() if log[index].epoch == other[index].epoch]
+    agreed = [index for index in log.keys() & other.keys() if log[index].term == other[index].term]
     last = max(agreed, default=0)
     for index in log.keys() & other.keys():
         if index <= last:
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -18,7 +18,7 @@
 
 STEP_S = 0.001  # by a node's own clock, for each event that it handles
 PATIENCE_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
-MEANWHILE_S = 0.31  # that passes for the others: voters let go of the owner, the owner itself doesn't
+MEANWHILE_S = 0.31  # that passes for the others: voters let go of the leader, the leader itself doesn't
 TICK_S = 0.02
 CALM_S = 4.0
 
@@ -38,7 +38,7 @@
     founders: str
     others: str
     lines: tuple[Step, ...]
-    watches: bool = False  # all replicas ask their owner how new they are, all the time
+    watches: bool = False  # all replicas ask their leader how new they are, all the time
 
 
 @attrs.frozen
@@ -69,7 +69,7 @@
         self.line = 0
         self.queue: list[Message | Written] = []
         self.cuts: set[tuple[str, str]] = set()
-        self.when_owner: dict[str, Step] = {}
+        self.when_leader: dict[str, Step] = {}
         self.when_committed: dict[int, Step] = {}
         self.nodes = {name: Node(name) for name in script.founders + script.others}
         self.founders = tuple(self.nodes[name].identity for name in script.founders)
@@ -94,7 +94,7 @@
                 yield "restart", name
             yield "patience", name
             yield "compact", name
-            if node.replica.is_owner:
+            if node.replica.is_leader:
                 yield "transfer", name
             if self._may_lose_a_disk():
                 yield "wipe", name
@@ -148,7 +148,7 @@
         self._start(name)
 
     def patience(self, name: str) -> None:
-        """A replica hears nobody for long enough to campaign; the others let go of the owner meanwhile."""
+        """A replica hears nobody for long enough to campaign; the others let go of the leader meanwhile."""
         for other in self.nodes:
             for span in (PATIENCE_S, PATIENCE_S) if other == name else (MEANWHILE_S,):
                 self.advance(other, span)
@@ -159,16 +159,16 @@
         node.clock = round(node.clock + float(seconds), 6)
         node.replica.tick(node.clock)
         self._work(node)
-        self.rules.owns_on(node, self.timing.election_timeout)
+        self.rules.keeps_leading(node, self.timing.election_timeout)
 
     def propose(self, name: str, command: str) -> None:
-        """A command comes to a replica, which may not own."""
+        """A command comes to a replica, which may not lead."""
         node = self.nodes[name]
         if node.replica.propose(command.encode(), node.clock) is not None:
             self._work(node)
 
     def read(self, name: str) -> None:
-        """A read comes to a replica, which may not own."""
+        """A read comes to a replica, which may not lead."""
         node = self.nodes[name]
         ticket = node.replica.confirm(node.clock)
         if ticket is not None:
@@ -201,14 +201,14 @@
         self._work(node)
 
     def learn(self, name: str, learners: str) -> None:
-        """The replicas that one replica, where it owns, brings up to date without a vote."""
+        """The replicas that one replica, where it leads, brings up to date without a vote."""
         node = self.nodes[name]
         node.replica.set_learners(tuple(self.nodes[other].identity for other in learners))
         self._work(node)
 
     def when_owns(self, name: str, *step: str) -> None:
-        """What is done at the moment at which a replica next begins to own, before its messages come."""
-        self.when_owner[name] = step
+        """What is done at the moment at which a replica next begins to lead, before its messages come."""
+        self.when_leader[name] = step
 
     def when_commits(self, length: str, *step: str) -> None:
         """What is done at the moment at which the history has this length, before the others hear of it."""
@@ -292,9 +292,9 @@
     def _work(self, node: Node) -> None:
         replica = node.replica
         effects = replica.take()
-        if effects.leadership_changed and replica.is_owner:
-            node.owner_since = node.clock
-            self.rules.owns(replica)
+        if effects.leadership_changed and replica.is_leader:
+            node.leader_since = node.clock
+            self.rules.becomes_leader(replica)
             self.rules.votes_are_fresh(node)
         for write in effects.writes:
             node.unsynced.append(write)
@@ -310,8 +310,8 @@
             self.rules.logs_match(other.replica for other in self.nodes.values() if other.replica)
         if self.script.watches:
             self.rules.standing(node)
-        if effects.leadership_changed and replica.is_owner:
-            self._do(self.when_owner.pop(node.name, None))
+        if effects.leadership_changed and replica.is_leader:
+            self._do(self.when_leader.pop(node.name, None))
         self._do(self.when_committed.pop(len(self.rules.history), None))
 
     def _confirmed(self, node: Node, effects: Effects) -> None:
@@ -323,11 +323,11 @@
             getattr(self, line[0])(*line[1:])
 
     def _check_joining(self, node: Node, record: DurableRecord) -> None:
-        """A voter that this owner has just taken in must hold the log."""
-        if not node.replica.is_owner:
+        """A voter that this leader has just taken in must hold the log."""
+        if not node.replica.is_leader:
             return
         for entry in record.entries:
-            if entry.kind == EntryKind.GROUP and entry.epoch == node.replica.epoch:
+            if entry.kind == EntryKind.GROUP and entry.term == node.replica.term:
                 before = group_before(node.replica, entry.index)
                 due = node.committed_by(node.clock - self.timing.election_timeout)
                 for joined in set(decode_group(entry.data)) - set(before):
@@ -350,7 +350,7 @@
             require(node.commands == known, f"{node.name} holds {node.commands}, committed are {known}")
 
     def _note_applied(self, node: Node, entry: Entry) -> None:
-        self.rules.applied(entry, node.replica.epoch, self.nodes.values())
+        self.rules.applied(entry, node.replica.term, self.nodes.values())
         for other in self.nodes.values():
             other.note_committed(len(self.rules.history))
 
@@ -359,7 +359,7 @@
     def calm(self) -> None:
         """No fault comes any more: a further command is committed after all before it, and reaches all."""
         self.join()
-        self.when_owner, self.when_committed = {}, {}
+        self.when_leader, self.when_committed = {}, {}
         for name in self.nodes:
             self.mend(name)
             self.release(name)
--- a/kestrelbend/tier/replication/__init__.py
+++ b/kestrelbend/tier/replication/__init__.py
@@ -1,31 +1,31 @@
-"""A replicated shard: one owner, an epoch, a quorum.  Pure: no sockets, clocks or files.
+"""A replicated shard: one leader, a term, a quorum.  Pure: no sockets, clocks or files.
 
 The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014): elections (3.4) with
-pre-vote (9.6), log replication (3.5), single-server group changes (4.1, with the correction of 2015: an
-owner changes the group only after it has committed an entry of its epoch), compaction (5), confirmed
-reads (6.4), ownership transfer (3.10), and writes beside the sending of entries (10.2.1).  An owner is
-Raft's leader, an epoch its term, a group its configuration, a trial its pre-vote.
+pre-vote (9.6), log replication (3.5), single-server group changes (4.1, with the correction of 2015: a
+leader changes the group only after it has committed an entry of its term), compaction (5), confirmed
+reads (6.4), leadership transfer (3.10), and writes beside the sending of entries (10.2.1).  A
+group is what Raft calls a configuration.
 
 Departures, each with its reason:
-- The delay before a candidacy follows the voters' order, not chance: the first live one owns.  Who has
-  granted a trial holds its own back for a moment, once, so that two don't share the votes.
-- An owner that no majority has answered for an election timeout gives up (check-quorum), so that its
+- The delay before a candidacy follows the voters' order, not chance: the first live one leads.  Who has
+  granted a pre-vote holds its own back for a moment, once, so that two don't share the votes.
+- A leader that no majority has answered for an election timeout gives up (check-quorum), so that its
   clients look for another one.
 - A reply counts for the moment its round began: a process that stood still can't take old replies for
-  news, and gives up its ownership or candidacy at its next call.
+  news, and gives up its leadership or candidacy at its next call.
 - Heartbeats are answered without waiting for the disk, so a slow disk costs no contact.  A vote or an
   acknowledged entry always waits.
-- A candidacy stays open beside a new trial, so that votes delayed by slow disks still count.
-- An owner whose own disk stalls hands over; one that can't gives up.
+- A candidacy stays open beside a new pre-vote, so that votes delayed by slow disks still count.
+- A leader whose own disk stalls hands over; one that can't gives up.
 - A snapshot travels in pieces that are acknowledged before they are written; a whole one counts once it is on
-  the disk.  The next owner goes on with what the follower has where the digest shows that the bytes are the
+  the disk.  The next leader goes on with what the follower has where the digest shows that the bytes are the
   same.
 - A replica's own snapshot is written with the journal's next checkpoint only: until then its disk has an
   older one and all entries since.
 - While a large append is under way, heartbeats follow the last acknowledged entry: they may overtake it.
 - Who leaves the group gets the entry that says so only once it is committed, and for a while after that, so
   that it neither blocks the others' votes nor goes on asking for its own.
-- A follower's read waits for the owner's next heartbeat round instead of beginning one: it costs a question
+- A follower's read waits for the leader's next heartbeat round instead of beginning one: it costs a question
   and an answer, and its answer counts from the question on (see `read_index`).
 - A replica that its own log doesn't name as a voter never campaigns.  An emptied disk is another
   identity, so its vote counts for nobody before a group has taken it in.
--- a/kestrelbend/tier/replication/durable.py
+++ b/kestrelbend/tier/replication/durable.py
@@ -13,7 +13,7 @@
 
 def apply_record(state: DurableState, record: DurableRecord) -> None:
     """Brings `state` from before the write of `record` to after it."""
-    state.epoch = record.epoch
+    state.term = record.term
     state.voted_for = record.voted_for
     if record.snapshot is not None:
         state.entries = entries_after(state, record.snapshot)
@@ -31,9 +31,9 @@
     """
     offset = snapshot.index - state.snapshot.index
     if offset == 0:
-        follows = state.snapshot.epoch == snapshot.epoch
+        follows = state.snapshot.term == snapshot.term
     else:
-        follows = 0 < offset <= len(state.entries) and state.entries[offset - 1].epoch == snapshot.epoch
+        follows = 0 < offset <= len(state.entries) and state.entries[offset - 1].term == snapshot.term
     return state.entries[offset:] if follows else []
 
 
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -1,6 +1,6 @@
 """Elections: when a replica campaigns, whom it votes for, and how it counts its votes.
 
-Raft's elections with pre-vote, here called trials (Ongaro 2014, sections 3.4 and 9.6).  The voters'
+Raft's elections with pre-vote (Ongaro 2014, sections 3.4 and 9.6).  The voters'
 order takes the place of chance: the earlier a voter stands in the group, the sooner it campaigns.
 
 Whoever is asked votes, also a replica that its own log doesn't name yet (4.2.2): the entry that names it
@@ -22,18 +22,18 @@
 from .timing import Timing
 
 
-def campaign_delay(identity: ReplicaId, epoch: int, voters: Voters, timing: Timing) -> float:
-    """Seconds without an owner until this voter campaigns: the earlier in the group, the sooner."""
+def campaign_delay(identity: ReplicaId, term: int, voters: Voters, timing: Timing) -> float:
+    """Seconds without a leader until this voter campaigns: the earlier in the group, the sooner."""
     rank = voters.index(identity) if identity in voters else len(voters)
-    share = zlib.crc32(f"{identity} {epoch}".encode()) / 2**32
+    share = zlib.crc32(f"{identity} {term}".encode()) / 2**32
     return timing.election_timeout + rank * timing.rank_step + share * timing.jitter
 
 
 @attrs.define
 class Campaign:
-    """The votes granted to this replica for one epoch."""
+    """The votes granted to this replica for one term."""
 
-    epoch: int
+    term: int
     granted: set[ReplicaId] = attrs.field(factory=set)
 
     def won(self, voters: Voters) -> bool:
@@ -41,16 +41,16 @@
 
 
 class Election:
-    """One replica's part in elections while it doesn't own.
+    """One replica's part in elections while it doesn't lead.
 
-    `last_contact_at` is when an owner last spoke.  A candidacy stays open while a new pre-vote runs, so that
+    `last_contact_at` is when a leader last spoke.  A candidacy stays open while a new pre-vote runs, so that
     votes which slow disks delay still count.
     """
 
     def __init__(self, state: ReplicaState, now: float) -> None:
         self._state = state
         self._timing = state.timing
-        self._trial: Campaign | None = None
+        self._pre_vote: Campaign | None = None
         self._candidacy: Campaign | None = None
         self._no_leader_since = now - self._timing.election_timeout + self._timing.first_pre_vote
         self.last_contact_at = NEVER
@@ -59,65 +59,65 @@
         self._vote_pending = False
 
     def leader_contacted(self, now: float) -> None:
-        """An owner spoke: no candidacy of this replica goes on."""
+        """A leader spoke: no candidacy of this replica goes on."""
         self.last_contact_at = now
         self._pre_vote_backoff_until = NEVER
         self.rest(now)
 
     def rest(self, now: float) -> None:
-        """Ends any campaign and counts the time without an owner from now."""
+        """Ends any campaign and counts the time without a leader from now."""
         self._no_leader_since = now
         self.end_campaigns()
 
     def end_campaigns(self) -> None:
-        """Ends any campaign of this replica; due once its epoch is over."""
-        self._trial = None
+        """Ends any campaign of this replica; due once its term is over."""
+        self._pre_vote = None
         self._candidacy = None
 
     def is_due(self, now: float) -> bool:
-        """Whether this replica should run a trial now."""
+        """Whether this replica should run a pre-vote now."""
         state = self._state
         if not state.is_voter or self._vote_pending or state.disk_stalls(now):
             return False
         if now < self._pre_vote_backoff_until or now - self._pre_vote_at < self._timing.pre_vote_interval:
             return False
         return now - self._no_leader_since >= campaign_delay(
-            state.identity, state.epoch, state.voters, self._timing
+            state.identity, state.term, state.voters, self._timing
         )
 
     def begin_pre_vote(self, now: float) -> None:
         """Asks the voters whether they would vote for this replica."""
         state = self._state
         self._pre_vote_at = now
-        self._trial = Campaign(state.epoch + 1, {state.identity})
-        request = self._request(self._trial.epoch, trial=True)
+        self._pre_vote = Campaign(state.term + 1, {state.identity})
+        request = self._request(self._pre_vote.term, pre_vote=True)
         for voter in state.other_voters():
             state.send(voter, request)
-        if self._trial.won(state.voters):
+        if self._pre_vote.won(state.voters):
             self.become_candidate()
 
     def become_candidate(self) -> None:
-        """Enters the next epoch, votes for itself and asks the others for their votes."""
+        """Enters the next term, votes for itself and asks the others for their votes."""
         state = self._state
-        state.raise_epoch(state.epoch + 1)
+        state.raise_term(state.term + 1)
         state.vote_for(state.identity)
-        self._trial = None
-        self._candidacy = Campaign(state.epoch)
+        self._pre_vote = None
+        self._candidacy = Campaign(state.term)
         self._vote_pending = True
-        request = self._request(state.epoch, trial=False)
+        request = self._request(state.term, pre_vote=False)
         for voter in state.other_voters():
             state.send_after_write(voter, request)
 
-    def answer(self, request: RequestVote, now: float, owns: bool) -> None:
-        """Answers a candidate; an earnest request's newer epoch has been entered before."""
+    def answer(self, request: RequestVote, now: float, is_leader: bool) -> None:
+        """Answers a candidate; an earnest request's newer term has been entered before."""
         state = self._state
-        if request.trial:
-            granted = not owns and self._grants_pre_vote(request, now)
+        if request.pre_vote:
+            granted = not is_leader and self._grants_pre_vote(request, now)
         else:
             granted = self._grants(request)
-        epoch = request.epoch if granted else state.epoch
-        reply = VoteReply(state.shard, state.identity, epoch, granted, request.trial)
-        if granted and not request.trial:
+        term = request.term if granted else state.term
+        reply = VoteReply(state.shard, state.identity, term, granted, request.pre_vote)
+        if granted and not request.pre_vote:
             state.vote_for(request.sender)
             self._vote_pending = not state.hard_state_durable
             state.send_after_write(request.sender, reply)
@@ -125,20 +125,20 @@
             state.send(request.sender, reply)
 
     def count(self, reply: VoteReply) -> bool:
-        """Counts a granted vote; True where it makes this replica the owner."""
-        campaign = self._trial if reply.trial else self._candidacy
-        if campaign is None or reply.epoch != campaign.epoch:
+        """Counts a granted vote; True where it makes this replica the leader."""
+        campaign = self._pre_vote if reply.pre_vote else self._candidacy
+        if campaign is None or reply.term != campaign.term:
             return False
         campaign.granted.add(reply.sender)
         if not campaign.won(self._state.voters):
             return False
-        if reply.trial:
+        if reply.pre_vote:
             self.become_candidate()
             return False
         return True
 
     def written(self, now: float) -> bool:
-        """Writes were done; True where this replica's own vote is now on its disk and makes it the owner."""
+        """Writes were done; True where this replica's own vote is now on its disk and makes it the leader."""
         if not self._vote_pending or not self._state.hard_state_durable:
             return False
         self._vote_pending = False
@@ -148,16 +148,16 @@
         self._candidacy.granted.add(self._state.identity)
         return self._candidacy.won(self._state.voters)
 
-    def _request(self, epoch: int, trial: bool) -> RequestVote:
+    def _request(self, term: int, pre_vote: bool) -> RequestVote:
         log = self._state.log
         return RequestVote(
-            self._state.shard, self._state.identity, epoch, log.last_index, log.last_epoch, trial
+            self._state.shard, self._state.identity, term, log.last_index, log.last_term, pre_vote
         )
 
     def _grants_pre_vote(self, request: RequestVote, now: float) -> bool:
         if now - self.last_contact_at < self._timing.sticky or self._vote_pending:
             return False
-        if request.epoch <= self._state.epoch or not self._may_vote_for(request):
+        if request.term <= self._state.term or not self._may_vote_for(request):
             return False
         if self._pre_vote_backoff_until == NEVER:
             self._pre_vote_backoff_until = now + self._timing.pre_vote_backoff
@@ -165,11 +165,11 @@
 
     def _grants(self, request: RequestVote) -> bool:
         state = self._state
-        if request.epoch != state.epoch or state.voted_for not in ("", request.sender):
+        if request.term != state.term or state.voted_for not in ("", request.sender):
             return False
         return self._may_vote_for(request)
 
     def _may_vote_for(self, request: RequestVote) -> bool:
         """Whether the candidate's log holds all that this replica may have helped to commit."""
         log = self._state.log
-        return (request.last_epoch, request.last_index) >= (log.last_epoch, log.last_index)
+        return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -1,6 +1,6 @@
-"""The following side of replication: entries and snapshots from an owner into the log.
+"""The following side of replication: entries and snapshots from a leader into the log.
 
-Invariant: an acknowledged index is on this replica's disk and equal to the owner's log up to there.
+Invariant: an acknowledged index is on this replica's disk and equal to the leader's log up to there.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class FollowerState:
-    """What a replica knows of the owner of one epoch: `_verified_index` is how far their logs agree."""
+    """What a replica knows of the leader of one term: `_verified_index` is how far their logs agree."""
 
-    def __init__(self, state: ReplicaState, owner: ReplicaId) -> None:
-        self.owner = owner
+    def __init__(self, state: ReplicaState, leader: ReplicaId) -> None:
+        self.leader = leader
         self._state = state
         self._log = state.log
         self._verified_index = 0
@@ -49,9 +49,9 @@
         snapshot = state.incoming.take(message)
         received = message.size if snapshot is not None else state.incoming.received(message)
         reply = SnapshotReply(
-            state.shard, state.identity, state.epoch, message.digest, received, message.round
+            state.shard, state.identity, state.term, message.digest, received, message.round
         )
-        state.send(self.owner, reply)
+        state.send(self.leader, reply)
         if snapshot is not None:
             state.install(snapshot)
             self._hold_snapshot(message)
@@ -78,11 +78,11 @@
     def _follows(self, message: AppendEntries) -> bool:
         if message.previous_index <= self._state.commit_index:
             return True
-        return self._log.epoch_at(message.previous_index) == message.previous_epoch
+        return self._log.term_at(message.previous_index) == message.previous_term
 
     def _merge(self, message: AppendEntries) -> None:
         for position, entry in enumerate(message.entries):
-            if entry.index <= self._state.commit_index or self._log.epoch_at(entry.index) == entry.epoch:
+            if entry.index <= self._state.commit_index or self._log.term_at(entry.index) == entry.term:
                 continue
             self._log.replace_from(list(message.entries[position:]))
             return
@@ -99,11 +99,11 @@
 
     def _refuse(self, message: AppendEntries) -> None:
         hint = min(message.previous_index - 1, self._log.last_index)
-        if self._log.epoch_at(message.previous_index) is not None:
-            hint = self._log.first_index_of_epoch_at(message.previous_index) - 1
+        if self._log.term_at(message.previous_index) is not None:
+            hint = self._log.first_index_of_term_at(message.previous_index) - 1
         self._reply(False, max(hint, self._state.commit_index), message.round)
 
     def _reply(self, accepted: bool, index: int, round_number: int) -> None:
         state = self._state
-        reply = AppendReply(state.shard, state.identity, state.epoch, accepted, index, round_number)
-        state.send(self.owner, reply)
+        reply = AppendReply(state.shard, state.identity, state.term, accepted, index, round_number)
+        state.send(self.leader, reply)
--- a/kestrelbend/tier/replication/group.py
+++ b/kestrelbend/tier/replication/group.py
@@ -1,7 +1,7 @@
 """The voters of a shard, and the one safe step from today's group to the one wished for.
 
 Invariant: two consecutive groups differ in one voter at most, so their majorities meet (Ongaro 2014,
-section 4.1), and no two owners of one epoch can both reach a quorum.
+section 4.1), and no two leaders of one term can both reach a quorum.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def encode_group(voters: Voters, placement_number: int = 0) -> bytes:
-    """The data of a GROUP entry: the placement's number, then the voters in the order of ownership.
+    """The data of a GROUP entry: the placement's number, then the voters in the order of leadership.
 
     The number 0 is left out, as in entries that were written before placements had numbers.
     """
@@ -50,19 +50,19 @@
 def next_group(
     voters: Voters,
     target: Voters,
-    owner: ReplicaId,
+    leader: ReplicaId,
     is_live: Callable[[ReplicaId], bool],
     is_caught_up: Callable[[ReplicaId], bool],
 ) -> Voters | None:
     """The next group on the way to `target`, or None where no step is safe yet or none is left.
 
     One voter is added, then one removed, the dead first: a group on its way is never larger than its
-    target by more than one, so it bears as many losses.  The owner is never removed: it hands over first.
+    target by more than one, so it bears as many losses.  The leader is never removed: it hands over first.
     """
     if len(voters) <= len(target):
         group = _with_one_more(voters, target, is_live, is_caught_up)
     else:
-        group = _with_one_less(voters, target, owner, is_live, is_caught_up)
+        group = _with_one_less(voters, target, leader, is_live, is_caught_up)
     if group is not None or set(voters) != set(target):
         return group
     ordered = in_order(voters, target)
@@ -87,12 +87,12 @@
 def _with_one_less(
     voters: Voters,
     target: Voters,
-    owner: ReplicaId,
+    leader: ReplicaId,
     is_live: Callable[[ReplicaId], bool],
     is_caught_up: Callable[[ReplicaId], bool],
 ) -> Voters | None:
     """The group without one that should leave; who lives leaves only once the others can do without."""
-    surplus = [voter for voter in voters if voter not in target and voter != owner]
+    surplus = [voter for voter in voters if voter not in target and voter != leader]
     for removed in sorted(surplus, key=is_live):
         group = without(voters, removed, target)
         can_do_without = not is_live(removed) or all(map(is_caught_up, filter(is_live, group)))
--- a/kestrelbend/tier/replication/host.py
+++ b/kestrelbend/tier/replication/host.py
@@ -88,7 +88,8 @@
 
     `first_ticket` rises with each life of the process, see `read_index`.  `send(replica_id, message)` hands a
     message to the process of another replica; `machine_for(shard)` makes an empty state machine;
-    `announces_commits(shard)`: the owner tells what is committed at once, not with the next entries or round;
+    `announces_commits(shard)`: the leader tells what is committed at once, not only with the next entries or
+    round;
     `on_applied(shard)` is called after commands were applied.
     """
 
@@ -171,7 +172,7 @@
     # What happens
 
     def receive(self, message, now: float) -> None:
-        """A message from another replica; an owner's word begins a replica where none is here."""
+        """A message from another replica; a leader's word begins a replica where none is here."""
         hosted = self._hosted.get(message.shard)
         if hosted is None:
             if not isinstance(message, AppendEntries | SnapshotChunk) or not self._hosts(message.shard):
@@ -215,7 +216,7 @@
         index = hosted.replica.propose(command, now)
         if index is None:
             return False
-        hosted.waiting[index] = (hosted.replica.epoch, outcome)
+        hosted.waiting[index] = (hosted.replica.term, outcome)
         return True
 
     def confirm(self, shard: ShardId, outcome: Callable[[bool], None], now: float) -> bool:
@@ -258,7 +259,7 @@
             self._confirmed(hosted, ticket, True)
         for ticket in effects.lost:
             self._confirmed(hosted, ticket, False)
-        if hosted.waiting and not hosted.replica.is_owner:
+        if hosted.waiting and not hosted.replica.is_leader:
             self._fail_waiting(hosted)
         if effects.applied or effects.restore is not None:
             self._on_applied(hosted.replica.shard)
@@ -271,8 +272,8 @@
         waiting = hosted.waiting.pop(entry.index, None)
         if waiting is None:
             return
-        epoch, callback = waiting
-        callback(outcome if epoch == entry.epoch else None)
+        term, callback = waiting
+        callback(outcome if term == entry.term else None)
 
     def _fail_waiting(self, hosted: HostedReplica) -> None:
         waiting, hosted.waiting = hosted.waiting, {}
@@ -330,4 +331,4 @@
 
 def record_of(shard: ShardId, replica: ReplicaId, state: DurableState) -> DurableRecord:
     """All that the disk holds of a replica that is not open, in one record."""
-    return DurableRecord(shard, replica, state.epoch, state.voted_for, tuple(state.entries), state.snapshot)
+    return DurableRecord(shard, replica, state.term, state.voted_for, tuple(state.entries), state.snapshot)
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -1,4 +1,4 @@
-"""What a replica holds only while it owns the shard: its followers, its rounds, its waiting reads."""
+"""What a replica holds only while it leads the shard: its followers, its rounds, its waiting reads."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class LeaderState:
-    """The owner's side of replication in one epoch.
+    """The leader's side of replication in one term.
 
-    Invariant: nothing counts as held by a follower but what a reply of this epoch has acknowledged.
+    Invariant: nothing counts as held by a follower but what a reply of this term has acknowledged.
     """
 
     def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
@@ -36,9 +36,9 @@
         self._milestones: deque[tuple[float, int]] = deque()  # (when, the commit index then), a round each
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        """Adds an entry of this epoch; its index."""
+        """Adds an entry of this term; its index."""
         index = self._log.last_index + 1
-        self._log.append(Entry(index, self._state.epoch, kind, data))
+        self._log.append(Entry(index, self._state.term, kind, data))
         return index
 
     def follow(self, identities: Iterable[ReplicaId]) -> None:
@@ -64,7 +64,7 @@
             self.begin_round(now)
 
     def confirm(self, ticket: int) -> None:
-        """Adds a read of what is committed now, or of this epoch's first entry where that is later."""
+        """Adds a read of what is committed now, or of this term's first entry where that is later."""
         self._add_read(ticket, OWN)
         self._round_wanted = True
 
@@ -76,7 +76,7 @@
         self._reads.add(PendingRead(ticket, self._rounds.current + 1, self._read_index(), requester))
 
     def _read_index(self) -> int:
-        """What a read must see: all that is committed now; a new owner learns that by its first entry."""
+        """What a read must see: all that is committed now; a new leader learns that by its first entry."""
         return max(self._state.commit_index, self.first_index)
 
     def waiting_reads(self) -> list[int]:
@@ -98,7 +98,7 @@
         return self._quorum_value(self._acknowledged_round)
 
     def replied(self, reply: AppendReply, now: float) -> None:
-        """Takes in a follower's reply of this epoch."""
+        """Takes in a follower's reply of this term."""
         progress = self._record_contact(reply)
         if progress is None:
             return
@@ -139,7 +139,7 @@
         return min((index for index in needed if index >= self._log.base_index), default=self._log.last_index)
 
     def _record_contact(self, reply: AppendReply | SnapshotReply) -> Progress | None:
-        """Notes that a follower confirmed the ownership in the reply's round."""
+        """Notes that a follower confirmed the leadership in the reply's round."""
         progress = self.followers.get(reply.sender)
         if progress is None or reply.round > self._rounds.current:
             return None
@@ -156,9 +156,9 @@
             progress.transfer = None
 
     def advance_commit(self) -> bool:
-        """Commits what a majority's disks hold, once that reaches into this epoch; whether any was.
+        """Commits what a majority's disks hold, once that reaches into this term; whether any was.
 
-        An older epoch's entries are committed only along with one of this epoch (Ongaro 2014, 3.6.2).
+        An older term's entries are committed only along with one of this term (Ongaro 2014, 3.6.2).
         """
         index = self._quorum_value(self._match_index)
         if index <= self._state.commit_index or index < self.first_index:
@@ -168,7 +168,7 @@
 
     @property
     def has_committed(self) -> bool:
-        """Whether an entry of this epoch is committed."""
+        """Whether an entry of this term is committed."""
         return self._state.commit_index >= self.first_index
 
     def is_live(self, identity: ReplicaId, now: float) -> bool:
@@ -179,7 +179,7 @@
         return progress is not None and now - progress.contact <= self._timing.election_timeout
 
     def in_touch(self, now: float) -> bool:
-        """Whether a majority of the voters is live, or this epoch is too young to tell."""
+        """Whether a majority of the voters is live, or this term is too young to tell."""
         if now - self.began_at <= self._timing.election_timeout:
             return True
         return has_quorum(self._state.voters, lambda voter: self.is_live(voter, now))
@@ -187,8 +187,8 @@
     def is_caught_up(self, identity: ReplicaId, now: float) -> bool:
         """Whether the replica's disk holds all that was committed an election timeout ago.
 
-        What it lacks it gets sooner than an owner could be replaced (the last round of Ongaro 2014, 4.2.1).
-        A replica that holds all that is committed now is caught up however young the ownership is.
+        What it lacks it gets sooner than a leader could be replaced (the last round of Ongaro 2014, 4.2.1).
+        A replica that holds all that is committed now is caught up however young the leadership is.
         """
         return self._match_index(identity) >= self._committed_before(now - self._timing.election_timeout)
 
@@ -248,7 +248,7 @@
         state = self._state
         for piece in transfer.due(now):
             message = chunk_message(
-                transfer, piece, state.shard, state.identity, state.epoch, self._rounds.current
+                transfer, piece, state.shard, state.identity, state.term, self._rounds.current
             )
             state.send(identity, message)
 
@@ -269,9 +269,9 @@
         message = AppendEntries(
             shard=state.shard,
             sender=state.identity,
-            epoch=state.epoch,
+            term=state.term,
             previous_index=previous,
-            previous_epoch=self._log.epoch_at(previous),
+            previous_term=self._log.term_at(previous),
             entries=entries,
             commit_index=state.commit_index,
             round=self._rounds.current,
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -36,7 +36,7 @@
     def __init__(self, durable: DurableState) -> None:
         self.snapshot = durable.snapshot
         self.base_index = durable.snapshot.index
-        self.base_epoch = durable.snapshot.epoch
+        self.base_term = durable.snapshot.term
         self.entries = list(durable.entries)
         self.durable_index = self.last_index
         self._unwritten_from = self.last_index + 1
@@ -50,8 +50,8 @@
         return self.base_index + len(self.entries)
 
     @property
-    def last_epoch(self) -> int:
-        return self.entries[-1].epoch if self.entries else self.base_epoch
+    def last_term(self) -> int:
+        return self.entries[-1].term if self.entries else self.base_term
 
     @property
     def voters(self) -> Voters:
@@ -89,18 +89,18 @@
         snapshot = self.snapshot
         return NumberedGroup(snapshot.index, snapshot.voters, snapshot.placement_number)
 
-    def epoch_at(self, index: int) -> int | None:
-        """The epoch of the entry at `index`, or None where the log holds none."""
+    def term_at(self, index: int) -> int | None:
+        """The term of the entry at `index`, or None where the log holds none."""
         if index == self.base_index:
-            return self.base_epoch
+            return self.base_term
         if self.base_index < index <= self.last_index:
-            return self.entries[index - self.base_index - 1].epoch
+            return self.entries[index - self.base_index - 1].term
         return None
 
-    def first_index_of_epoch_at(self, index: int) -> int:
-        """The first held entry of the run of entries that share the epoch of the one at `index`."""
-        epoch = self.epoch_at(index)
-        while index > self.base_index + 1 and self.epoch_at(index - 1) == epoch:
+    def first_index_of_term_at(self, index: int) -> int:
+        """The first held entry of the run of entries that share the term of the one at `index`."""
+        term = self.term_at(index)
+        while index > self.base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
@@ -148,19 +148,19 @@
         written for it: the disk keeps the snapshot that it has and the entries since, which give the same
         state, until the journal's next checkpoint.  Entries that no write carries yet are kept for theirs.
         """
-        epoch = self.epoch_at(index)
-        assert epoch is not None, "a snapshot of an entry that the log doesn't hold"
+        term = self.term_at(index)
+        assert term is not None, "a snapshot of an entry that the log doesn't hold"
         group = self.group_at(index)
-        self.snapshot = Snapshot(index, epoch, group.voters, state, group.placement_number)
+        self.snapshot = Snapshot(index, term, group.voters, state, group.placement_number)
         self._groups = [later for later in self._groups if later.index > index]
         if self._snapshot_unwritten:  # the next write carries this snapshot in place of an installed one
             self._unwritten_from = max(self._unwritten_from, index + 1)
         tail_base = max(index - timing.tail_entries, self._base_within(index, timing.tail_bytes))
         needed_base = max(needed_after, self._base_within(index, timing.retained_bytes))
         new_base = max(self.base_index, min(tail_base, needed_base, self._unwritten_from - 1))
-        new_epoch = self.epoch_at(new_base)
+        new_term = self.term_at(new_base)
         del self.entries[: new_base - self.base_index]
-        self.base_index, self.base_epoch = new_base, new_epoch
+        self.base_index, self.base_term = new_base, new_term
 
     def _base_within(self, index: int, max_bytes: int) -> int:
         """The lowest base from which the entries up to `index` are no more bytes than these."""
@@ -174,8 +174,8 @@
         return base
 
     def install(self, snapshot: Snapshot, commit_index: int) -> None:
-        """Takes over the owner's snapshot, which reaches beyond `commit_index`."""
-        if self.epoch_at(snapshot.index) == snapshot.epoch:
+        """Takes over the leader's snapshot, which reaches beyond `commit_index`."""
+        if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.base_index :]
             self._groups = [group for group in self._groups if group.index > snapshot.index]
         else:
@@ -184,7 +184,7 @@
             self._cap_durable(commit_index)
             self._unwritten_from = snapshot.index + 1
         self.snapshot = snapshot
-        self.base_index, self.base_epoch = snapshot.index, snapshot.epoch
+        self.base_index, self.base_term = snapshot.index, snapshot.term
         self._snapshot_unwritten = True
         self._unwritten_from = max(self._unwritten_from, snapshot.index + 1)
 
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -15,7 +15,7 @@
 
     COMMAND = 0  # for the shard's state machine
     GROUP = 1  # the voters from here on, as `Group` encodes them
-    EMPTY = 2  # the first entry of an epoch
+    EMPTY = 2  # the first entry of a term
 
 
 @attrs.frozen
@@ -23,7 +23,7 @@
     """One version of a shard: `index` counts versions from 1."""
 
     index: int
-    epoch: int
+    term: int
     kind: int
     data: bytes = b""
 
@@ -33,7 +33,7 @@
     """The state machine's state after the version `index`, the voters then and their placement's number."""
 
     index: int = 0
-    epoch: int = 0
+    term: int = 0
     voters: tuple[ReplicaId, ...] = ()
     state: bytes = b""
     placement_number: int = 0
@@ -41,48 +41,48 @@
 
 @attrs.frozen
 class RequestVote:
-    """A candidate asks to own the shard for an epoch; `trial` asks without any effect (pre-vote)."""
+    """A candidate asks to lead the shard for a term; `pre_vote` asks without any effect (pre-vote)."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     last_index: int
-    last_epoch: int
-    trial: bool
+    last_term: int
+    pre_vote: bool
 
 
 @attrs.frozen
 class VoteReply:
-    """The answer to `RequestVote`; `epoch` is the voter's own, or the one asked about where granted."""
+    """The answer to `RequestVote`; `term` is the voter's own, or the one asked about where granted."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     granted: bool
-    trial: bool
+    pre_vote: bool
 
 
 @attrs.frozen
 class AppendEntries:
-    """The owner's entries after `previous_index`, its commit index, and a heartbeat when empty."""
+    """The leader's entries after `previous_index`, its commit index, and a heartbeat when empty."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     previous_index: int
-    previous_epoch: int
+    previous_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    round: int  # rises with each heartbeat; echoed by replies to confirm the ownership
+    round: int  # rises with each heartbeat; echoed by replies to confirm the leadership
 
 
 @attrs.frozen
 class AppendReply:
-    """`match_index` is what is on the replica's disk where accepted, else where the owner should try next."""
+    """`match_index`: on the replica's disk where accepted, else where the leader should go on."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     accepted: bool
     match_index: int
     round: int
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class SnapshotChunk:
-    """Part of a snapshot in place of entries that the owner no longer keeps; answered by `SnapshotReply`.
+    """Part of a snapshot in place of entries that the leader no longer keeps; answered by `SnapshotReply`.
 
     `snapshot` is without its state; `size` and `digest` are those of the whole state.  A replica that needs
     no more of it, and one that has installed it, answers by `AppendReply`.
@@ -98,7 +98,7 @@
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     snapshot: Snapshot
     size: int
     digest: bytes
@@ -113,7 +113,7 @@
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     digest: bytes
     received: int
     round: int
@@ -121,30 +121,30 @@
 
 @attrs.frozen
 class TransferLeadership:
-    """The owner, about to leave, asks the receiver to become a candidate at once."""
+    """The leader, about to leave, asks the receiver to become a candidate at once."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
 
 
 @attrs.frozen
 class ReadIndexRequest:
-    """A follower asks its owner up to where the shard is committed; `ticket` comes back with the answer."""
+    """A follower asks its leader up to where the shard is committed; `ticket` comes back with the answer."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     ticket: int
 
 
 @attrs.frozen
 class ReadIndexReply:
-    """`index` was committed when the request came, by an owner that a majority confirmed after that."""
+    """`index` was committed when the request came, by a leader that a majority confirmed after that."""
 
     shard: ShardId
     sender: ReplicaId
-    epoch: int
+    term: int
     ticket: int
     index: int
 
@@ -167,12 +167,12 @@
     """One write of a replica; a disk's records, replayed in order, give `DurableState`.
 
     `entries` replace everything from `entries[0].index` on.  A `snapshot` replaces everything up to its
-    index.  `epoch` and `voted_for` hold always.
+    index.  `term` and `voted_for` hold always.
     """
 
     shard: ShardId
     replica: ReplicaId
-    epoch: int
+    term: int
     voted_for: ReplicaId
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
@@ -182,7 +182,7 @@
 class DurableState:
     """What a replica begins with: all of it is on its disk."""
 
-    epoch: int = 0
+    term: int = 0
     voted_for: ReplicaId = ""
     snapshot: Snapshot = attrs.field(factory=Snapshot)
     entries: list[Entry] = attrs.field(factory=list)
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -1,8 +1,9 @@
-"""Where a shard should live: the voters and learners wished for, and the owner's steps towards them.
+"""Where a shard should live: the voters and learners wished for, and the leader's steps towards them.
 
-Invariant: one change of the group is under way at most, and none before this epoch has committed an
-entry; while a handover runs, the group stands still.  No step is taken towards a placement with a lower
-number than the log has seen, and none towards a target that another ownership decided by itself.
+Invariant: one change of the group is under way at most, and none before this term has committed an
+entry; while a leadership transfer runs, the group stands still.  No step is taken towards a placement
+with a lower number than the log has seen, and none towards a target that the leader of another term
+decided by itself.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 @attrs.frozen
 class Target:
-    """The voters wished for: by the placement `number`, or by the owner of the one epoch named."""
+    """The voters wished for: by the placement `number`, or by the leader of the one term named."""
 
     voters: Voters = ()
     number: int = 0
-    epoch: int | None = None
+    term: int | None = None
 
 
 class Placement:
-    """The wishes outlive an ownership; the handover doesn't."""
+    """The wishes outlive a leadership; the leadership transfer doesn't."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._target = Target()
@@ -48,22 +49,22 @@
 
     def may_follow(self, target: Target) -> bool:
         """Whether the group may take steps towards a target: the fence against late placements."""
-        if target.epoch is not None and target.epoch != self._state.epoch:
+        if target.term is not None and target.term != self._state.term:
             return False
         return target.number >= self._state.log.placement_number
 
     @property
     def is_transferring(self) -> bool:
-        """Whether the ownership is being handed over."""
+        """Whether the leadership is being handed over."""
         return self._transfer is not None
 
     def reset(self) -> None:
-        """The ownership is over, and any handover with it."""
+        """The leadership is over, and any leadership transfer with it."""
         self._transfer = None
         self._leaving = set()
         self._departed = {}
 
-    def follow_group(self, owner: LeaderState, now: float) -> None:
+    def follow_group(self, leader: LeaderState, now: float) -> None:
         """Replicates to the group, to those who are to join, and for a while to who left.
 
         Who leaves gets the entry that says so only once that is committed: one that held it earlier would
@@ -76,58 +77,58 @@
         self._departed.update((gone, until) for gone in self._leaving - leaving)
         self._leaving = leaving
         wanted = (*state.voters, *self.target, *self.learners, *self._departed)
-        owner.follow(identity for identity in wanted if identity not in leaving)
+        leader.follow(identity for identity in wanted if identity not in leaving)
 
-    def begin_transfer(self, owner: LeaderState, candidates: Voters, now: float) -> None:
-        """Begins a handover to one of the candidates, unless one runs."""
+    def begin_transfer(self, leader: LeaderState, candidates: Voters, now: float) -> None:
+        """Begins a leadership transfer to one of the candidates, unless one runs."""
         if self._transfer is None and candidates:
             self._transfer = LeadershipTransfer(now, candidates)
-            self._transfer.proceed(self._state, owner, now)
+            self._transfer.proceed(self._state, leader, now)
 
-    def tick(self, owner: LeaderState, now: float) -> bool:
-        """Goes on with what is under way; whether this replica may own on.
+    def tick(self, leader: LeaderState, now: float) -> bool:
+        """Goes on with what is under way; whether this replica may go on leading.
 
-        A handover that failed is given up, and the ownership with it only where the disk stalls.
+        A leadership transfer that failed is given up, and the leadership with it only where the disk stalls.
         """
         stalls = self._state.disk_stalls(now)
         if stalls:
-            self.begin_transfer(owner, self._state.other_voters(), now)
+            self.begin_transfer(leader, self._state.other_voters(), now)
         if any(until < now for until in self._departed.values()):
             self._departed = {gone: until for gone, until in self._departed.items() if until >= now}
-            self.follow_group(owner, now)
+            self.follow_group(leader, now)
         if self._transfer is None:
-            self.step(owner, now)
+            self.step(leader, now)
         elif not self._transfer.has_failed(now, self._state):
-            self._transfer.proceed(self._state, owner, now)
+            self._transfer.proceed(self._state, leader, now)
         elif stalls:
             return False
         else:
             self._transfer = None
         return True
 
-    def step(self, owner: LeaderState, now: float) -> None:
+    def step(self, leader: LeaderState, now: float) -> None:
         """Takes the next step towards the target, once the last one is committed."""
         state = self._state
-        if not self.target or self._transfer is not None or not owner.has_committed:
+        if not self.target or self._transfer is not None or not leader.has_committed:
             return
         if state.commit_index < state.log.group_index:
             return
 
-        group = self._next_group(owner, now)
+        group = self._next_group(leader, now)
         if group is not None:
-            owner.append(EntryKind.GROUP, encode_group(group, self._target.number))
-            self.follow_group(owner, now)
+            leader.append(EntryKind.GROUP, encode_group(group, self._target.number))
+            self.follow_group(leader, now)
         elif state.identity not in self.target and set(self.target) < set(state.voters):
-            self.begin_transfer(owner, self.target, now)
+            self.begin_transfer(leader, self.target, now)
 
-    def _next_group(self, owner: LeaderState, now: float) -> Voters | None:
+    def _next_group(self, leader: LeaderState, now: float) -> Voters | None:
         """The next group; the same one anew where only its placement's number has to be noted."""
 
         def is_live(identity: ReplicaId) -> bool:
-            return owner.is_live(identity, now)
+            return leader.is_live(identity, now)
 
         def is_caught_up(identity: ReplicaId) -> bool:
-            return owner.is_caught_up(identity, now)
+            return leader.is_caught_up(identity, now)
 
         state = self._state
         group = next_group(state.voters, self.target, state.identity, is_live, is_caught_up)
@@ -136,14 +137,14 @@
             return state.voters
         return group
 
-    def is_stable(self, owner: LeaderState, now: float) -> bool:
+    def is_stable(self, leader: LeaderState, now: float) -> bool:
         """Whether no change is under way and every live voter, a majority, holds what is committed."""
         state = self._state
-        if not owner.has_committed or state.commit_index < state.log.group_index:
+        if not leader.has_committed or state.commit_index < state.log.group_index:
             return False
-        live = [voter for voter in state.voters if owner.is_live(voter, now)]
+        live = [voter for voter in state.voters if leader.is_live(voter, now)]
         if not has_quorum(state.voters, live.__contains__):
             return False
-        return all(owner.holds(voter, state.log.group_index) for voter in live) and all(
-            owner.is_caught_up(voter, now) for voter in live
+        return all(leader.holds(voter, state.log.group_index) for voter in live) and all(
+            leader.is_caught_up(voter, now) for voter in live
         )
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -1,4 +1,4 @@
-"""What the owner knows of one follower, and when each heartbeat round began.
+"""What the leader knows of one follower, and when each heartbeat round began.
 
 Invariant: a reply speaks for the moment at which its round began, never for the moment it came, so
 replies that lay in a socket while the process stood still prove nothing about now.
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -1,11 +1,11 @@
-"""Reads by index (Ongaro 2014, section 6.4), at the owner and at followers that ask it.
+"""Reads by index (Ongaro 2014, section 6.4), at the leader and at followers that ask it.
 
-The owner notes what is committed when a question comes, and answers once a majority has acknowledged a round
+The leader notes what is committed when a question comes, and answers once a majority has acknowledged a round
 begun after it.  A follower that has applied that much is as new as the shard was when it asked.
 
 Invariants: an answer counts from the moment its question was asked, by the asker's own steady clock, never
 from the moment it came; an answer counts only for a question that this process asked in this life, of the
-owner that it follows in the present epoch.
+leader that it follows in the present term.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .messages import ReplicaId
 from .progress import NEVER
 
-OWN = ""  # stands for the owner itself among those who ask
+OWN = ""  # stands for the leader itself among those who ask
 MAX_PENDING_PER_FOLLOWER = 8  # questions of one follower; more are dropped, as it asks again
 MAX_REMEMBERED_REQUESTS = 16  # questions and answers that a follower keeps; older ones prove nothing of use
 
@@ -33,7 +33,7 @@
 
 
 class PendingReads:
-    """The owner's side: questions in the order in which they came."""
+    """The leader's side: questions in the order in which they came."""
 
     def __init__(self) -> None:
         self._waiting: deque[PendingRead] = deque()
@@ -45,7 +45,7 @@
         self._waiting.append(read)
 
     def own_tickets(self) -> list[int]:
-        """The tickets of the owner's own questions that wait."""
+        """The tickets of the leader's own questions that wait."""
         return [read.ticket for read in self._waiting if read.requester == OWN]
 
     def take_ready(self, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
@@ -72,7 +72,7 @@
 
 
 class FollowerReads:
-    """The follower's side: its questions to one owner in one epoch, and what their answers prove.
+    """The follower's side: its questions to one leader in one term, and what their answers prove.
 
     Tickets begin at `first_ticket`, which rises with each life of the process, so that no answer to an
     earlier life counts in this one.
@@ -101,7 +101,7 @@
         return ticket
 
     def answered(self, ticket: int, index: int) -> None:
-        """The owner, confirmed after the question, had committed up to `index` when it came."""
+        """The leader, confirmed after the question, had committed up to `index` when it came."""
         asked_at = self._requested_at.pop(ticket, None)
         if asked_at is None:
             return
@@ -114,7 +114,7 @@
         return max(applied, default=NEVER)
 
     def forget(self) -> None:
-        """The owner or the epoch has changed: what was asked and answered counts no more."""
+        """The leader or the term has changed: what was asked and answered counts no more."""
         self.confirmed_at = NEVER
         self._last_requested_at = NEVER
         self._requested_at.clear()
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -1,12 +1,12 @@
-"""A snapshot on its way from an owner to a follower, in pieces.  Pure.
+"""A snapshot on its way from a leader to a follower, in pieces.  Pure.
 
 The sender keeps one snapshot until the follower has all of it, also where a newer one is made meanwhile, so
 that a transfer ends however fast the shard goes on.  A piece that was lost is sent again from the offset that
-the follower names; what the follower has is never sent again, by this owner or by the next one, as long as
+the follower names; what the follower has is never sent again, by this leader or by the next one, as long as
 the snapshot is the same.
 
-Invariant: a follower installs only bytes whose digest is the one that the owner gave with each piece.  Pieces
-of two snapshots are told apart by index, epoch, voters, size and digest, so they never mix.
+Invariant: a follower installs only bytes whose digest is the one that the leader gave with each chunk.
+Chunks of two snapshots are told apart by index, term, voters, size and digest, so they never mix.
 """
 
 from __future__ import annotations
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class _Incoming:
-    """Which snapshot the pieces are of, and in which epoch the last of them came."""
+    """Which snapshot the pieces are of, and in which term the last of them came."""
 
     head: Snapshot
     size: int
@@ -159,16 +159,16 @@
         self._hash.update(data)
 
     def has_digest(self, digest: bytes) -> bool:
-        """Whether these are the bytes that the owner sent."""
+        """Whether these are the bytes that the leader sent."""
         return self._hash.digest() == digest
 
 
 class SnapshotReceiver:
-    """What a replica has of a snapshot that is not whole yet; it lasts beyond the owner that sent it."""
+    """What a replica has of a snapshot that is not whole yet; it lasts beyond the leader that sent it."""
 
     def __init__(self) -> None:
         self._incoming: _Incoming | None = None
-        self._epoch = 0
+        self._term = 0
         self._bytes = HashedBytes()
 
     def take(self, piece: SnapshotChunk) -> Snapshot | None:
@@ -176,7 +176,7 @@
         if not 0 <= piece.size <= MAX_SNAPSHOT_BYTES or self._is_late(piece):
             return None
         self._begin_where_new(piece)
-        self._epoch = piece.epoch
+        self._term = piece.term
         have = len(self._bytes.state)
         if piece.offset <= have:
             self._bytes.add(piece.data[have - piece.offset :])
@@ -203,10 +203,10 @@
             self.forget()
 
     def _is_late(self, piece: SnapshotChunk) -> bool:
-        """Whether the owner has gone on to a newer snapshot since it sent this piece."""
+        """Whether the leader has gone on to a newer snapshot since it sent this piece."""
         incoming = self._incoming
         return (
-            incoming is not None and piece.epoch <= self._epoch and piece.snapshot.index < incoming.head.index
+            incoming is not None and piece.term <= self._term and piece.snapshot.index < incoming.head.index
         )
 
     def _begin_where_new(self, piece: SnapshotChunk) -> None:
@@ -221,13 +221,13 @@
 
 
 def chunk_message(
-    sender: SnapshotSender, piece: Chunk, shard: ShardId, replica: str, epoch: int, round_number: int
+    sender: SnapshotSender, piece: Chunk, shard: ShardId, replica: str, term: int, round_number: int
 ) -> SnapshotChunk:
     """The message that carries a piece."""
     return SnapshotChunk(
         shard=shard,
         sender=replica,
-        epoch=epoch,
+        term=term,
         snapshot=sender.head,
         size=sender.size,
         digest=sender.digest,
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -1,6 +1,6 @@
-"""What every role of a replica shares: its epoch, its vote, its log, its disk and its effects.
+"""What every role of a replica shares: its term, its vote, its log, its disk and its effects.
 
-Invariant: the epoch never falls, and at most one vote is given in an epoch.
+Invariant: the term never falls, and at most one vote is given in a term.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
         self.shard = shard
         self.identity = identity
         self.timing = timing
-        self.epoch = durable.epoch
+        self.term = durable.term
         self.voted_for = durable.voted_for
         self.commit_index = durable.snapshot.index
         self.log = ReplicaLog(durable)
@@ -34,7 +34,7 @@
 
     @property
     def hard_state_durable(self) -> bool:
-        """Whether the present epoch and vote are on the disk."""
+        """Whether the present term and vote are on the disk."""
         return not self._hard_state_changed and self._hard_state_ticket <= self.disk.completed
 
     @property
@@ -50,7 +50,7 @@
         return tuple(voter for voter in self.log.voters if voter != self.identity)
 
     def disk_stalls(self, now: float) -> bool:
-        """Whether a write takes so long that this replica should not own."""
+        """Whether a write takes so long that this replica should not lead."""
         return self.disk.stalled(now, self.timing.disk_stall)
 
     def send(self, receiver: ReplicaId, message: ReplicaMessage) -> None:
@@ -61,16 +61,16 @@
         """Sends once all changes up to now are on the disk."""
         self._after_write.append((receiver, message))
 
-    def raise_epoch(self, epoch: int) -> None:
-        """Enters `epoch`, with no vote given in it, if it is newer."""
-        if epoch > self.epoch:
-            self.epoch = epoch
+    def raise_term(self, term: int) -> None:
+        """Enters `term`, with no vote given in it, if it is newer."""
+        if term > self.term:
+            self.term = term
             self.voted_for = ""
             self._hard_state_changed = True
 
     def vote_for(self, candidate: ReplicaId) -> None:
-        """Gives the vote of the present epoch."""
-        assert self.voted_for in ("", candidate), "two votes in one epoch"
+        """Gives the vote of the present term."""
+        assert self.voted_for in ("", candidate), "two votes in one term"
         if self.voted_for != candidate:
             self.voted_for = candidate
             self._hard_state_changed = True
@@ -83,7 +83,7 @@
             self.incoming.forget_up_to(index)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Takes over an owner's snapshot, where it is ahead of what is committed here."""
+        """Takes over a leader's snapshot, where it is ahead of what is committed here."""
         if snapshot.index > self.commit_index:
             self.log.install(snapshot, self.commit_index)
             self.commit_index = snapshot.index
@@ -111,8 +111,8 @@
         self.log.end_write(ticket)
 
     def record(self, entries: tuple[Entry, ...], snapshot: Snapshot | None) -> DurableRecord:
-        """A record of these entries and this snapshot with the present epoch and vote."""
-        return DurableRecord(self.shard, self.identity, self.epoch, self.voted_for, entries, snapshot)
+        """A record of these entries and this snapshot with the present term and vote."""
+        return DurableRecord(self.shard, self.identity, self.term, self.voted_for, entries, snapshot)
 
     def drain_effects(self) -> Effects:
         """Drains the effects."""
--- a/kestrelbend/tier/replication/timing.py
+++ b/kestrelbend/tier/replication/timing.py
@@ -10,22 +10,22 @@
     """Spans in seconds and sizes in bytes; all replicas of a shard hold the same.
 
     `sticky` is below `election_timeout` by more than a heartbeat, so that voters no longer hold on to an
-    owner when the first of them campaigns.
+    leader when the first of them campaigns.
     """
 
-    heartbeat: float = 0.1  # between two rounds of the owner
-    election_timeout: float = 0.45  # without contact, until the first voter campaigns or an owner gives up
-    first_pre_vote: float = 0.1  # from the start of a process until its first trial: it heard nobody yet
+    heartbeat: float = 0.1  # between two rounds of the leader
+    election_timeout: float = 0.45  # without contact, until the first voter campaigns or a leader gives up
+    first_pre_vote: float = 0.1  # from the start of a process until its first pre-vote: it heard nobody yet
     rank_step: float = 0.12  # later for each place in the group
     jitter: float = 0.03  # at most, so that no two voters campaign at one moment for ever
-    sticky: float = 0.3  # a voter that heard an owner this recently refuses a trial
-    pre_vote_interval: float = 0.15  # between two trials of one candidate
-    pre_vote_backoff: float = 0.25  # that a voter which granted a trial holds back its own, once
-    reply_timeout: float = 0.3  # without a reply, until the owner sends heartbeats alone
+    sticky: float = 0.3  # a voter that heard a leader this recently refuses a pre-vote
+    pre_vote_interval: float = 0.15  # between two pre-votes of one candidate
+    pre_vote_backoff: float = 0.25  # that a voter which granted a pre-vote holds back its own, once
+    reply_timeout: float = 0.3  # without a reply, until the leader sends heartbeats alone
     read_index_interval: float = 0.2  # between two questions of a follower that watches its currency
     snapshot_retry: float = 1.0  # until a first piece of a snapshot counts as lost
     disk_stall: float = 0.8  # that a write may take before the disk counts as stalled
-    transfer_timeout: float = 1.0  # that a handover may take
+    transfer_timeout: float = 1.0  # that a leadership transfer may take
     departure: float = 2.0  # that a replica which left the group still gets entries, to learn of it
     append_bytes: int = 256 * 1024  # in one AppendEntries, unless one entry is larger
     window_bytes: int = 256 * 1024  # under way to one follower, unless one entry is larger
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -182,7 +182,7 @@
         self.spawn(answer())
 
     async def _decide(self, order: ConfigOrder) -> ConfigOutcome:
-        if not self.configuration.replica.is_owner:
+        if not self.configuration.replica.is_leader:
             return NOT_OWNER
         return await self.configuration.decide(order, FORWARD_TIMEOUT_S)
 
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -317,8 +317,8 @@
                 ShardReport(
                     shard=shard,
                     replica=self.replica_id,
-                    epoch=replica.epoch,
-                    owner=replica.owner,
+                    epoch=replica.term,
+                    owner=replica.leader,
                     voters=tuple(replica.voters),
                     applied_index=replica.applied_index,
                     commit_index=replica.commit_index,
@@ -348,7 +348,7 @@
         if self.host is None:
             return []
         shards = [shard for shard in self.host.shards() if shard != CONFIGURATION_SHARD]
-        return [shard for shard in shards if self.host.replica(shard).is_owner]
+        return [shard for shard in shards if self.host.replica(shard).is_leader]
 
     def heartbeat(self) -> Heartbeat:
         """What this process tells the control nodes that it chose."""
@@ -417,7 +417,7 @@
             await asyncio.sleep(TICK_S)
 
     def _owns_any(self) -> bool:
-        return any(self.host.replica(shard).is_owner for shard in self.host.shards())
+        return any(self.host.replica(shard).is_leader for shard in self.host.shards())
 
     def _must_not_end(self, task: asyncio.Task) -> None:
         """A loop that ends is a broken invariant: the process must not go on without it."""
--- a/tests/tier/budget_fleet.py
+++ b/tests/tier/budget_fleet.py
@@ -35,15 +35,15 @@
     waiting: dict[int, Callable[[object], None]] = attrs.field(factory=dict)
 
     @property
-    def owner(self) -> str:
+    def leader(self) -> str:
         return f"{self.fleet.owner}#first"
 
     @property
-    def is_owner(self) -> bool:
+    def is_leader(self) -> bool:
         return self.fleet.owner == self.address
 
     @property
-    def epoch(self) -> int:
+    def term(self) -> int:
         return self.fleet.epoch
 
     def replica(self, shard: str) -> _Host:
@@ -53,9 +53,9 @@
         pass
 
     def propose(self, shard: str, command: bytes, done: Callable[[object], None], now: float) -> bool:
-        if self.is_owner:
+        if self.is_leader:
             self.waiting[self.fleet.propose(command)] = done
-        return self.is_owner
+        return self.is_leader
 
     def apply(self, index: int, command: bytes) -> None:
         outcomes = self.machine.apply(command)
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -26,24 +26,24 @@
         self.history = []
         self.committed_in = []
         self.group = founders
-        self._owners = {}
+        self._leaders = {}
 
     def owns(self, replica):
-        owner = self._owners.setdefault(replica.epoch, replica.identity)
-        assert owner == replica.identity, f"two owners of epoch {replica.epoch}"
+        leader = self._leaders.setdefault(replica.term, replica.identity)
+        assert leader == replica.identity, f"two owners of epoch {replica.term}"
         held = replica.durable_record()
         entries = {entry.index: entry for entry in held.entries}
-        for entry, epoch in zip(self.history, self.committed_in, strict=True):
-            if held.snapshot.index < entry.index and epoch < replica.epoch:
+        for entry, term in zip(self.history, self.committed_in, strict=True):
+            if held.snapshot.index < entry.index and term < replica.term:
                 assert entries.get(entry.index) == entry, f"the owner lacks committed {entry}"
 
-    def applied(self, entry, epoch):
+    def applied(self, entry, term):
         if entry.index <= len(self.history):
             assert self.history[entry.index - 1] == entry, f"two histories at {entry.index}"
             return
         assert entry.index == len(self.history) + 1, f"{entry} leaves a gap"
         self.history.append(entry)
-        self.committed_in.append(epoch)
+        self.committed_in.append(term)
         if entry.kind == EntryKind.GROUP:
             group = decode_group(entry.data)
             assert len(set(group) ^ set(self.group)) <= 1, f"{self.group} to {group} in one step"
@@ -196,21 +196,21 @@
 
     # What is asked of replicas
 
-    def owner(self):
+    def leader(self):
         """The owner that is in touch with a majority, if there is one."""
-        owners = [node for node in self.nodes.values() if node.up and node.replica.is_owner]
-        owners = [node for node in owners if node.replica.in_touch(self.now)]
-        return max(owners, key=lambda node: node.replica.epoch, default=None)
+        leaders = [node for node in self.nodes.values() if node.up and node.replica.is_leader]
+        leaders = [node for node in leaders if node.replica.in_touch(self.now)]
+        return max(leaders, key=lambda node: node.replica.term, default=None)
 
     def propose(self, command, node=None):
-        node = node or self.owner()
+        node = node or self.leader()
         index = node.replica.propose(command, self.now) if node else None
         if node:
             self._work(node)
         return index
 
     def confirm(self, node=None):
-        node = node or self.owner()
+        node = node or self.leader()
         ticket = node.replica.confirm(self.now) if node else None
         if ticket is not None:
             node.reads[ticket] = len(self.promises.history)
@@ -218,7 +218,7 @@
         return ticket
 
     def transfer(self):
-        node = self.owner()
+        node = self.leader()
         node.replica.transfer(self.now)
         self._work(node)
 
@@ -237,10 +237,10 @@
 
     def group_is(self, names):
         """Whether an owner has exactly these voters, all of it committed, and lives."""
-        owner = self.owner()
+        leader = self.leader()
         wanted = {self.nodes[name].identity for name in names}
-        return owner is not None and set(owner.replica.committed_voters) == wanted == set(
-            owner.replica.voters
+        return leader is not None and set(leader.replica.committed_voters) == wanted == set(
+            leader.replica.voters
         )
 
     def compact(self, name):
@@ -307,7 +307,7 @@
 
     def _work(self, node):
         effects = node.replica.take()
-        if effects.leadership_changed and node.replica.is_owner:
+        if effects.leadership_changed and node.replica.is_leader:
             self.promises.owns(node.replica)
         for ticket, record in effects.writes:
             node.unsynced.append((ticket, record))
@@ -326,7 +326,7 @@
         for entry in effects.applied:
             assert entry.index == node.applied_index + 1, f"{node.name} applies {entry} out of order"
             node.applied_index = entry.index
-            self.promises.applied(entry, node.replica.epoch)
+            self.promises.applied(entry, node.replica.term)
             if entry.kind == EntryKind.COMMAND:
                 node.commands.append(entry.data)
         if effects.applied or effects.restore is not None:
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -253,7 +253,7 @@
         super().setUp()
         self.now = 1000.0
         self.entries = []
-        self.epoch = 1
+        self.term = 1
         self.service = BudgetShards()
         self.service.attach(self, lambda: self.now)
 
@@ -281,7 +281,7 @@
     def test_given_a_new_epoch_when_this_process_owns_again_then_the_time_between_is_left_out(self):
         self.ask()
         self.now += 30.0
-        self.epoch = 3
+        self.term = 3
         self.ask()
         self.now += 2.0
         self.ask()
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -26,12 +26,12 @@
         process.instance.host for role in ("control", "store") for process in world.fleet.processes(role)
     ]
     replicas = [host.replica(shard) for host in hosts]
-    return [replica for replica in replicas if replica is not None and replica.is_owner]
+    return [replica for replica in replicas if replica is not None and replica.is_leader]
 
 
 def holders(world, shard):
     """The voters as the newest owner has them."""
-    return max(owners(world, shard), key=lambda replica: replica.epoch).voters
+    return max(owners(world, shard), key=lambda replica: replica.term).voters
 
 
 def bears_a_loss(world):
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -84,7 +84,7 @@
             sent_at.append(path.now)
             path.writers[0].add(encode(TransferLeadership("s", "a", len(sent_at))))
         path.run(path.now + 1.0)
-        arrived_at = {m.epoch: at for at, _, m in path.arrived if isinstance(m, TransferLeadership)}
+        arrived_at = {m.term: at for at, _, m in path.arrived if isinstance(m, TransferLeadership)}
         waits = [arrived_at[number] - at for number, at in enumerate(sent_at, 1)]
         self.assertLess(max(waits), 0.1)
         (whole_at,) = [at for at, _, message in path.arrived if isinstance(message, AppendEntries)]
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -346,10 +346,10 @@
     def test_a_question_of_another_epoch_is_not_answered(self):
         cluster = Cluster()
         cluster.run(1.0)
-        owner = cluster.owner().replica
-        requester = next(node for node in cluster.nodes.values() if node.replica is not owner)
-        for ticket, epoch in ((1, owner.epoch - 1), (2, owner.epoch + 1), (3, owner.epoch)):
-            owner.receive(ReadIndexRequest(SHARD, requester.identity, epoch, ticket), cluster.now)
+        leader = cluster.leader().replica
+        requester = next(node for node in cluster.nodes.values() if node.replica is not leader)
+        for ticket, term in ((1, leader.term - 1), (2, leader.term + 1), (3, leader.term)):
+            leader.receive(ReadIndexRequest(SHARD, requester.identity, term, ticket), cluster.now)
         cluster.run(0.5)
         replies = [message for _, _, message in cluster.sent if isinstance(message, ReadIndexReply)]
         self.assertEqual([3], [reply.ticket for reply in replies])
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -236,8 +236,8 @@
         self._machine = machine
         self.pending = []
         self.owns = True
-        self.is_owner = True
-        self.owner = ""
+        self.is_leader = True
+        self.leader = ""
 
     def replica(self, shard):
         return self
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -54,7 +54,7 @@
             shard=SHARD,
             identity="c#1",
             founders=(),
-            durable=DurableState(epoch=1, entries=entries),
+            durable=DurableState(term=1, entries=entries),
             timing=Timing(),
             now=10.0,
         )
@@ -114,7 +114,7 @@
     def test_given_answers_of_another_owner_epoch_or_life_then_they_prove_nothing(self):
         self.given_a_replica_far_behind()
         question = self.ask(10.02)
-        for changes in ({"sender": "b#1"}, {"epoch": 2}, {"epoch": 0}, {"ticket": question.ticket + 1}):
+        for changes in ({"sender": "b#1"}, {"term": 2}, {"term": 0}, {"ticket": question.ticket + 1}):
             self.answer(question, 0, 10.1, **changes)
         self.assertEqual(NEVER, self.replica.confirmed_at)
 
@@ -125,7 +125,7 @@
         self.replica.receive(AppendEntries(SHARD, "b#1", 2, 400, 1, (), 400, 1), 10.1)
         self.assertEqual((False, False), self.standing(10.1))
         self.answer(question, 0, 10.12)
-        self.answer(question, 0, 10.12, sender="b#1", epoch=2)
+        self.answer(question, 0, 10.12, sender="b#1", term=2)
         self.assertEqual((False, False), self.standing(10.12))
 
 
@@ -141,7 +141,7 @@
         cluster.lose_power("a")
         for name in "bc":
             cluster.nodes[name].disk_delay = 0.5
-        self.assertTrue(cluster.run_until(lambda: cluster.nodes["b"].replica.is_owner, 2.5))
+        self.assertTrue(cluster.run_until(lambda: cluster.nodes["b"].replica.is_leader, 2.5))
         cluster.run(0.2)
         self.assertEqual((True, False), standing(cluster, "b"))
         self.assertEqual((False, False), standing(cluster, "c"))
@@ -246,7 +246,7 @@
         name = cluster.random.choice("abc")
         chance = cluster.random.random()
         node = cluster.nodes[name]
-        if step % 3 == 0 and cluster.owner():
+        if step % 3 == 0 and cluster.leader():
             cluster.propose(b"%d" % step)
         if chance < 0.01 and node.up and sum(other.up for other in cluster.nodes.values()) == 3:
             cluster.random.choice((cluster.lose_power, cluster.freeze, cluster.isolate))(name)
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -137,7 +137,7 @@
     def work(self, name):
         replica = self.replicas[name]
         effects = replica.take()
-        if effects.leadership_changed and replica.is_owner:
+        if effects.leadership_changed and replica.is_leader:
             self.promises.owns(replica)
         for write in effects.writes:
             self.unsynced[name].append(write)
@@ -147,7 +147,7 @@
         for entry in effects.applied:
             assert entry.index == self.applied[name] + 1, "applied out of order"
             self.applied[name] = entry.index
-            self.promises.applied(entry, replica.epoch)
+            self.promises.applied(entry, replica.term)
 
     def calm(self):
         """No fault comes any more: a further command must be committed, after all those before it."""
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -22,12 +22,12 @@
 GROUP = ("a", "b", "c")
 
 
-def entry(index, epoch, data=b""):
-    return Entry(index, epoch, EntryKind.COMMAND, data)
+def entry(index, term, data=b""):
+    return Entry(index, term, EntryKind.COMMAND, data)
 
 
-def record(*entries, epoch=1, snapshot=None):
-    return DurableRecord(SHARD, "a", epoch, "", entries, snapshot)
+def record(*entries, term=1, snapshot=None):
+    return DurableRecord(SHARD, "a", term, "", entries, snapshot)
 
 
 def voter(**durable):
@@ -71,18 +71,18 @@
 
     def test_entries_behind_another_ones_place_go(self):
         old = record(entry(1, 1), entry(2, 1), entry(3, 4))
-        state = replay([old, record(epoch=5, snapshot=Snapshot(2, 3, GROUP))])
-        self.assertEqual(([], 5), (state.entries, state.epoch))
+        state = replay([old, record(term=5, snapshot=Snapshot(2, 3, GROUP))])
+        self.assertEqual(([], 5), (state.entries, state.term))
 
     def test_entries_replace_what_the_disk_held_from_their_first_on(self):
-        state = replay([record(entry(1, 1), entry(2, 1), entry(3, 1)), record(entry(2, 2), epoch=2)])
+        state = replay([record(entry(1, 1), entry(2, 1), entry(3, 1)), record(entry(2, 2), term=2)])
         self.assertEqual([entry(1, 1), entry(2, 2)], state.entries)
 
 
 class GroupSteps(testtools.TestCase):
-    def step(self, voters, target, owner="a", dead="", behind=""):
+    def step(self, voters, target, leader="a", dead="", behind=""):
         group = next_group(
-            tuple(voters), tuple(target), owner, lambda one: one not in dead, lambda one: one not in behind
+            tuple(voters), tuple(target), leader, lambda one: one not in dead, lambda one: one not in behind
         )
         return group and "".join(group)
 
@@ -105,7 +105,7 @@
 
 
 class VoteRule(testtools.TestCase):
-    request = RequestVote(SHARD, "b", 1, 0, 0, trial=False)
+    request = RequestVote(SHARD, "b", 1, 0, 0, pre_vote=False)
 
     def test_a_vote_asked_for_twice_is_given_twice_and_holds_nothing_up(self):
         replica = voter()
@@ -113,7 +113,7 @@
         for _ in range(2):
             replica.receive(self.request, 0.1)
             replies += write(replica, 0.1)
-        self.assertEqual([("b", VoteReply(SHARD, "a", 1, True, trial=False))] * 2, replies)
+        self.assertEqual([("b", VoteReply(SHARD, "a", 1, True, pre_vote=False))] * 2, replies)
         replica.tick(0.4)
         replica.tick(0.7)
         self.assertEqual(["b", "c"], [receiver for receiver, _ in write(replica, 0.7)])
@@ -127,35 +127,35 @@
 
     def test_a_shorter_log_gets_no_vote(self):
         replica = voter(entries=[entry(1, 1)])
-        replica.receive(attrs.evolve(self.request, epoch=2), 0.1)
+        replica.receive(attrs.evolve(self.request, term=2), 0.1)
         self.assertEqual([False], [reply.granted for _, reply in write(replica, 0.1)])
 
 
 class CommitRule(testtools.TestCase):
     def candidate(self):
         """A candidate for epoch 3 whose log ends with an uncommitted entry of epoch 2."""
-        replica = voter(epoch=2, voted_for="a", entries=[entry(1, 1), entry(2, 2)])
+        replica = voter(term=2, voted_for="a", entries=[entry(1, 1), entry(2, 2)])
         replica.tick(0.3)
         replica.tick(0.6)
-        replica.receive(VoteReply(SHARD, "b", 3, True, trial=True), 0.6)
+        replica.receive(VoteReply(SHARD, "b", 3, True, pre_vote=True), 0.6)
         write(replica, 0.6)
         return replica
 
-    def owner(self):
+    def leader(self):
         replica = self.candidate()
-        replica.receive(VoteReply(SHARD, "b", 3, True, trial=False), 0.6)
+        replica.receive(VoteReply(SHARD, "b", 3, True, pre_vote=False), 0.6)
         write(replica, 0.6)
         return replica
 
     def test_an_older_epochs_entry_is_not_committed_by_counting(self):
-        replica = self.owner()
+        replica = self.leader()
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 0.6)
         self.assertEqual(0, replica.commit_index)
         replica.receive(AppendReply(SHARD, "b", 3, True, 3, 1), 0.6)
         self.assertEqual(3, replica.commit_index)
 
     def test_the_group_stands_until_the_epoch_has_committed(self):
-        replica = self.owner()
+        replica = self.leader()
         replica.set_target(("a", "b"))
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 0.6)
         replica.tick(0.62)
@@ -165,17 +165,17 @@
 
     def test_a_candidate_that_stood_still_does_not_own_by_old_votes(self):
         replica = self.candidate()
-        replica.receive(VoteReply(SHARD, "b", 3, True, trial=False), 5.0)
-        self.assertFalse(replica.is_owner)
+        replica.receive(VoteReply(SHARD, "b", 3, True, pre_vote=False), 5.0)
+        self.assertFalse(replica.is_leader)
 
     def test_a_reply_speaks_for_the_moment_its_round_began(self):
-        replica = self.owner()
+        replica = self.leader()
         replica.tick(0.9)
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 1.2)
         self.assertFalse(replica.in_touch(1.2))
 
     def test_a_read_waits_for_an_entry_of_the_epoch(self):
-        replica = self.owner()
+        replica = self.leader()
         ticket = replica.confirm(0.6)
         replica.take()
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 2), 0.6)
@@ -184,11 +184,11 @@
         self.assertEqual([ticket], replica.take().confirmed)
 
     def test_late_and_foreign_messages_change_nothing(self):
-        replica = self.owner()
+        replica = self.leader()
         before = replica.durable_record()
         replica.receive(AppendEntries(SHARD, "b", 2, 0, 0, (entry(1, 2),), 1, 9), 0.6)
         replica.receive(AppendEntries("budget-1", "b", 9, 0, 0, (entry(1, 9),), 1, 9), 0.6)
         replica.receive(AppendReply(SHARD, "b", 2, True, 3, 1), 0.6)
         replica.receive(AppendReply(SHARD, "stranger", 3, True, 3, 1), 0.6)
         self.assertEqual((before, 0), (replica.durable_record(), replica.commit_index))
-        self.assertTrue(replica.is_owner)
+        self.assertTrue(replica.is_leader)
--- a/tests/tier/test_replication_placement.py
+++ b/tests/tier/test_replication_placement.py
@@ -21,7 +21,7 @@
 
     def given(self, names="abc", others="", **rest):
         cluster = Cluster(names, others, **rest)
-        cluster.run_until(lambda: cluster.owner() is not None, within=2.0)
+        cluster.run_until(lambda: cluster.leader() is not None, within=2.0)
         self.write(cluster, b"before")
         return cluster
 
@@ -51,11 +51,11 @@
         cluster.lose_power("a", "b", "d")
         for name in "abd":
             cluster.start(name)
-        cluster.run_until(lambda: cluster.owner() is not None, within=2.0)
+        cluster.run_until(lambda: cluster.leader() is not None, within=2.0)
         cluster.aim("abc", number=1)
         cluster.run(3.0)
         self.assertTrue(cluster.group_is("abd"))
-        self.assertEqual(2, cluster.owner().replica.committed_placement_number)
+        self.assertEqual(2, cluster.leader().replica.committed_placement_number)
 
     def test_given_an_owner_that_knows_a_later_placement_when_an_old_one_comes_then_it_is_not_followed(self):
         cluster = self.moved()
@@ -76,7 +76,7 @@
         cluster.lose_power("a", "b", "d")
         for name in "abd":
             cluster.start(name)
-        cluster.run_until(lambda: cluster.owner() is not None, within=2.0)
+        cluster.run_until(lambda: cluster.leader() is not None, within=2.0)
         cluster.aim("abc", number=1)
         cluster.run(3.0)
         self.assertTrue(cluster.group_is("abd"))
@@ -99,19 +99,19 @@
         cluster.run(2.0)
         groups = [entry for entry in cluster.promises.history if entry.kind == EntryKind.GROUP]
         self.assertEqual([1], [decode_placement_number(entry.data) for entry in groups])
-        self.assertEqual(1, cluster.owner().replica.committed_placement_number)
+        self.assertEqual(1, cluster.leader().replica.committed_placement_number)
 
     def test_given_a_target_of_a_former_ownership_when_it_owns_again_then_it_is_not_followed(self):
         cluster = self.given(others="d")
-        first = cluster.owner()
+        first = cluster.leader()
         cluster.isolate(first.name)
-        cluster.aims(first, "abd", epoch=first.replica.epoch)
+        cluster.aims(first, "abd", term=first.replica.term)
         cluster.run(1.5)
-        self.assertNotEqual(first, cluster.owner())
+        self.assertNotEqual(first, cluster.leader())
         cluster.join()
         cluster.run(0.5)
         cluster.transfer()
-        self.assertTrue(cluster.run_until(lambda: cluster.owner() is first, within=3.0))
+        self.assertTrue(cluster.run_until(lambda: cluster.leader() is first, within=3.0))
         cluster.run(2.0)
         self.assertTrue(cluster.group_is("abc"))
 
@@ -139,8 +139,8 @@
         cluster.lose_power("g")
         cluster.aim("abcfg")
         cluster.run(CATCHUP_S)
-        owner = cluster.owner()
-        cluster.lose_power(next(name for name in "abc" if name != owner.name))
+        leader = cluster.leader()
+        cluster.lose_power(next(name for name in "abc" if name != leader.name))
         self.write(cluster, b"with the third lost after one was replaced")
 
     def test_given_live_ones_to_be_replaced_then_the_group_is_never_larger_by_two(self):
@@ -201,7 +201,7 @@
                 cluster = self.given("abc", others="xy")
                 cluster.aim("xyc", number=1)
                 cluster.run(tick * TICK)
-                if cluster.owner() is not None:
+                if cluster.leader() is not None:
                     cluster.transfer()
                 done = cluster.run_until(lambda c=cluster: c.group_is("xyc"), within=CATCHUP_S)
                 self.assertTrue(done, cluster.promises.group)
@@ -210,11 +210,11 @@
         for tick in range(0, 40):
             with _Named(f"the owner lost after {tick} ticks"):
                 cluster = self.given("abc", others="x")
-                owner = cluster.owner().name
-                rest = "abc".replace(owner, "") + "x"
+                leader = cluster.leader().name
+                rest = "abc".replace(leader, "") + "x"
                 cluster.aim(rest, number=1)
                 cluster.run(tick * TICK)
-                cluster.lose_power(owner)
+                cluster.lose_power(leader)
                 self.write(cluster, b"after", within=2.0)
                 done = cluster.run_until(lambda c=cluster, r=rest: c.group_is(r), within=CATCHUP_S)
                 self.assertTrue(done, cluster.promises.group)
@@ -223,7 +223,7 @@
         for lagging in "abx":
             with _Named(f"{lagging} on a slow disk"):
                 cluster = self.given("abc", others="x")
-                leaving = cluster.owner().name
+                leaving = cluster.leader().name
                 cluster.nodes[lagging].disk_delay = 0.2
                 target = "".join(sorted("abcx".replace(leaving, "")))
                 cluster.aim(target, number=1)
@@ -235,7 +235,7 @@
                     cluster.run_until(lambda c=cluster, t=target: c.group_is(t), within=CATCHUP_S)
                 )
                 settled = cluster.run_until(
-                    lambda c=cluster: c.owner().replica.is_stable(c.now), within=CATCHUP_S
+                    lambda c=cluster: c.leader().replica.is_stable(c.now), within=CATCHUP_S
                 )
                 self.assertTrue(settled)
                 cluster.wipe(leaving)
@@ -251,7 +251,7 @@
                 cluster.aim(wished[number], number=number)
                 cluster.run(0.04)
             self.assertTrue(cluster.run_until(lambda c=cluster: c.group_is("axy"), within=CATCHUP_S))
-            self.assertEqual(2, cluster.owner().replica.committed_placement_number)
+            self.assertEqual(2, cluster.leader().replica.committed_placement_number)
 
     def test_given_a_learner_that_is_dropped_and_named_again_then_it_catches_up(self):
         cluster = self.given("abc", others="x")
@@ -269,15 +269,15 @@
 class TestOneStepAtATime(PlacementStory):
     def test_given_an_owner_that_reaches_its_learners_alone_then_two_steps_do_not_outvote_the_others(self):
         cluster = self.given("abc", others="xy")
-        owner = cluster.owner()
-        owner.replica.set_learners((cluster.nodes["x"].identity, cluster.nodes["y"].identity))
+        leader = cluster.leader()
+        leader.replica.set_learners((cluster.nodes["x"].identity, cluster.nodes["y"].identity))
         cluster.run(0.5)
-        others = "abc".replace(owner.name, "")
+        others = "abc".replace(leader.name, "")
         for other in others:
-            cluster.cut(owner.name, other)
-            cluster.cut(other, owner.name)
-        cluster.aims(owner, "abcxy")
-        cluster.propose(b"on the smaller side", owner)
+            cluster.cut(leader.name, other)
+            cluster.cut(other, leader.name)
+        cluster.aims(leader, "abcxy")
+        cluster.propose(b"on the smaller side", leader)
         cluster.run(1.5)
         self.assertFalse(cluster.committed(b"on the smaller side"))
         self.write(cluster, b"on the larger side")
@@ -290,46 +290,48 @@
 
     def test_given_a_change_that_is_not_committed_then_the_group_before_is_told_and_it_is_not_settled(self):
         cluster = self.given("abc", others="x")
-        owner = cluster.owner()
+        leader = cluster.leader()
         cluster.run(0.6)
-        self.assertTrue(owner.replica.is_stable(cluster.now))
-        for other in "abc".replace(owner.name, ""):
+        self.assertTrue(leader.replica.is_stable(cluster.now))
+        for other in "abc".replace(leader.name, ""):
             cluster.stall_disk(other)
         cluster.aim("abx", number=1)
-        cluster.run_until(lambda: len(owner.replica.voters) == 4, within=1.0)
-        self.assertEqual(4, len(owner.replica.voters))
-        self.assertEqual((cluster.founders, 0), self.told(owner))
-        self.assertFalse(owner.replica.is_stable(cluster.now))
-        for other in "abc".replace(owner.name, ""):
+        cluster.run_until(lambda: len(leader.replica.voters) == 4, within=1.0)
+        self.assertEqual(4, len(leader.replica.voters))
+        self.assertEqual((cluster.founders, 0), self.told(leader))
+        self.assertFalse(leader.replica.is_stable(cluster.now))
+        for other in "abc".replace(leader.name, ""):
             cluster.mend_disk(other)
-        self.assertTrue(cluster.run_until(lambda: cluster.owner().replica.is_stable(cluster.now), within=2.0))
+        self.assertTrue(
+            cluster.run_until(lambda: cluster.leader().replica.is_stable(cluster.now), within=2.0)
+        )
 
     def told(self, node):
         return node.replica.committed_voters, node.replica.committed_placement_number
 
     def test_given_a_live_voter_whose_disk_lags_then_the_group_is_not_settled_until_it_has_caught_up(self):
         cluster = self.given("abc")
-        owner = cluster.owner()
-        lagging = next(name for name in "abc" if name != owner.name)
+        leader = cluster.leader()
+        lagging = next(name for name in "abc" if name != leader.name)
         cluster.stall_disk(lagging)
         self.write(cluster, b"that one lacks this")
         cluster.run(0.7)
-        self.assertFalse(owner.replica.is_stable(cluster.now))
+        self.assertFalse(leader.replica.is_stable(cluster.now))
         cluster.mend_disk(lagging)
-        self.assertTrue(cluster.run_until(lambda: owner.replica.is_stable(cluster.now), within=1.0))
+        self.assertTrue(cluster.run_until(lambda: leader.replica.is_stable(cluster.now), within=1.0))
 
     def test_given_a_voter_that_is_down_then_the_others_are_settled_and_without_a_majority_nobody_is(self):
         cluster = self.given("abc")
-        owner = cluster.owner()
-        first, second = (name for name in "abc" if name != owner.name)
+        leader = cluster.leader()
+        first, second = (name for name in "abc" if name != leader.name)
         cluster.lose_power(first)
         self.write(cluster, b"one is down")
         cluster.run(0.7)
-        self.assertTrue(owner.replica.is_stable(cluster.now))
+        self.assertTrue(leader.replica.is_stable(cluster.now))
         self.assertFalse(cluster.nodes[second].replica.is_stable(cluster.now))
         cluster.lose_power(second)
         cluster.run(0.7)
-        self.assertFalse(owner.replica.is_stable(cluster.now))
+        self.assertFalse(leader.replica.is_stable(cluster.now))
 
 
 class TestTimeUntilALossIsBorneAgain(PlacementStory):
@@ -352,10 +354,10 @@
 
         def is_complete():
             cluster.propose(b"load")
-            owner = cluster.owner()
-            if owner is None or not cluster.group_is(target) or not owner.replica.is_stable(cluster.now):
+            leader = cluster.leader()
+            if leader is None or not cluster.group_is(target) or not leader.replica.is_stable(cluster.now):
                 return False
-            return all(cluster.nodes[name].applied_index >= owner.applied_index - 50 for name in target)
+            return all(cluster.nodes[name].applied_index >= leader.applied_index - 50 for name in target)
 
         self.assertTrue(cluster.run_until(is_complete, within=CATCHUP_S), f"{target}, {disk_delay}")
         return cluster.now - begun
--- a/tests/tier/test_replication_search.py
+++ b/tests/tier/test_replication_search.py
@@ -62,7 +62,7 @@
         if node.up and self.random.random() < COMPACTION_CHANCE:
             self.cluster.compact(node.name)
             self.cluster.checkpoint(node.name)
-        if node.up and node.replica.is_owner:
+        if node.up and node.replica.is_leader:
             for _ in range(self.random.choice((0, 1, 5))):
                 self.proposed += 1
                 self.cluster.propose(b"command %d" % self.proposed, node)
@@ -71,7 +71,7 @@
     def trouble(self):
         """Breaks something, or mends something broken."""
         cluster = self.cluster
-        node = self.random.choice([*cluster.nodes.values(), cluster.owner() or cluster.nodes["a"]])
+        node = self.random.choice([*cluster.nodes.values(), cluster.leader() or cluster.nodes["a"]])
         name = node.name
         if node.replica is None:
             cluster.start(name)
@@ -113,7 +113,7 @@
             cluster.isolate(name)
         elif kind == "cut":
             cluster.cut(name, self.random.choice(list(cluster.nodes)))
-        elif kind == "transfer" and cluster.owner():
+        elif kind == "transfer" and cluster.leader():
             cluster.transfer()
         elif kind == "aim":
             self.aim()
@@ -177,7 +177,7 @@
             "not the group wished for"
         )
         cluster.run(0.5)
-        assert cluster.owner().identity in target, "an owner outside of the group"
+        assert cluster.leader().identity in target, "an owner outside of the group"
         for name in names:
             held = cluster.nodes[name].applied_index
             assert held == len(cluster.promises.history), f"{name} lags in calm"
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -19,23 +19,23 @@
 class OwnershipStories(testtools.TestCase):
     def test_the_first_of_the_group_owns_and_commits(self):
         cluster = settled()
-        self.assertEqual("a", cluster.owner().name)
+        self.assertEqual("a", cluster.leader().name)
         self.assertEqual([b"first"], cluster.nodes["c"].commands)
 
     def test_the_first_live_one_follows_an_owner_that_dies(self):
         cluster = settled("abcde")
         cluster.lose_power("a", "b")
-        self.assertTrue(cluster.run_until(cluster.owner, 1.2))
-        self.assertEqual("c", cluster.owner().name)
+        self.assertTrue(cluster.run_until(cluster.leader, 1.2))
+        self.assertEqual("c", cluster.leader().name)
 
     def test_an_earlier_one_that_returns_does_not_take_over(self):
         cluster = settled()
         cluster.lose_power("a")
         cluster.run(1.5)
-        epoch = cluster.owner().replica.epoch
+        term = cluster.leader().replica.term
         cluster.start("a")
         cluster.run(3.0)
-        self.assertEqual(("b", epoch), (cluster.owner().name, cluster.owner().replica.epoch))
+        self.assertEqual(("b", term), (cluster.leader().name, cluster.leader().replica.term))
 
     def test_a_replica_that_was_cut_off_returns_without_an_election(self):
         cluster = settled()
@@ -43,13 +43,13 @@
         cluster.run(3.0)
         cluster.join()
         cluster.run(1.0)
-        self.assertEqual(("a", 1), (cluster.owner().name, cluster.owner().replica.epoch))
+        self.assertEqual(("a", 1), (cluster.leader().name, cluster.leader().replica.term))
 
     def test_an_owner_cut_off_gives_up_and_commits_nothing_more(self):
         cluster = settled()
         cluster.isolate("a")
         cluster.propose(b"unheard", cluster.nodes["a"])
-        self.assertTrue(cluster.run_until(lambda: not cluster.nodes["a"].replica.is_owner, 0.6))
+        self.assertTrue(cluster.run_until(lambda: not cluster.nodes["a"].replica.is_leader, 0.6))
         cluster.run(1.0)
         cluster.join()
         cluster.run(1.0)
@@ -59,7 +59,7 @@
         cluster = settled()
         cluster.cut("b", "a")
         cluster.cut("c", "a")
-        self.assertTrue(cluster.run_until(lambda: cluster.owner() and cluster.owner().name == "b", 2.0))
+        self.assertTrue(cluster.run_until(lambda: cluster.leader() and cluster.leader().name == "b", 2.0))
 
     def test_a_thawed_owner_takes_no_proposal_by_its_old_contacts(self):
         cluster = settled()
@@ -73,7 +73,7 @@
         cluster = settled()
         cluster.transfer()
         self.assertIsNone(cluster.propose(b"refused", cluster.nodes["a"]))
-        self.assertTrue(cluster.run_until(lambda: cluster.owner() and cluster.owner().name == "b", 0.1))
+        self.assertTrue(cluster.run_until(lambda: cluster.leader() and cluster.leader().name == "b", 0.1))
 
     def test_a_handover_that_nobody_takes_ends_with_the_old_owner(self):
         cluster = settled()
@@ -109,16 +109,16 @@
         cluster.lose_power("a")
         cluster.stall_disk("c")
         cluster.run(1.5)
-        self.assertIsNone(cluster.owner())
+        self.assertIsNone(cluster.leader())
         cluster.mend_disk("c")
-        self.assertTrue(cluster.run_until(cluster.owner, 0.1))
+        self.assertTrue(cluster.run_until(cluster.leader, 0.1))
 
     def test_a_vote_asked_for_twice_is_given_and_counts_once(self):
         cluster = Cluster()
         cluster.links.double = 1.0
         cluster.run(1.0)
         cluster.lose_power("a")
-        self.assertTrue(cluster.run_until(cluster.owner, 1.2))
+        self.assertTrue(cluster.run_until(cluster.leader, 1.2))
 
     def test_a_slow_disk_costs_no_contact(self):
         cluster = settled()
@@ -126,13 +126,13 @@
         cluster.propose(b"more")
         cluster.run(3.0)
         self.assertTrue(cluster.nodes["c"].replica.in_touch(cluster.now))
-        self.assertEqual(1, cluster.owner().replica.epoch)
+        self.assertEqual(1, cluster.leader().replica.term)
 
     def test_an_owner_whose_disk_stalls_hands_over_what_the_others_hold(self):
         cluster = settled()
         cluster.stall_disk("a")
         cluster.propose(b"held by others")
-        self.assertTrue(cluster.run_until(lambda: cluster.owner() and cluster.owner().name == "b", 1.2))
+        self.assertTrue(cluster.run_until(lambda: cluster.leader() and cluster.leader().name == "b", 1.2))
         self.assertIsNotNone(cluster.propose(b"next"))
         self.assertTrue(cluster.run_until(lambda: cluster.committed(b"next"), 0.2))
 
@@ -140,16 +140,16 @@
         cluster = Cluster()
         for node in cluster.nodes.values():
             node.disk_delay = 0.5
-        self.assertTrue(cluster.run_until(cluster.owner, 2.5))
+        self.assertTrue(cluster.run_until(cluster.leader, 2.5))
 
     def test_power_lost_everywhere_loses_nothing_committed(self):
         cluster = settled()
         cluster.lose_power("a", "b", "c")
         for name in "abc":
             cluster.start(name)
-        self.assertTrue(cluster.run_until(cluster.owner, 1.5))
+        self.assertTrue(cluster.run_until(cluster.leader, 1.5))
         cluster.run(0.5)
-        self.assertEqual([b"first"], cluster.owner().commands)
+        self.assertEqual([b"first"], cluster.leader().commands)
 
     def test_one_disk_lost_and_power_everywhere_loses_nothing_committed(self):
         cluster = settled()
@@ -158,7 +158,7 @@
         for name in "abc":
             cluster.start(name)
         cluster.run(1.5)
-        self.assertEqual([b"first"], cluster.owner().commands)
+        self.assertEqual([b"first"], cluster.leader().commands)
 
     def test_an_emptied_disk_counts_for_nobody(self):
         cluster = settled()
@@ -166,7 +166,7 @@
         cluster.wipe("c")
         cluster.start("c")
         cluster.run(3.0)
-        self.assertIsNone(cluster.owner())
+        self.assertIsNone(cluster.leader())
         self.assertEqual((), cluster.nodes["c"].replica.voters)
 
 
@@ -177,7 +177,7 @@
         cluster.start("c")
         cluster.aim("abc")
         cluster.run(1.0)
-        self.assertEqual(("a#1", "b#1", "c#2"), cluster.owner().replica.voters)
+        self.assertEqual(("a#1", "b#1", "c#2"), cluster.leader().replica.voters)
         self.assertEqual([b"first"], cluster.nodes["c"].commands)
         cluster.lose_power("b")
         cluster.propose(b"second")
@@ -187,8 +187,8 @@
         cluster = settled("abc", others="def")
         cluster.aim("def")
         cluster.run(3.0)
-        self.assertEqual("d", cluster.owner().name)
-        self.assertEqual(("d#1", "e#1", "f#1"), cluster.owner().replica.voters)
+        self.assertEqual("d", cluster.leader().name)
+        self.assertEqual(("d#1", "e#1", "f#1"), cluster.leader().replica.voters)
         self.assertEqual([b"first"], cluster.nodes["f"].commands)
 
     def test_a_dead_newcomer_does_not_become_a_voter(self):
@@ -196,7 +196,7 @@
         cluster.lose_power("d")
         cluster.aim("abd")
         cluster.run(2.0)
-        self.assertEqual(("a#1", "b#1", "c#1"), cluster.owner().replica.voters)
+        self.assertEqual(("a#1", "b#1", "c#1"), cluster.leader().replica.voters)
 
     def test_no_voter_goes_while_the_rest_lacks_a_live_majority(self):
         cluster = settled("abc")
@@ -204,11 +204,11 @@
         cluster.run(1.0)
         cluster.aim("ab")
         cluster.run(2.0)
-        self.assertEqual(("a#1", "b#1", "c#1"), cluster.owner().replica.voters)
+        self.assertEqual(("a#1", "b#1", "c#1"), cluster.leader().replica.voters)
 
     def test_a_newcomer_gives_the_vote_that_its_own_entry_waits_for(self):
         cluster = settled("abc", others="d")
-        cluster.owner().replica.set_learners(("d#1",))
+        cluster.leader().replica.set_learners(("d#1",))
         cluster.run(0.3)
         cluster.lose_power("c")
         cluster.cut("a", "b")
@@ -219,7 +219,7 @@
         cluster.lose_power("a")
         cluster.start("a")
         cluster.join()
-        self.assertTrue(cluster.run_until(cluster.owner, 2.0))
+        self.assertTrue(cluster.run_until(cluster.leader, 2.0))
 
     def test_who_left_learns_of_it_and_asks_for_no_votes(self):
         cluster = settled("abcd")
@@ -238,24 +238,24 @@
         cluster.run(0.06)
         cluster.wipe("a")
         cluster.join()
-        self.assertTrue(cluster.run_until(cluster.owner, 2.0))
+        self.assertTrue(cluster.run_until(cluster.leader, 2.0))
 
     def test_a_new_order_changes_who_owns_next(self):
         cluster = settled()
         cluster.aim("acb")
         cluster.run(0.5)
         cluster.lose_power("a")
-        self.assertTrue(cluster.run_until(cluster.owner, 1.0))
-        self.assertEqual("c", cluster.owner().name)
+        self.assertTrue(cluster.run_until(cluster.leader, 1.0))
+        self.assertEqual("c", cluster.leader().name)
 
 
 class ReadAndLogStories(testtools.TestCase):
     def test_a_read_is_confirmed_by_a_round_begun_after_it(self):
         cluster = settled()
         ticket = cluster.confirm()
-        self.assertEqual([], cluster.owner().confirmed)
+        self.assertEqual([], cluster.leader().confirmed)
         cluster.run(0.02)
-        self.assertEqual([ticket], cluster.owner().confirmed)
+        self.assertEqual([ticket], cluster.leader().confirmed)
 
     def test_a_read_at_an_owner_that_was_replaced_is_lost(self):
         cluster = settled()
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -24,7 +24,7 @@
         self.chance = chance
         self.log = ReplicaLog(DurableState(snapshot=Snapshot(voters=GROUP)))
         self.commit = 0
-        self.epoch = 1
+        self.term = 1
         self.ticket = 0
         self.written = [record_of((), Snapshot(voters=GROUP))]
         self.waiting = []
@@ -39,12 +39,12 @@
         self.log.append(self.entry(self.log.last_index + 1))
 
     def entry(self, index):
-        return Entry(index, self.epoch, EntryKind.COMMAND, b"%d of %d" % (index, self.epoch))
+        return Entry(index, self.term, EntryKind.COMMAND, b"%d of %d" % (index, self.term))
 
     def replace(self):
         """Another owner's entries come in place of what is not committed."""
         if self.log.last_index > self.commit:
-            self.epoch += 1
+            self.term += 1
             first = self.chance.randint(self.commit + 1, self.log.last_index)
             self.log.replace_from([self.entry(index) for index in range(first, first + 3)])
 
@@ -59,11 +59,11 @@
     def install(self):
         """An owner's snapshot, of an entry that the log holds, or of one that it lacks or holds otherwise."""
         index = self.commit + self.chance.randint(1, 6)
-        epoch = self.log.epoch_at(index)
-        if epoch is None or self.chance.random() < 0.5:
-            self.epoch += 1
-            epoch = self.epoch
-        self.log.install(Snapshot(index, epoch, GROUP, b"state %d" % index), self.commit)
+        term = self.log.term_at(index)
+        if term is None or self.chance.random() < 0.5:
+            self.term += 1
+            term = self.term
+        self.log.install(Snapshot(index, term, GROUP, b"state %d" % index), self.commit)
         self.commit = index
 
     def write(self):
@@ -86,9 +86,9 @@
             indexes = list(range(held.snapshot.index + 1, held.snapshot.index + 1 + len(held.entries)))
             assert list(entries) == indexes, "a hole on the disk"
             for index in range(self.log.base_index + 1, self.log.durable_index + 1):
-                epoch = self.log.epoch_at(index)
+                term = self.log.term_at(index)
                 if index > held.snapshot.index:
-                    assert entries[index].epoch == epoch, f"{index} is another one on the disk"
+                    assert entries[index].term == term, f"{index} is another one on the disk"
             assert held.snapshot.index + len(held.entries) >= self.log.durable_index
 
 
@@ -166,11 +166,11 @@
             cluster.start("c")
             cluster.run(0.1 * share)
             cluster.lose_power("a")
-            self.assertTrue(cluster.run_until(cluster.owner, 3.0))
+            self.assertTrue(cluster.run_until(cluster.leader, 3.0))
             cluster.propose(b"after the loss")
             self.assertTrue(cluster.run_until(lambda w=cluster: w.committed(b"after the loss"), 5.0), share)
             self.assertTrue(cluster.run_until(lambda w=cluster: is_current(w), 1.0), share)
-            self.assertEqual("b", cluster.owner().name)
+            self.assertEqual("b", cluster.leader().name)
 
     def test_a_member_that_lost_an_installed_snapshot_with_the_power_votes_for_the_others_alone(self):
         cluster = cluster_with_a_member_away()
@@ -183,8 +183,8 @@
         cluster.nodes["c"].unsynced = []
         cluster.lose_power("a")
         cluster.start("c")
-        self.assertTrue(cluster.run_until(cluster.owner, 3.0))
-        self.assertEqual("b", cluster.owner().name)
+        self.assertTrue(cluster.run_until(cluster.leader, 3.0))
+        self.assertEqual("b", cluster.leader().name)
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
 
     def test_an_installed_snapshot_that_is_not_written_counts_for_no_majority(self):
@@ -212,6 +212,6 @@
             cluster.lose_power("a", "b")
             cluster.start("b")
             cluster.start("c")
-            self.assertTrue(cluster.run_until(cluster.owner, 3.0))
-            self.assertEqual("b", cluster.owner().name)
+            self.assertTrue(cluster.run_until(cluster.leader, 3.0))
+            self.assertEqual("b", cluster.leader().name)
             self.assertTrue(cluster.run_until(lambda world=cluster: is_current(world), 3.0))
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -37,7 +37,7 @@
 
 
 def owner_of(world, shard):
-    return next((host for host in hosts_of(world, shard) if host.replica(shard).is_owner), None)
+    return next((host for host in hosts_of(world, shard) if host.replica(shard).is_leader), None)
 
 
 async def propose_many(world, count, pause):
@@ -75,7 +75,7 @@
             await propose_many(world, TAIL, 0.002)
             await fill(world, state)
             owner = owner_of(world, SHARD)
-            epoch, size = owner.replica(SHARD).epoch, len(owner.machine(SHARD).snapshot())
+            epoch, size = owner.replica(SHARD).term, len(owner.machine(SHARD).snapshot())
             fleet.network.narrow(store.place.ip, NARROW)
             fleet.start(store)
             began = fleet.now()
@@ -93,7 +93,7 @@
                 fleet.broken("heartbeats waited behind the snapshot")
             if took > wire + CATCH_UP_S:
                 fleet.broken("the store has not caught up in time")
-            if owner_of(world, SHARD) is not owner or owner.replica(SHARD).epoch != epoch:
+            if owner_of(world, SHARD) is not owner or owner.replica(SHARD).term != epoch:
                 fleet.broken("the owner was voted out meanwhile")
             await load
             fleet.network.widen(store.place.ip)
@@ -116,7 +116,7 @@
 
 
 def owns(machine, shard):
-    return machine.processes["store"].instance.host.replica(shard).is_owner
+    return machine.processes["store"].instance.host.replica(shard).is_leader
 
 
 def applied(machine, shard):
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -93,7 +93,7 @@
         cluster.run(0.4)
         cluster.transfer()
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
-        self.assertEqual("b", cluster.owner().name)
+        self.assertEqual("b", cluster.leader().name)
         pieces = pieces_sent(cluster)
         by_the_second = [piece for piece in pieces if piece.sender == "b#1"]
         self.assertGreater(len(by_the_second), 2)
@@ -123,7 +123,7 @@
             cluster.run(0.1)
             cluster.start("c")
             self.assertTrue(cluster.run_until(lambda world=cluster: is_current(world), 4.0), step)
-            self.assertEqual("a", cluster.owner().name)
+            self.assertEqual("a", cluster.leader().name)
 
     def test_a_member_that_loses_power_at_each_write_ends_up_current(self):
         for seed in range(10):
@@ -163,7 +163,7 @@
         size = pieces_sent(cluster)[0].size
         self.assertGreater(size, 12_900_000)
         self.assertLess(cluster.now - began, size / NARROW + 4.0)
-        self.assertEqual(("a", 1), (cluster.owner().name, cluster.owner().replica.epoch))
+        self.assertEqual(("a", 1), (cluster.leader().name, cluster.leader().replica.term))
         self.assertLess(max(contact[10:]), 0.25)
 
 
@@ -191,7 +191,7 @@
         self.assertLess(cluster.now, 1.0 + len(LARGE) / NARROW + 0.2)
         self.assertLess(max(contact), 0.2)
         self.assertEqual([1, 1], [self.large_sent(cluster, name) for name in "bc"])
-        self.assertEqual(("a", 1), (cluster.owner().name, cluster.owner().replica.epoch))
+        self.assertEqual(("a", 1), (cluster.leader().name, cluster.leader().replica.term))
 
     def test_what_is_proposed_behind_it_arrives_in_order_and_once(self):
         cluster = self.given_a_large_entry_under_way()
@@ -209,10 +209,10 @@
         cluster._events = [event for event in cluster._events if event[2][2] != "message"]
         cluster.links.free_at.clear()
         cluster.join()
-        owner = cluster.nodes["a"]
+        leader = cluster.nodes["a"]
         for name in "bc":
-            owner.replica.reconnected(cluster.nodes[name].identity)
-        cluster._work(owner)
+            leader.replica.reconnected(cluster.nodes[name].identity)
+        cluster._work(leader)
         self.assertTrue(cluster.run_until(lambda: cluster.committed(LARGE), len(LARGE) / NARROW + 0.3))
         self.assertEqual([2, 2], [self.large_sent(cluster, name) for name in "bc"])
 
@@ -222,7 +222,7 @@
         cluster._events = [event for event in cluster._events if not carries(event, LARGE)]
         cluster.links.free_at.clear()
         self.assertTrue(cluster.run_until(lambda: cluster.committed(LARGE), 20.0))
-        self.assertEqual(("a", 1), (cluster.owner().name, cluster.owner().replica.epoch))
+        self.assertEqual(("a", 1), (cluster.leader().name, cluster.leader().replica.term))
 
 
 def carries(event, data):
