--- a/kestrelbend/tier/configuration/backend_calls.py
+++ b/kestrelbend/tier/configuration/backend_calls.py
@@ -3,20 +3,19 @@
 from __future__ import annotations
 
 from kestrelbend.tier.configuration.http_answers import (
-    OK,
-    UNAVAILABLE,
     Answer,
     json_answer,
-    read_object,
     rejected,
     status_answer,
 )
+from kestrelbend.tier.configuration.json_codec import decode_object
 from kestrelbend.tier.configuration.operator_call import Call
 from kestrelbend.tier.configuration.ports import ControlPort, ReportOutcome
+from kestrelbend.tier.configuration.statuses import INVALID, OK, UNAVAILABLE
 
 REPORT_STATUS = {
     ReportOutcome.ACCEPTED: OK,
-    ReportOutcome.MALFORMED: 400,
+    ReportOutcome.MALFORMED: INVALID,
     ReportOutcome.UNAVAILABLE: UNAVAILABLE,
 }
 
@@ -29,9 +28,9 @@
 
     async def heartbeat(self, call: Call) -> Answer:
         """Takes a heartbeat; the answer may name an address for the next ones."""
-        report = read_object(call.body)
+        report = decode_object(call.body)
         if report is None:
-            return rejected(400, "the report is no JSON object")
+            return rejected(INVALID, "the report is no JSON object")
         outcome = await self._port.backend_heartbeat(call.name, report)
         url = self._port.heartbeat_url()
         if outcome is ReportOutcome.ACCEPTED and url:
--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -10,7 +10,7 @@
 import json
 import math
 from collections.abc import Iterator
-from typing import Any, ClassVar
+from typing import Any
 
 import attrs
 import schema
@@ -33,7 +33,7 @@
 class InvalidDocument(TierError):
     """Carries a rejection from a check to the public functions of `document`; never leaves that module."""
 
-    code: ClassVar[str] = "configuration.invalid_document"
+    code = "configuration.invalid_document"
 
     def __init__(self, rejected: DocumentRejection) -> None:
         super().__init__(rejected.reason)
--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from kestrelbend.tier.configuration.http_answers import OK, Answer, json_answer, rejected, unavailable
+from kestrelbend.tier.configuration.http_answers import Answer, json_answer, rejected, unavailable
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.operator_call import Call
 from kestrelbend.tier.configuration.ports import ControlPort
 from kestrelbend.tier.configuration.schemas import MAX_VERSION
+from kestrelbend.tier.configuration.statuses import INVALID, NOT_FOUND, OK
 
 
 class ConfigCalls:
@@ -29,13 +30,13 @@
         if not reply.owner:
             return unavailable()
         if not reply.body:
-            return rejected(404, "there is no configuration yet")
+            return rejected(NOT_FOUND, "there is no configuration yet")
         return Answer(OK, bytes(reply.body))
 
     async def _order(self, kind: OrderKind, call: Call) -> Answer:
         base = _base_version(call.base)
         if base is None:
-            return rejected(400, "X-Kestrelbend-Base-Version is missing or no whole number")
+            return rejected(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
         outcome = await self._port.order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == OK:
             return json_answer(OK, {"Ver": outcome.version})
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -24,6 +24,7 @@
     validate,
 )
 from kestrelbend.tier.configuration.field_checks import abbreviated
+from kestrelbend.tier.configuration.json_codec import encode_json
 
 
 @attrs.frozen(eq=False)
@@ -93,7 +94,7 @@
         check_document(merged)
     except InvalidDocument as fault:
         return fault.rejected
-    encoded = json.dumps(merged, separators=(",", ":")).encode()
+    encoded = encode_json(merged)
     return Document(version=patch.version, body=encoded, values=merged)
 
 
@@ -107,9 +108,7 @@
     """The document that a patch leads to which the shard has accepted on `current`, without checking it."""
     patch = json.loads(body)
     merged = _merge(current.values, patch)
-    return Document(
-        version=patch["Ver"], body=json.dumps(merged, separators=(",", ":")).encode(), values=merged
-    )
+    return Document(version=patch["Ver"], body=encode_json(merged), values=merged)
 
 
 def _merge(current: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
--- a/kestrelbend/tier/configuration/document_orders.py
+++ b/kestrelbend/tier/configuration/document_orders.py
@@ -34,6 +34,7 @@
     accepted_before,
     accepted_now,
 )
+from kestrelbend.tier.configuration.statuses import INVALID, PRECONDITION_FAILED
 
 MAX_HISTORY = 4096  # accepted orders that are remembered
 MAX_EVALUATIONS_KEPT = 16
@@ -202,13 +203,13 @@
     if isinstance(change, DocumentRejection):
         return _invalid(version, change)
     if change.version <= order.base_version and order.base_version >= version:
-        return ConfigOutcome(400, version, f"version {change.version} is not above {order.base_version}")
+        return ConfigOutcome(INVALID, version, f"version {change.version} is not above {order.base_version}")
     if order.base_version != version:
         return other_base(order, version, forgotten_version)
     if isinstance(change, Document):
         return change
     if current is None:
-        return ConfigOutcome(400, version, "there is no configuration to be patched")
+        return ConfigOutcome(INVALID, version, "there is no configuration to be patched")
     merged = apply_patch(current, change)
     return _invalid(version, merged) if isinstance(merged, DocumentRejection) else merged
 
@@ -224,7 +225,7 @@
 
 
 def _invalid(version: int, rejection: DocumentRejection) -> ConfigOutcome:
-    return ConfigOutcome(400, version, f"{rejection.code}: {rejection.reason}")
+    return ConfigOutcome(INVALID, version, f"{rejection.code}: {rejection.reason}")
 
 
 def other_base(order: ConfigOrder, version: int, forgotten_version: int) -> ConfigOutcome:
@@ -235,7 +236,7 @@
     """
     if order.base_version > version or order.base_version < forgotten_version:
         return ConfigOutcome(UNDETERMINED, version, f"version {version} is current")
-    return ConfigOutcome(412, version, f"version {version} is current")
+    return ConfigOutcome(PRECONDITION_FAILED, version, f"version {version} is current")
 
 
 def checked_entry(order: ConfigOrder) -> ConfigOrder:
--- a/kestrelbend/tier/configuration/http_answers.py
+++ b/kestrelbend/tier/configuration/http_answers.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-import json
 from typing import Any
 
 import attrs
 
-OK = 200
-UNAVAILABLE = 503
+from kestrelbend.tier.configuration.json_codec import encode_json
+from kestrelbend.tier.configuration.statuses import UNAVAILABLE
 
 
 @attrs.frozen
@@ -22,7 +21,7 @@
 
 def json_answer(status: int, values: dict[str, Any]) -> Answer:
     """An answer whose body is an object."""
-    return Answer(status, json.dumps(values, separators=(",", ":")).encode())
+    return Answer(status, encode_json(values))
 
 
 def rejected(status: int, reason: str) -> Answer:
@@ -40,12 +39,3 @@
     if status == UNAVAILABLE:
         return unavailable()
     return json_answer(status, {} if status < 300 else {"Error": "refused"})
-
-
-def read_object(body: bytes) -> dict[str, Any] | None:
-    """The JSON object that a call's body holds, or None where it holds none."""
-    try:
-        values = json.loads(body)
-    except (ValueError, RecursionError):
-        return None
-    return values if isinstance(values, dict) else None
--- a/kestrelbend/tier/configuration/messages.py
+++ b/kestrelbend/tier/configuration/messages.py
@@ -6,6 +6,7 @@
 
 import attrs
 
+from kestrelbend.tier.configuration.statuses import OK
 
 UNDETERMINED = 0  # a status: it can't be said here now, so the call may be sent again, to any node
 
@@ -60,9 +61,9 @@
 
 def accepted_now(version: int) -> ConfigOutcome:
     """The outcome of an order that was just carried out; `version` is the current one after it."""
-    return ConfigOutcome(200, version, "taken")
+    return ConfigOutcome(OK, version, "taken")
 
 
 def accepted_before(version: int) -> ConfigOutcome:
     """The outcome of an order that comes again; `version` is the one that it brought."""
-    return ConfigOutcome(200, version, "taken before")
+    return ConfigOutcome(OK, version, "taken before")
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -16,8 +16,6 @@
 from kestrelbend.tier.configuration.backend_calls import BackendCalls
 from kestrelbend.tier.configuration.config_calls import ConfigCalls
 from kestrelbend.tier.configuration.http_answers import (
-    OK,
-    UNAVAILABLE,
     Answer,
     json_answer,
     rejected,
@@ -27,6 +25,14 @@
 from kestrelbend.tier.configuration.ports import ControlPort
 from kestrelbend.tier.configuration.rejections import is_rejection, may_reject
 from kestrelbend.tier.configuration.retirement_calls import RetirementCalls
+from kestrelbend.tier.configuration.statuses import (
+    BODY_TIMEOUT,
+    BODY_TOO_LARGE,
+    METHOD_NOT_ALLOWED,
+    NOT_FOUND,
+    OK,
+    UNAVAILABLE,
+)
 
 MAX_ORDER_BYTES = 8 * 1024 * 1024
 MAX_REPORT_BYTES = 64 * 1024
@@ -41,6 +47,14 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
+@attrs.frozen
+class _Match:
+    """What a path and a method name: a handler, and the name in the path (empty where there is none)."""
+
+    handler: Handler
+    name: str
+
+
 class _Disconnected(Exception):
     """The caller went away before its body had come; there is nobody to answer."""
 
@@ -74,37 +88,39 @@
 
     async def _serve_http(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         found = self._find(scope)
-        max_bytes = 0 if isinstance(found, Answer) else found[0].max_bytes
+        max_bytes = 0 if isinstance(found, Answer) else found.handler.max_bytes
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, rejected(408, "the body did not come in time"))
+            await _send(send, rejected(BODY_TIMEOUT, "the body did not come in time"))
             return
         except _Disconnected:
             return
         if isinstance(found, Answer):
             await _send(send, found)
             return
-        handler, name = found
-        await _send(send, await self._answer(handler, name, scope, body))
+        await _send(send, await self._answer(found, scope, body))
 
-    def _find(self, scope: dict[str, Any]) -> tuple[Handler, str] | Answer:
+    def _find(self, scope: dict[str, Any]) -> _Match | Answer:
+        """The handler of a call, or the answer to a call that there is not."""
         match = CALL.fullmatch(scope["path"])
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
         if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
-            return rejected(404, "no such call")
+            return rejected(NOT_FOUND, "no such call")
         if scope["method"] != handler.method:
-            return attrs.evolve(rejected(405, f"the call takes {handler.method}"), allow=handler.method)
-        return handler, name
+            return attrs.evolve(
+                rejected(METHOD_NOT_ALLOWED, f"the call takes {handler.method}"), allow=handler.method
+            )
+        return _Match(handler, name)
 
-    async def _answer(self, handler: Handler, name: str, scope: dict[str, Any], body: bytes | None) -> Answer:
+    async def _answer(self, found: _Match, scope: dict[str, Any], body: bytes | None) -> Answer:
         if body is None:
-            return rejected(413, "the body is too large")
+            return rejected(BODY_TOO_LARGE, "the body is too large")
         base = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION]
-        answer = await handler.run(Call(name, base[0] if len(base) == 1 else None, body))
-        return _allowed(handler.call, answer)
+        call = Call(found.name, base[0] if len(base) == 1 else None, body)
+        return _allowed(found.handler.call, await found.handler.run(call))
 
     async def _status(self, call: Call) -> Answer:
         return json_answer(OK, self._port.status())
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -7,11 +7,12 @@
 
 from __future__ import annotations
 
-import json
 from typing import Any
 
 from kestrelbend.tier.configuration.field_checks import is_text
+from kestrelbend.tier.configuration.json_codec import decode_object, encode_json
 from kestrelbend.tier.configuration.messages import ConfigOutcome, accepted_before
+from kestrelbend.tier.configuration.statuses import INVALID, PRECONDITION_FAILED
 from kestrelbend.tier.configuration.stores import StoreRecords
 from kestrelbend.tier.membership.messages import ShardPlacement
 
@@ -33,16 +34,13 @@
     }
     if placement.number:
         values[_NUMBER] = placement.number
-    return json.dumps(values, separators=(",", ":")).encode()
+    return encode_json(values)
 
 
 def decode_placement(body: bytes) -> ShardPlacement | None:
     """The placement that a body holds, or None if it holds none."""
-    try:
-        values = json.loads(body)
-    except (ValueError, RecursionError):
-        return None
-    if not isinstance(values, dict):
+    values = decode_object(body)
+    if values is None:
         return None
     shard: Any = values.get(_SHARD)
     founders: Any = values.get(_FOUNDERS)
@@ -60,18 +58,18 @@
 ) -> ConfigOutcome | None:
     """The answer to an order that changes nothing, or None: then `placement` takes the place of `known`."""
     if placement is None:
-        return ConfigOutcome(400, version, "not a placement")
+        return ConfigOutcome(INVALID, version, "not a placement")
     if known == placement:
         return accepted_before(version)
     if known is not None and known.founders != placement.founders:
-        return ConfigOutcome(412, version, f"shard {placement.shard} has other founders")
+        return ConfigOutcome(PRECONDITION_FAILED, version, f"shard {placement.shard} has other founders")
     if not follows(placement, known):
         reason = f"placement {placement.number} does not follow the one in force"
-        return ConfigOutcome(412, version, reason)
+        return ConfigOutcome(PRECONDITION_FAILED, version, reason)
     voters = known.voters if known is not None else ()
     added = [voter for voter in placement.voters if voter not in voters]
     if any(stores.must_be_emptied(voter) for voter in added):
-        return ConfigOutcome(412, version, "a new voter is on a node to be emptied")
+        return ConfigOutcome(PRECONDITION_FAILED, version, "a new voter is on a node to be emptied")
     return None
 
 
--- a/kestrelbend/tier/configuration/rejections.py
+++ b/kestrelbend/tier/configuration/rejections.py
@@ -11,6 +11,16 @@
 
 import attrs
 
+from kestrelbend.tier.configuration.statuses import (
+    BODY_TIMEOUT,
+    BODY_TOO_LARGE,
+    CONFLICT,
+    INVALID,
+    METHOD_NOT_ALLOWED,
+    NOT_FOUND,
+    PRECONDITION_FAILED,
+)
+
 
 class Proof(enum.Enum):
     """What a rejection rests on, and with that who may give it."""
@@ -32,25 +42,35 @@
 
 _CALL = (Proof.CALL,)
 _OWNER = (Proof.OWNER,)
-_DECIDED = (Proof.OWNER, Proof.ENTRY)
+_OWNER_OR_ENTRY = (Proof.OWNER, Proof.ENTRY)
 _ORDERS = ("Config.Put", "Config.Patch")
 ANY_CALL = "*"
 
 REJECTIONS = (
-    Rejection(ANY_CALL, 404, _CALL, "no such call"),
-    Rejection(ANY_CALL, 405, _CALL, "the call takes another method"),
-    Rejection(ANY_CALL, 408, _CALL, "the body did not come in time, so nothing of it was looked at"),
-    Rejection(ANY_CALL, 413, _CALL, "the body is longer than any proper one"),
-    *(Rejection(call, 400, _CALL, "the base version is missing or no whole number") for call in _ORDERS),
-    *(Rejection(call, 400, _DECIDED, "no version's successor, as it is invalid") for call in _ORDERS),
-    *(Rejection(call, 412, _DECIDED, "its base is passed, and the order was not taken") for call in _ORDERS),
-    Rejection("Config.Get", 404, _OWNER, "no configuration is committed yet"),
-    Rejection("Instances.Heartbeat", 400, _CALL, "the report is malformed, wherever it is sent"),
-    Rejection("Instances.Leave", 400, _CALL, "the id can be no backend's"),
-    Rejection("Retire.Start", 400, _CALL, "DeadlineS is no positive number of seconds"),
-    Rejection("Retire.Start", 404, _OWNER, "no store of this name is known"),
-    Rejection("Retire.Start", 409, _DECIDED, "too few would be left, or too many are being emptied"),
-    Rejection("Retire.Get", 404, _OWNER, "nobody asked for the node to be emptied"),
+    Rejection(ANY_CALL, NOT_FOUND, _CALL, "no such call"),
+    Rejection(ANY_CALL, METHOD_NOT_ALLOWED, _CALL, "the call takes another method"),
+    Rejection(ANY_CALL, BODY_TIMEOUT, _CALL, "the body did not come in time, so nothing of it was looked at"),
+    Rejection(ANY_CALL, BODY_TOO_LARGE, _CALL, "the body is longer than any proper one"),
+    *(Rejection(call, INVALID, _CALL, "the base version is missing or no whole number") for call in _ORDERS),
+    *(
+        Rejection(call, INVALID, _OWNER_OR_ENTRY, "no version's successor, as it is invalid")
+        for call in _ORDERS
+    ),
+    *(
+        Rejection(
+            call, PRECONDITION_FAILED, _OWNER_OR_ENTRY, "its base is passed, and the order was not taken"
+        )
+        for call in _ORDERS
+    ),
+    Rejection("Config.Get", NOT_FOUND, _OWNER, "no configuration is committed yet"),
+    Rejection("Instances.Heartbeat", INVALID, _CALL, "the report is malformed, wherever it is sent"),
+    Rejection("Instances.Leave", INVALID, _CALL, "the id can be no backend's"),
+    Rejection("Retire.Start", INVALID, _CALL, "DeadlineS is no positive number of seconds"),
+    Rejection("Retire.Start", NOT_FOUND, _OWNER, "no store of this name is known"),
+    Rejection(
+        "Retire.Start", CONFLICT, _OWNER_OR_ENTRY, "too few would be left, or too many are being emptied"
+    ),
+    Rejection("Retire.Get", NOT_FOUND, _OWNER, "nobody asked for the node to be emptied"),
 )
 
 _ALLOWED = frozenset((rejection.call, rejection.status) for rejection in REJECTIONS)
--- a/kestrelbend/tier/configuration/retirement_calls.py
+++ b/kestrelbend/tier/configuration/retirement_calls.py
@@ -6,22 +6,21 @@
 
 from kestrelbend.tier.configuration.field_checks import is_positive
 from kestrelbend.tier.configuration.http_answers import (
-    OK,
-    UNAVAILABLE,
     Answer,
     json_answer,
-    read_object,
     rejected,
     status_answer,
     unavailable,
 )
+from kestrelbend.tier.configuration.json_codec import decode_object
 from kestrelbend.tier.configuration.operator_call import Call
 from kestrelbend.tier.configuration.ports import ControlPort, RetireOutcome, RetireState
+from kestrelbend.tier.configuration.statuses import CONFLICT, INVALID, NOT_FOUND, OK, UNAVAILABLE
 
 RETIRE_STATUS = {
     RetireOutcome.ACCEPTED: OK,
-    RetireOutcome.UNKNOWN_NODE: 404,
-    RetireOutcome.TOO_FEW_LEFT: 409,
+    RetireOutcome.UNKNOWN_NODE: NOT_FOUND,
+    RetireOutcome.TOO_FEW_LEFT: CONFLICT,
     RetireOutcome.UNAVAILABLE: UNAVAILABLE,
 }
 
@@ -34,10 +33,10 @@
 
     async def start(self, call: Call) -> Answer:
         """Begins to empty a node; `DeadlineS` is in seconds."""
-        order = read_object(call.body)
+        order = decode_object(call.body)
         deadline_s: Any = order.get("DeadlineS") if order is not None else None
         if not is_positive(deadline_s):
-            return rejected(400, "DeadlineS is no positive number of seconds")
+            return rejected(INVALID, "DeadlineS is no positive number of seconds")
         return status_answer(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline_s))])
 
     async def get(self, call: Call) -> Answer:
@@ -46,5 +45,5 @@
         if state is RetireState.UNAVAILABLE:
             return unavailable()
         if state is RetireState.NOT_ORDERED:
-            return rejected(404, "nobody asked for the node to be emptied")
+            return rejected(NOT_FOUND, "nobody asked for the node to be emptied")
         return json_answer(OK, {"State": state.value})
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -28,7 +28,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, ClassVar
+from typing import TYPE_CHECKING
 
 import attrs
 
@@ -39,6 +39,7 @@
 from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
 from .shard_ports import HostedShards, OwnerConnections, RunOffLoop, run_here
 from .state import ConfigurationState
+from .statuses import OK
 
 if TYPE_CHECKING:
     from ..replication.replica import Replica
@@ -47,7 +48,6 @@
 FORWARD_TIMEOUT_S = 0.85
 MIN_FORWARD_TIMEOUT_S = 0.01
 ATTEMPT_INTERVAL_S = 0.03
-OK = 200
 NOT_OWNER = ConfigOutcome(UNDETERMINED, 0, "not the owner")
 NOT_IN_TIME = ConfigOutcome(UNDETERMINED, 0, "not committed in time")
 NOT_READ = ReadReply(False, 0, b"")
@@ -59,7 +59,7 @@
 class ShardNotOpen(TierError):
     """The configuration's replica has not been opened in this process."""
 
-    code: ClassVar[str] = "configuration.not_open"
+    code = "configuration.not_open"
 
     def __init__(self) -> None:
         super().__init__("configuration's shard: no replica here yet: ask `is_open` first")
--- a/kestrelbend/tier/configuration/snapshot.py
+++ b/kestrelbend/tier/configuration/snapshot.py
@@ -11,11 +11,12 @@
 
 import json
 from collections.abc import Callable, Iterable
-from typing import ClassVar, TypeVar
+from typing import TypeVar
 
 import attrs
 
 from kestrelbend.tier.configuration.document import Document, read_accepted
+from kestrelbend.tier.configuration.json_codec import encode_json
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.stores import (
     Emptied,
@@ -45,13 +46,13 @@
 class SnapshotError(TierError):
     """A snapshot of the configuration can't be used; the state stays as it was."""
 
-    code: ClassVar[str] = "configuration.snapshot"
+    code = "configuration.snapshot"
 
 
 class UnknownSnapshotForm(SnapshotError):
     """A snapshot was written by a release that knows another form."""
 
-    code: ClassVar[str] = "configuration.snapshot.unknown_form"
+    code = "configuration.snapshot.unknown_form"
 
     def __init__(self, form: object) -> None:
         super().__init__(
@@ -63,7 +64,7 @@
 class UnreadableSnapshot(SnapshotError):
     """A snapshot is damaged, or isn't one."""
 
-    code: ClassVar[str] = "configuration.snapshot.unreadable"
+    code = "configuration.snapshot.unreadable"
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"configuration's snapshot: {reason}: take one from another replica")
@@ -94,7 +95,7 @@
         _EMPTIED: [encode_emptied(fact).decode() for fact in content.emptied],
     }
     body = content.document.body if content.document is not None else b""
-    return json.dumps(head, separators=(",", ":")).encode() + b"\n" + body
+    return encode_json(head) + b"\n" + body
 
 
 def decode_snapshot(snapshot: bytes) -> SnapshotContent:
--- a/kestrelbend/tier/configuration/store_orders.py
+++ b/kestrelbend/tier/configuration/store_orders.py
@@ -13,6 +13,7 @@
 
 from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, accepted_before
 from kestrelbend.tier.configuration.ports import RetireState
+from kestrelbend.tier.configuration.statuses import CONFLICT, INVALID, OK, PRECONDITION_FAILED
 from kestrelbend.tier.configuration.stores import (
     MAX_NODE_NAME,
     Emptied,
@@ -37,11 +38,11 @@
     """For the order to empty a node, whose name is its body."""
     node = node_name(order)
     if not node:
-        return ConfigOutcome(400, version, "not the name of a node")
+        return ConfigOutcome(INVALID, version, "not the name of a node")
     if node in stores.retiring:
         return accepted_before(version)
     if len(stores.retiring) >= MAX_RETIRING:
-        return ConfigOutcome(409, version, "too many nodes are being emptied")
+        return ConfigOutcome(CONFLICT, version, "too many nodes are being emptied")
     return None
 
 
@@ -49,7 +50,7 @@
     """For the order to record a disk."""
     disk = decode_disk(order.body)
     if disk is None:
-        return ConfigOutcome(400, version, "not a disk")
+        return ConfigOutcome(INVALID, version, "not a disk")
     return accepted_before(version) if stores.knows(disk) else None
 
 
@@ -58,11 +59,11 @@
 ) -> ConfigOutcome | None:
     """For the order to record that a shard has left a node; `placement` is the shard's one in force."""
     if fact is None:
-        return ConfigOutcome(400, version, "not a node that is empty")
+        return ConfigOutcome(INVALID, version, "not a node that is empty")
     if stores.is_emptied(fact.node, fact.shard):
         return accepted_before(version)
     if not stores.may_record(fact, placement):
-        return ConfigOutcome(412, version, f"{fact.node} may hold {fact.shard}")
+        return ConfigOutcome(PRECONDITION_FAILED, version, f"{fact.node} may hold {fact.shard}")
     return None
 
 
@@ -77,4 +78,4 @@
         state = RetireState.COMPLETE
     else:
         state = RetireState.RUNNING
-    return ConfigOutcome(200, version, state.value)
+    return ConfigOutcome(OK, version, state.value)
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -7,13 +7,13 @@
 
 from __future__ import annotations
 
-import json
 from collections.abc import Iterable
 from typing import Any
 
 import attrs
 
 from kestrelbend.tier.configuration.field_checks import is_text
+from kestrelbend.tier.configuration.json_codec import decode_object, encode_json
 from kestrelbend.tier.membership.messages import ShardPlacement
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD
 
@@ -55,12 +55,14 @@
 
 def encode_disk(disk: KnownDisk) -> bytes:
     """The body of an order of kind STORE."""
-    return _encode({_NODE: disk.node, _REPLICA: disk.replica, _SERVES_STORAGE: disk.serves_storage})
+    return encode_json({_NODE: disk.node, _REPLICA: disk.replica, _SERVES_STORAGE: disk.serves_storage})
 
 
 def decode_disk(body: bytes) -> KnownDisk | None:
     """The disk that a body names, or None if it names none."""
-    values = _decode(body)
+    values = decode_object(body)
+    if values is None:
+        return None
     node: Any = values.get(_NODE)
     replica: Any = values.get(_REPLICA)
     serves: Any = values.get(_SERVES_STORAGE)
@@ -71,7 +73,7 @@
 
 def encode_emptied(emptied: Emptied) -> bytes:
     """The body of an order of kind EMPTIED."""
-    return _encode(
+    return encode_json(
         {
             _NODE: emptied.node,
             _SHARD: emptied.shard,
@@ -84,7 +86,9 @@
 
 def decode_emptied(body: bytes) -> Emptied | None:
     """What a body says to be empty, or None if it says nothing of the kind."""
-    values = _decode(body)
+    values = decode_object(body)
+    if values is None:
+        return None
     node: Any = values.get(_NODE)
     shard: Any = values.get(_SHARD)
     group: Any = values.get(_GROUP)
@@ -185,16 +189,3 @@
 
 def _is_count(value: Any) -> bool:
     return type(value) is int and value >= 0
-
-
-def _encode(values: dict[str, Any]) -> bytes:
-    return json.dumps(values, separators=(",", ":")).encode()
-
-
-def _decode(body: bytes) -> dict[str, Any]:
-    """The object that a body holds; an empty one where it holds none."""
-    try:
-        values = json.loads(body)
-    except (ValueError, RecursionError):
-        return {}
-    return values if isinstance(values, dict) else {}
--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -11,12 +11,10 @@
 from ..configuration.messages import ConfigOrder, ConfigOutcome, OrderKind
 from ..configuration.ports import RetireOutcome, RetireState
 from ..configuration.shard_service import NOT_OWNER, ConfigurationService
+from ..configuration.statuses import CONFLICT, NOT_FOUND, OK
 from ..membership.placement import group_size
 from ..membership.table import MemberTable
 
-OK = 200
-NOT_FOUND = 404
-CONFLICT = 409
 HEARD_ALL_S = 2.0  # of ownership, after which every store that lives has been heard of
 SHORT_TROUBLE_S = 30.0  # for which a silent store counts among those that will be left
 
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -20,6 +20,7 @@
 from ..configuration.document_orders import checked_entry
 from ..configuration.messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind
 from ..configuration.shard_service import ConfigurationMachine, ConfigurationService
+from ..configuration.statuses import OK
 from ..fleet.operator import marker_route, route, services
 from ..protocol.codec import encode
 from ..replication.messages import EntryKind
@@ -29,7 +30,6 @@
 from .search import Found
 from .world import Script, Step, World
 
-OK = 200
 BASE = 1  # the version that the racing orders are made on
 TURNS = 8  # of the event loop, until every call that can go on has gone on
 
