--- a/kestrelbend/tier/budgets/program.py
+++ b/kestrelbend/tier/budgets/program.py
@@ -1,8 +1,15 @@
 """One program's tokens, turns and retries.
 
+    (unknown) ──reserve──> OPEN ──settle──> CLOSED ──64 later ones closed──> FORGOTTEN
+        │                                     ^
+        └──reserve, refused; or settle first──┘
+
+A reservation is OPEN in `open_turns`, CLOSED in `closed`, with the verdict that a repeat of it gets, and
+FORGOTTEN once only `names.ForgottenNames` knows it: from then on a repeat is refused.
+
 Invariant: a turn is admitted only while the tokens handed out, those that open turns may yet hand out, and
-its own most are within the budget together.  So a program is handed its budget at most, however its turns
-end and whoever repeats a command.
+its own upper bound are within the budget together.  So a program is handed its budget at most, however its
+turns end and whoever repeats a command.
 """
 
 from __future__ import annotations
@@ -11,8 +18,8 @@
 
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, TurnEnd, Verdict
 
-MAX_RETRY_SHARE = 0.20
-RETRY_FLOOR_TURNS = 4
+MAX_RETRY_SHARE = 0.20  # of all tokens
+RETRY_FLOOR_TURNS = 4  # retries are not limited while the total is within so many such turns
 RETRY_AFTER_MS = 1000
 MAX_CLOSED_RESERVATIONS = 64
 MAX_SESSIONS = 64
@@ -27,7 +34,7 @@
     end: TurnEnd | None = None
 
     def is_repeated_by(self, reserve: Reserve) -> bool:
-        """Whether the try is a retry: a turn that ended whole is not repeated, it is taken again."""
+        """Whether the attempt is a retry: a turn that ended complete is not repeated, it is taken again."""
         return self.fingerprint == reserve.fingerprint and self.end is not TurnEnd.COMPLETE
 
 
@@ -46,8 +53,8 @@
 
     Retries are counted by their tokens, as the total is: a share needs one unit, and long turns that are
     repeated take more of a backend than short ones.  A retry that did not run is taken back from both; one
-    that ended otherwise stays at its most, as it kept a backend busy whatever it handed out.  A retry that is
-    refused counts for nothing, so that refusals alone don't cause refusals.
+    that ended otherwise stays at its upper bound, as it kept a backend busy whatever it handed out.  A retry
+    that is refused counts for nothing, so that refusals alone don't cause refusals.
     """
 
     settled: int = 0
@@ -65,16 +72,16 @@
         """Tokens handed out and reserved."""
         return self.settled + self.reserved
 
-    def holds(self, reservation: str) -> bool:
+    def remembers(self, reservation: str) -> bool:
         """Whether the reservation is open, or closed and not yet forgotten."""
         return reservation in self.open_turns or reservation in self.closed
 
     def refuse(self, reserve: Reserve) -> ReserveOutcome:
-        """Refuses and keeps nothing of it."""
+        """Refuses and records nothing of it."""
         return self._outcome(reserve, Verdict.RETRY_LATER)
 
     def reserve(self, reserve: Reserve) -> ReserveOutcome:
-        """Adds a turn's most tokens, or refuses and adds nothing."""
+        """Adds a turn's upper bound of tokens, or refuses and adds nothing."""
         verdict = self._answered_before(reserve.reservation)
         if verdict is not None:
             return self._outcome(reserve, verdict)
@@ -87,21 +94,21 @@
             self._close(reserve.reservation, verdict)
         return self._outcome(reserve, verdict)
 
-    def settle(self, settle: Settlement) -> None:
+    def settle(self, settlement: Settlement) -> None:
         """Replaces a reservation by what was handed out; one that is closed stays as it is.
 
         A settlement may come before its reservation, where that was sent twice.  The turn has ended, so a
         reservation of this name is not admitted any more: nobody would settle it.
         """
-        turn = self.open_turns.pop(settle.reservation, None)
+        turn = self.open_turns.pop(settlement.reservation, None)
         if turn is not None:
             self.reserved -= turn.max_tokens
-            self.settled += max(0, settle.used_tokens)
-            if turn.retry and settle.end == TurnEnd.NOT_RUN:
+            self.settled += max(0, settlement.used_tokens)
+            if turn.retry and settlement.end == TurnEnd.NOT_RUN:
                 self.retries -= turn.max_tokens
-            self._end_turn(turn.session, settle)
-        if settle.reservation not in self.closed:
-            self._close(settle.reservation, Verdict.RETRY_LATER)
+            self._end_turn(turn.session, settlement)
+        if settlement.reservation not in self.closed:
+            self._close(settlement.reservation, Verdict.RETRY_LATER)
 
     def _answered_before(self, reservation: str) -> Verdict | None:
         """The verdict on a reservation of this name, which stands however often it is asked for."""
@@ -129,10 +136,10 @@
         if len(self.sessions) > MAX_SESSIONS:
             del self.sessions[next(iter(self.sessions))]
 
-    def _end_turn(self, session: str, settle: Settlement) -> None:
+    def _end_turn(self, session: str, settlement: Settlement) -> None:
         last = self.sessions.get(session)
-        if last is not None and last.reservation == settle.reservation:
-            last.end = TurnEnd(settle.end)
+        if last is not None and last.reservation == settlement.reservation:
+            last.end = TurnEnd(settlement.end)
 
     def _close(self, reservation: str, verdict: Verdict) -> None:
         self.closed[reservation] = verdict
--- a/kestrelbend/tier/budgets/snapshot_codec.py
+++ b/kestrelbend/tier/budgets/snapshot_codec.py
@@ -1,12 +1,13 @@
-"""A program's counter as a line of a saved table, and back.
+"""A table as the bytes of a snapshot, and back.
 
-A table is saved as lines of JSON: an object with the table's time and its forgotten names, an array for each
-program in use, in the order of last use, then objects with up to
-`IDLE_PROGRAMS_PER_LINE` idle programs each, in the order in which they became idle: one flat list of
-names and figures, which is read faster than a list for each.
+A snapshot is lines of JSON: a header with the table's time and its forgotten names (an object), a line for
+each active program (an array) in the order of last use, then lines with up to `IDLE_PROGRAMS_PER_LINE` idle
+programs each (an object), in the order in which they became idle: one flat list of names and figures, which
+is read faster than a list for each.
 
-Invariant: equal tables give equal bytes, however many steps they were made in; a counter that was read and
-not changed is written as the bytes that it was read from.
+Invariant: equal tables give equal bytes, however many steps they were encoded in; a counter that was decoded
+and not changed is encoded as the bytes that it was decoded from.  The bytes are found on disks of earlier
+releases and stay.
 """
 
 from __future__ import annotations
@@ -22,11 +23,14 @@
 from kestrelbend.tier.budgets.program import OpenTurn, ProgramBudget, SessionTurn
 
 IDLE_PROGRAMS_PER_LINE = 1_000
-IDLE_COLUMNS = 5  # the name and `IdleProgram`
+IDLE_COLUMNS = 5  # the name and the fields of `IdleProgram`
+
+_encoder = json.JSONEncoder(separators=(",", ":"))
+_decoder = json.JSONDecoder()
 
 
 class IdleProgram(NamedTuple):
-    """What is kept of a program that was laid aside."""
+    """What is kept of a program that is not active; the fields are written in this order."""
 
     total: int
     retries: int
@@ -41,90 +45,101 @@
     now_ms: int = 0
     forgotten: dict[str, int] = attrs.field(factory=dict)  # see `names.ForgottenNames`
 
-    def written(self) -> bytes:
-        """The first line of a saved table."""
+    def encode(self) -> bytes:
+        """The first line of a snapshot."""
         return _encoder.encode({"now": self.now_ms, "forgotten": self.forgotten}).encode()
 
 
-_encoder = json.JSONEncoder(separators=(",", ":"))
-_decoder = json.JSONDecoder()
+class ActiveProgram:
+    """A program in use: its counter, its line, or both where the line is that of the counter as it is.
 
+    The counter is decoded, and the line encoded, when it is first asked for.
+    """
 
-@attrs.define(eq=False)
-class ActiveProgram:
-    """A program in use: its counter, its line, or both where the line is that of the counter as it is."""
+    __slots__ = ("_counter", "_line", "name")
 
-    name: str
-    counter: ProgramBudget | None = None
-    line: bytes | None = None
+    def __init__(self, name: str, state: ProgramBudget | bytes) -> None:
+        self.name = name
+        self._counter = None if isinstance(state, bytes) else state
+        self._line = state if isinstance(state, bytes) else None
 
-    def read(self) -> ProgramBudget:
-        """The counter; it is taken from the line when it is first asked for."""
-        if self.counter is None:
-            _, *figures = json.loads(self.line)
-            self.counter = _counter(*figures)
-        return self.counter
+    def counter(self) -> ProgramBudget:
+        """The counter; `invalidate` it before it is changed."""
+        if self._counter is None:
+            assert self._line is not None, "a program without a counter has a line"
+            self._counter = _decode_counter(self._line)
+        return self._counter
 
-    def written(self) -> bytes:
-        """The line; it is made from the counter when it is first asked for."""
-        if self.line is None:
-            self.line = _encoder.encode([self.name, *_figures(self.counter)]).encode()
-        return self.line
+    def encode(self) -> bytes:
+        """The line of the counter as it is now."""
+        if self._line is None:
+            self._line = _encode_counter(self.name, self.counter())
+        return self._line
 
-    def changed(self) -> None:
-        """The counter changes: its line no longer holds."""
-        self.line = None
+    def invalidate(self) -> None:
+        """The counter is about to change, so its line no longer holds."""
+        self.counter()
+        self._line = None
 
     @property
-    def size(self) -> int:
-        """About how many figures are to be written, 1 where the line is there."""
-        if self.line is not None:
+    def field_count(self) -> int:
+        """About how many fields are to be encoded, 1 where the line is there."""
+        if self._line is not None:
             return 1
-        counter = self.counter
+        counter = self.counter()
         return 1 + len(counter.open_turns) + len(counter.sessions) + len(counter.closed)
 
 
+@attrs.frozen
+class DecodedTable:
+    """A snapshot's content; the counters of its programs are not decoded yet."""
+
+    header: TableHeader = attrs.field(factory=TableHeader)
+    active: dict[str, ActiveProgram] = attrs.field(factory=dict)
+    idle_lines: list[bytes] = attrs.field(factory=list)  # for `decode_idle`, in their order
+
+
+def decode_table(state: bytes) -> DecodedTable:
+    """The content of a snapshot; no bytes are an empty table."""
+    if not state:
+        return DecodedTable()
+    first, *lines = state.split(b"\n")
+    header = json.loads(first)
+    table = DecodedTable(TableHeader(header["now"], header["forgotten"]))
+    for line in lines:
+        if line.startswith(b"["):
+            program = decode_active(line)
+            table.active[program.name] = program
+        else:
+            table.idle_lines.append(line)
+    return table
+
+
 def decode_active(line: bytes) -> ActiveProgram:
-    """A program of a saved table, whose counter is not looked at yet."""
+    """An active program of a snapshot, whose counter is not decoded yet."""
     name, _ = _decoder.raw_decode(line.decode(), 1)
-    return ActiveProgram(name, line=line)
+    return ActiveProgram(name, line)
 
 
-def encode_idle(idle: list[tuple[str, IdleProgram]]) -> Iterator[bytes]:
-    """The lines of the laid-aside programs, one at a time."""
+def encode_idle(idle: Iterable[tuple[str, IdleProgram]]) -> Iterator[bytes]:
+    """The lines of the idle programs, one at a time."""
     rows = iter(idle)
-    while part := tuple(islice(rows, IDLE_PROGRAMS_PER_LINE)):
-        flat = [figure for name, figures in part for figure in (name, *figures)]
+    while chunk := tuple(islice(rows, IDLE_PROGRAMS_PER_LINE)):
+        flat = [value for name, program in chunk for value in (name, *program)]
         yield _encoder.encode({"idle": flat}).encode()
 
 
 def decode_idle(line: bytes) -> Iterable[tuple[str, IdleProgram]]:
-    """The laid-aside programs of a line, in their order."""
+    """The idle programs of a line, in their order."""
     flat = json.loads(line)["idle"]
     columns = [flat[column::IDLE_COLUMNS] for column in range(IDLE_COLUMNS)]
-    figures = map(IdleProgram._make, zip(*columns[1:], strict=True))
-    return zip(columns[0], figures, strict=True)
-
-
-def decode_table(state: bytes) -> tuple[TableHeader, dict[str, ActiveProgram], list[bytes]]:
-    """The head, the programs in use and the lines of those laid aside; no bytes are an empty table."""
-    if not state:
-        return TableHeader(), {}, []
-    recent: dict[str, ActiveProgram] = {}
-    idle: list[bytes] = []
-    first, *lines = state.split(b"\n")
-    for line in lines:
-        if line.startswith(b"["):
-            program = decode_active(line)
-            recent[program.name] = program
-        else:
-            idle.append(line)
-    head = json.loads(first)
-    return TableHeader(head["now"], head["forgotten"]), recent, idle
+    programs = map(IdleProgram._make, zip(*columns[1:], strict=True))
+    return zip(columns[0], programs, strict=True)
 
 
-def _figures(counter: ProgramBudget) -> list:
-    return [
+def _encode_counter(name: str, counter: ProgramBudget) -> bytes:
+    fields = [
+        name,
         counter.settled,
         counter.retries,
         [[name, turn.max_tokens, turn.session, turn.retry] for name, turn in counter.open_turns.items()],
@@ -133,17 +148,12 @@
         counter.used_at_ms,
         counter.retain_s,
     ]
+    return _encoder.encode(fields).encode()
 
 
-def _counter(
-    settled: int,
-    retries: int,
-    open_turns: list,
-    sessions: list,
-    closed: list,
-    used_at_ms: int,
-    retain_s: int,
-) -> ProgramBudget:
+def _decode_counter(line: bytes) -> ProgramBudget:
+    """What is reserved is the sum of the open turns, so it is not written."""
+    _, settled, retries, open_turns, sessions, closed, used_at_ms, retain_s = json.loads(line)
     counter = ProgramBudget(settled=settled, retries=retries, used_at_ms=used_at_ms, retain_s=retain_s)
     for name, max_tokens, session, retry in open_turns:
         counter.open_turns[name] = OpenTurn(max_tokens, session, retry)
--- a/tests/tier/budget_fleet.py
+++ b/tests/tier/budget_fleet.py
@@ -9,7 +9,8 @@
 import attrs
 
 from kestrelbend.tier.budgets.messages import BudgetReply, BudgetRequest
-from kestrelbend.tier.budgets.shard_service import BudgetMachine, BudgetShards
+from kestrelbend.tier.budgets.shard_service import BudgetShards
+from kestrelbend.tier.budgets.state_machine import BudgetStateMachine
 
 ADDRESSES = ("a", "b", "c")
 
@@ -31,7 +32,7 @@
 
     fleet: BudgetFleet
     address: str
-    machine: BudgetMachine = attrs.field(factory=BudgetMachine)
+    machine: BudgetStateMachine = attrs.field(factory=BudgetStateMachine)
     waiting: dict[int, Callable[[object], None]] = attrs.field(factory=dict)
 
     @property
@@ -111,7 +112,7 @@
     def renew(self, address: str) -> None:
         """A replica that does not own the shard starts anew from another's snapshot."""
         if address != self.owner:
-            self.hosts[address].machine = BudgetMachine()
+            self.hosts[address].machine = BudgetStateMachine()
             self.hosts[address].machine.restore(self.hosts[self.owner].machine.snapshot())
 
     def propose(self, data: bytes) -> int:
--- a/tests/tier/test_budgets_client.py
+++ b/tests/tier/test_budgets_client.py
@@ -33,7 +33,7 @@
 
 def totals(fleet, program="program", address="b"):
     """Reserved and handed out, as a replica has them."""
-    outcome = fleet.hosts[address].machine.table.apply(reserve(program, f"probe of {address}", budget=1))
+    outcome = fleet.hosts[address].machine.table.reserve(reserve(program, f"probe of {address}", budget=1))
     return outcome.total - outcome.settled, outcome.settled
 
 
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -14,16 +14,12 @@
 from kestrelbend.tier.budgets.client import BudgetClient
 from kestrelbend.tier.budgets.commands import elapsed_ms_of
 from kestrelbend.tier.budgets.messages import BudgetRequest, Reserve, Settlement, TurnEnd, Verdict
+from kestrelbend.tier.budgets.idle_programs import DEFAULT_RETAIN_S
 from kestrelbend.tier.budgets.names import MAX_INCARNATIONS, ForgottenNames, ReservationNames
 from kestrelbend.tier.budgets.route import ClientSettings
 from kestrelbend.tier.budgets.program import MAX_CLOSED_RESERVATIONS, MAX_SESSIONS
 from kestrelbend.tier.budgets.shard_service import BudgetShards
-from kestrelbend.tier.budgets.table import (
-    MAX_IDLE_PROGRAMS,
-    MAX_ACTIVE_PROGRAMS,
-    DEFAULT_RETAIN_S,
-    BudgetTable,
-)
+from kestrelbend.tier.budgets.table import MAX_ACTIVE_PROGRAMS, MAX_IDLE_PROGRAMS, BudgetTable
 from kestrelbend.tier.dataplane.turn import Turn, Turns
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
@@ -43,15 +39,15 @@
         return Reserve(name, session, self.names.next(), fingerprint, MOST, budget, False, retain_s)
 
     def reserve(self, *arguments, **others):
-        return self.table.apply(self.command(*arguments, **others))
+        return self.table.reserve(self.command(*arguments, **others))
 
     def settle(self, command, used=MOST, end=TurnEnd.COMPLETE):
-        self.table.apply(Settlement(command.program, command.reservation, used, end))
+        self.table.settle(Settlement(command.program, command.reservation, used, end))
 
     def whole_turns(self, count, name="program"):
         for number in range(count):
             command = self.command(name, fingerprint=1000 + number)
-            self.table.apply(command)
+            self.table.reserve(command)
             self.settle(command)
 
 
@@ -63,7 +59,7 @@
 
     def counter(self, name="program"):
         """Reserved and handed out."""
-        outcome = self.table.apply(Reserve(name, "", "probe", 0, 1, 1, False))
+        outcome = self.table.reserve(Reserve(name, "", "probe", 0, 1, 1, False))
         return outcome.total - outcome.settled, outcome.settled
 
     def test_given_a_closed_reservation_when_it_comes_again_past_the_bound_then_it_is_not_admitted(self):
@@ -71,19 +67,19 @@
             table = BudgetTable()
             gateway = Gateway(table)
             command = gateway.command()
-            table.apply(command)
+            table.reserve(command)
             gateway.settle(command, used=40)
             gateway.whole_turns(others)
-            again = table.apply(command)
+            again = table.reserve(command)
             self.assertEqual(Verdict.RETRY_LATER, again.verdict)
             self.assertEqual(40 + others * MOST, again.total, "no token is held")
 
     def test_given_a_settlement_when_it_comes_again_past_the_bound_then_its_tokens_count_once(self):
         command = self.gateway.command()
-        self.table.apply(command)
+        self.table.reserve(command)
         self.gateway.settle(command, used=40)
         self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
-        self.table.apply(command)
+        self.table.reserve(command)
         self.gateway.settle(command, used=40)
         self.assertEqual((0, 40 + MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
@@ -93,35 +89,35 @@
         command = self.gateway.command()
         self.gateway.settle(command, used=0, end=TurnEnd.NOT_RUN)
         self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
-        self.assertEqual(Verdict.RETRY_LATER, self.table.apply(command).verdict)
+        self.assertEqual(Verdict.RETRY_LATER, self.table.reserve(command).verdict)
         self.assertEqual((0, MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
     def test_given_an_open_turn_when_others_close_then_its_repeat_is_the_same_one_still(self):
         command = self.gateway.command()
-        self.table.apply(command)
+        self.table.reserve(command)
         self.gateway.whole_turns(2 * MAX_CLOSED_RESERVATIONS)
-        self.assertEqual(Verdict.ADMITTED, self.table.apply(command).verdict)
+        self.assertEqual(Verdict.ADMITTED, self.table.reserve(command).verdict)
         self.assertEqual((MOST, 2 * MAX_CLOSED_RESERVATIONS * MOST), self.counter())
 
     def test_given_a_program_laid_aside_with_an_open_turn_when_that_comes_again_then_it_counts_once(self):
         table = BudgetTable(max_active=2)
         gateway = Gateway(table)
         command = gateway.command()
-        table.apply(command)
+        table.reserve(command)
         for number in range(4):
             gateway.reserve(f"other {number}")
-        outcome = table.apply(command)
+        outcome = table.reserve(command)
         self.assertEqual((Verdict.RETRY_LATER, MOST), (outcome.verdict, outcome.total))
 
     def test_given_forgotten_names_when_saved_and_restored_then_they_stay_forgotten(self):
         command = self.gateway.command()
-        self.table.apply(command)
+        self.table.reserve(command)
         self.gateway.settle(command)
         self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
         copy = BudgetTable()
         copy.restore(self.table.snapshot())
-        self.assertEqual(Verdict.RETRY_LATER, copy.apply(command).verdict)
-        self.assertEqual(self.table.apply(command), copy.apply(command))
+        self.assertEqual(Verdict.RETRY_LATER, copy.reserve(command).verdict)
+        self.assertEqual(self.table.reserve(command), copy.reserve(command))
         self.assertEqual(self.table.snapshot(), copy.snapshot())
 
     def test_given_forgotten_names_when_new_tries_come_from_any_gateway_then_they_are_admitted(self):
@@ -150,11 +146,11 @@
         """Past the bound a repeat counts as a first try: the share of retries is looser, not the budget."""
         gateway = self.gateway
         broken = gateway.command(session="first", fingerprint=7)
-        self.table.apply(broken)
+        self.table.reserve(broken)
         gateway.settle(broken, end=TurnEnd.BROKEN_OFF)
         for number in range(MAX_SESSIONS):
             command = gateway.command(session=f"session {number}")
-            self.table.apply(command)
+            self.table.reserve(command)
             gateway.settle(command)
         budget = self.counter()[1] + MOST
         self.assertEqual(
@@ -213,7 +209,7 @@
         copy = BudgetTable(max_active=4, max_idle=8)
         copy.restore(self.table.snapshot())
         copy.advance(DEFAULT_RETAIN_S * 500)
-        outcome = copy.apply(Gateway(copy, incarnation=2).command("stopped", fingerprint=2))
+        outcome = copy.reserve(Gateway(copy, incarnation=2).command("stopped", fingerprint=2))
         self.assertEqual((Verdict.ADMITTED, 4 * MOST), (outcome.verdict, outcome.total))
 
     def test_given_a_settlement_of_a_program_without_room_when_its_reservation_follows_then_it_is_refused(
@@ -223,7 +219,7 @@
         command = self.gateway.command("late")
         self.gateway.settle(command, used=0, end=TurnEnd.NOT_RUN)
         self.table.advance(DEFAULT_RETAIN_S * 1000 + 1)
-        self.assertEqual(Verdict.RETRY_LATER, self.table.apply(command).verdict)
+        self.assertEqual(Verdict.RETRY_LATER, self.table.reserve(command).verdict)
 
     def test_given_the_sizes_that_it_is_meant_for_when_programs_stop_then_all_may_come_back(self):
         """docs/CAPACITY.md: 64,000 programs at once, 2,200 turns a second, six shards; the least turns a
@@ -325,7 +321,7 @@
         await asyncio.sleep(5)
         closed = [await client.close(within=5) for client, _ in gateways]
         self.assertEqual([True, True], closed)
-        probe = fleet.hosts["b"].machine.table.apply(Reserve("program", "", "probe", 0, 1, 1, False))
+        probe = fleet.hosts["b"].machine.table.reserve(Reserve("program", "", "probe", 0, 1, 1, False))
         self.assertEqual((handed_out, handed_out), (probe.total, probe.settled), f"seed {seed}")
 
 
@@ -347,7 +343,7 @@
             fleet.faults = Faults()
             self.assertTrue(await client.close(within=5))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
-            outcome = fleet.hosts["a"].machine.table.apply(probe)
+            outcome = fleet.hosts["a"].machine.table.reserve(probe)
             self.assertEqual((3 * MOST + 20, 20), (outcome.total, outcome.settled))
 
         virtual_time.run(play())
@@ -368,7 +364,7 @@
             ports = [_Port(fleet, incarnation) for incarnation in (1, 2)]
             await asyncio.gather(*(_carry(Turns(port)) for port in (*ports, ports[0])))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
-            return fleet.hosts["a"].machine.table.apply(probe).total
+            return fleet.hosts["a"].machine.table.reserve(probe).total
 
         self.assertEqual(3 * MOST, virtual_time.run(play()))
 
--- a/tests/tier/test_budgets_table.py
+++ b/tests/tier/test_budgets_table.py
@@ -23,10 +23,10 @@
 
     def reserve(self, reservation, fingerprint=1, session="main", spare_capacity=False):
         command = Reserve(self.name, session, reservation, fingerprint, MOST, self.budget, spare_capacity)
-        return self.table.apply(command)
+        return self.table.reserve(command)
 
     def settle(self, reservation, used, end=TurnEnd.COMPLETE):
-        self.table.apply(Settlement(self.name, reservation, used, end))
+        self.table.settle(Settlement(self.name, reservation, used, end))
 
     def turns(self, count):
         """Whole turns of different sessions."""
@@ -45,11 +45,12 @@
         name = f'prögram "{chance.randrange(12)}"'
         reservation, session = f"turn {chance.randrange(90)}", f"session {chance.randrange(3)}"
         if chance.random() < 0.6:
-            command = Reserve(name, session, reservation, chance.randrange(4), MOST, 10**6, True)
+            reserve = Reserve(name, session, reservation, chance.randrange(4), MOST, 10**6, True)
+            outcomes = {str(table.reserve(reserve)) for table in tables}
         else:
             end = chance.choice(list(TurnEnd))
-            command = Settlement(name, reservation, chance.randrange(MOST), end)
-        outcomes = {str(table.apply(command)) for table in tables}
+            settlement = Settlement(name, reservation, chance.randrange(MOST), end)
+            outcomes = {str(table.settle(settlement)) for table in tables}
         assert len(outcomes) == 1, outcomes
 
 
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -26,8 +26,8 @@
         turns = TURNS if number >= MAX_IDLE_PROGRAMS else 1
         for turn in range(turns):
             session, reservation = f"session-{turn:08d}", f"reservation-{number}-{turn:08d}"
-            table.apply(Reserve(name, session, reservation, turn, 100, 10**9, True))
-            table.apply(Settlement(name, reservation, 50, 0))
+            table.reserve(Reserve(name, session, reservation, turn, 100, 10**9, True))
+            table.settle(Settlement(name, reservation, 50, 0))
     return table.snapshot()
 
 
@@ -60,8 +60,8 @@
         earlier = BudgetTable()
         earlier.restore(state)
         earlier.snapshot()
-        table._recent = {**earlier._recent, **table._recent}
-        table._idle = {**earlier._idle, **table._idle}
+        table._active = {**earlier._active, **table._active}
+        table._idle._programs = {**earlier._idle._programs, **table._idle._programs}
         host.replica(SHARD).compact(host.replica(SHARD).applied_index, table.snapshot())
 
 
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -5,7 +5,7 @@
 
 from kestrelbend.tier.budgets.commands import encode_commands
 from kestrelbend.tier.budgets.messages import Reserve
-from kestrelbend.tier.budgets.shard_service import BudgetMachine
+from kestrelbend.tier.budgets.state_machine import BudgetStateMachine
 from kestrelbend.tier.protocol.codec import decode, encode
 from kestrelbend.tier.replication import Timing
 from kestrelbend.tier.replication.host import COMPACT_ENTRIES, DEFERRED_RECORD_BYTES, ShardHost
@@ -42,7 +42,7 @@
         return [ticket for ticket, _ in waiting]
 
 
-class Machine(BudgetMachine):
+class Machine(BudgetStateMachine):
     """Counts the steps of its images."""
 
     def __init__(self):
