--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -1,9 +1,9 @@
 """Backends' reports of themselves: into the registry, and on to the other control nodes and the gateways.
 
-Invariant: a backend's word that it leaves is acknowledged only by a node in contact, once the processes of a
-majority of the configuration's voters hold it.  Any other majority has one of them, and whoever connects to
-it is told; a gateway in touch is connected to all of them.  A plain heartbeat is taken by any node: it
-promises nothing, and after a loss of the whole core the gateways' readiness waits for it.
+Invariant: a backend's report that it leaves is acknowledged only by a node in contact, once the processes of
+a majority of the configuration's voters hold it.  Any other majority has one of them, and whoever connects
+to that one gets it; a gateway in contact is connected to all of them.  A plain heartbeat is accepted by any
+node: it promises nothing, and after a loss of all control nodes the gateways' readiness waits for it.
 """
 
 from __future__ import annotations
@@ -15,17 +15,19 @@
 from ..configuration.ports import ReportOutcome
 from ..discovery.exchange import BackendExchange
 from ..discovery.messages import Backend, BackendState
-from ..discovery.registry import FULL, MOST_TOMBSTONES, BackendRegistry, HeartbeatRejected
+from ..discovery.registry import BackendRegistry
+from ..discovery.report import HeartbeatRejected, RejectionCode
+from ..discovery.tombstones import MAX_TOMBSTONES
 
-ANSWER_S = 0.85  # backends go on to another node after a second
-PAUSE_S = 0.1  # between two looks at whether the word may be acknowledged
+REPLY_TIMEOUT_S = 0.85  # backends go on to another node after a second
+RETRY_INTERVAL_S = 0.1  # between two checks whether a report may be acknowledged
 
 MayAcknowledge = Callable[[set[str]], bool]
 """Whether this node is in contact and, with these other control nodes, is a majority."""
 
 
 class BackendReports:
-    """Takes what backends and other control nodes tell of backends."""
+    """Takes what backends report, and what other control nodes send of them; `now` is in seconds."""
 
     def __init__(
         self,
@@ -38,79 +40,89 @@
         self._exchange = exchange
         self._now = now
         self._may_acknowledge = may_acknowledge
-        self._streamed = 0  # the registry's number that subscribers were brought to
-        self._reported: set[str] = set()  # who reported here since the other control nodes were told
-        self._vouched: dict[str, int] = {}  # the states of backends that leave, as a majority holds them
+        self._published_number = 0  # the registry's number that subscribers were brought to
+        self._reported: set[str] = set()  # who reported here since the other control nodes were notified
+        self._majority_states: dict[str, int] = {}  # of backends that leave, as a majority holds them
 
     async def heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
         """A heartbeat: known here and, where it matters, everywhere before it is acknowledged."""
-        return await self._taken(self._registry.heartbeat(identity, report, self._now()))
+        return await self._publish_outcome(self._registry.heartbeat(identity, report, self._now()))
 
     async def leave(self, identity: str) -> ReportOutcome:
         """A backend has ended."""
-        return await self._taken(self._registry.leave(identity, self._now()))
+        return await self._publish_outcome(self._registry.leave(identity, self._now()))
 
     def merge(self, backends: Iterable[Backend]) -> None:
-        """Takes what another control node tells."""
+        """Takes what another control node sent."""
         now = self._now()
         for backend in backends:
             self._registry.merge(backend, now)
-        if self._registry.urgent_number > self._streamed:
-            self._spread(self._changes())
+        if self._registry.urgent_number > self._published_number:
+            self._publish(self._take_changes())
 
     def publish_pending_changes(self) -> None:
-        """Tells, all together, of the backends of which nothing is new but that they are there."""
-        self._spread(self._changes())
+        """Publishes, all together, the backends of which nothing changed but that they are there."""
+        self._publish(self._take_changes())
 
     def expire_unresponsive(self, in_contact_s: float, heartbeat_interval_s: float) -> None:
-        """Takes silent backends for gone, where this node has been in contact for long enough to say so."""
+        """Presumes unresponsive backends departed, where this node has been in contact for long enough."""
         now = self._now()
-        self._registry.expired(now, heartbeat_interval_s, now - in_contact_s)
-        self._exchange.stream(self._changes())
+        self._registry.expire(now, heartbeat_interval_s, now - in_contact_s)
+        self._exchange.notify_gateways(self._take_changes())
 
-    async def _taken(self, outcome: Backend | HeartbeatRejected) -> ReportOutcome:
+    async def _publish_outcome(self, outcome: Backend | HeartbeatRejected) -> ReportOutcome:
+        """Publishes what the registry made of a report, and says whether the report may be acknowledged."""
         if isinstance(outcome, HeartbeatRejected):
-            return ReportOutcome.UNAVAILABLE if outcome.code == FULL else ReportOutcome.MALFORMED
+            is_full = outcome.code is RejectionCode.REGISTRY_FULL
+            return ReportOutcome.UNAVAILABLE if is_full else ReportOutcome.MALFORMED
         self._reported.add(outcome.identity)
-        if self._registry.urgent_number <= self._streamed and outcome.state == BackendState.READY:
+        nothing_urgent = self._registry.urgent_number <= self._published_number
+        if nothing_urgent and outcome.state == BackendState.READY:
             return ReportOutcome.ACCEPTED
-        changes = self._changes()
-        if outcome.state != BackendState.READY and self._vouched.get(outcome.identity, 0) < outcome.state:
-            return await self._vouch_for(outcome, changes)
+        changes = self._take_changes()
+        if outcome.state != BackendState.READY and not self._majority_holds(outcome):
+            return await self._publish_leaving(outcome, changes)
         if any(backend.state != BackendState.READY for backend in changes):
-            await self._exchange.tell_all(changes)
+            await self._exchange.notify_all(changes)
         else:
-            self._spread(changes)
+            self._publish(changes)
         return ReportOutcome.ACCEPTED
 
-    def _spread(self, changes: list[Backend]) -> None:
-        """To the gateways all of it, to the other control nodes what backends themselves told here."""
-        self._exchange.stream(changes)
-        self._exchange.tell_peers([backend for backend in changes if backend.identity in self._reported])
+    def _publish(self, changes: list[Backend]) -> None:
+        """To the gateways all of it, to the other control nodes what backends themselves reported here."""
+        self._exchange.notify_gateways(changes)
+        reported_here = [backend for backend in changes if backend.identity in self._reported]
+        self._exchange.notify_peers(reported_here)
         self._reported.clear()
 
-    async def _vouch_for(self, leaving: Backend, changes: list[Backend]) -> ReportOutcome:
-        """Tells everybody that a backend leaves, also where it is no news here: it may be news to others."""
-        ends = self._now() + ANSWER_S
+    async def _publish_leaving(self, leaving: Backend, changes: list[Backend]) -> ReportOutcome:
+        """Sends everybody that a backend leaves, also where that is known here: others may not know it."""
+        deadline = self._now() + REPLY_TIMEOUT_S
         others = [backend for backend in changes if backend.identity != leaving.identity]
-        holders = await self._exchange.tell_all([*others, leaving])
+        holders = await self._exchange.notify_all([*others, leaving])
         while not self._may_acknowledge(holders):
-            left = ends - self._now()
-            if left <= PAUSE_S:
+            remaining = deadline - self._now()
+            if remaining <= RETRY_INTERVAL_S:
                 return ReportOutcome.UNAVAILABLE
-            await asyncio.sleep(PAUSE_S)
-            holders = await self._exchange.tell_peers_again([leaving], holders, left - PAUSE_S)
-        self._note_vouched(leaving)
+            await asyncio.sleep(RETRY_INTERVAL_S)
+            holders = await self._exchange.notify_remaining_peers(
+                [leaving], holders, remaining - RETRY_INTERVAL_S
+            )
+        self._record_majority(leaving)
         return ReportOutcome.ACCEPTED
 
-    def _note_vouched(self, leaving: Backend) -> None:
-        self._vouched.pop(leaving.identity, None)
-        self._vouched[leaving.identity] = leaving.state
-        while len(self._vouched) > MOST_TOMBSTONES:
-            del self._vouched[next(iter(self._vouched))]
+    def _majority_holds(self, leaving: Backend) -> bool:
+        return self._majority_states.get(leaving.identity, 0) >= leaving.state
 
-    def _changes(self) -> list[Backend]:
-        """What has changed in the registry since this was last asked."""
-        changes = self._registry.changes_since(self._streamed)
-        self._streamed = changes.number
+    def _record_majority(self, leaving: Backend) -> None:
+        """Records what a majority holds, of the `MAX_TOMBSTONES` backends that left last."""
+        self._majority_states.pop(leaving.identity, None)
+        self._majority_states[leaving.identity] = leaving.state
+        while len(self._majority_states) > MAX_TOMBSTONES:
+            del self._majority_states[next(iter(self._majority_states))]
+
+    def _take_changes(self) -> list[Backend]:
+        """What has changed in the registry since this was last called."""
+        changes = self._registry.changes_since(self._published_number)
+        self._published_number = changes.number
         return list(changes.backends)
--- a/kestrelbend/tier/discovery/exchange.py
+++ b/kestrelbend/tier/discovery/exchange.py
@@ -1,29 +1,45 @@
 """How a control node's registry reaches the other control nodes and the gateways.
 
-Invariant: what was handed to a connection arrives on it in order, or the connection ends and the next one
-begins with all that is known; so whoever is in touch again has every earlier piece of news.
+Invariant: what was sent on a connection arrives on it in order, or the connection ends and the next one
+begins with a complete update; so whoever is in contact again has every earlier update.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 
+import attrs
+
+from ..protocol.peer_connection import PeerConnection
 from .messages import Backend, BackendAck, BackendState, BackendUpdate
 
 ACK_WAIT_S = 0.6
+UNNUMBERED = 0  # the number of updates between control nodes, which are acknowledged one by one
+
+
+@attrs.frozen
+class _AckWaiter:
+    """Somebody waits until everything up to `number` is acknowledged."""
+
+    number: int
+    future: asyncio.Future[None]
+
+    def finish(self) -> None:
+        if not self.future.done():
+            self.future.set_result(None)
 
 
 class Subscriber:
-    """A gateway's stream of backends, on one connection: all news, or that of backends that leave alone."""
+    """A gateway's stream of backends, on one connection: all changes, or only of backends that leave."""
 
-    def __init__(self, link, sender: str):
-        self.link = link
-        self.complete = False
+    def __init__(self, connection: PeerConnection, sender: str) -> None:
+        self.connection = connection
+        self.complete = False  # whether it gets all changes
         self._sender = sender
-        self._number = 0
-        self.acknowledged = 0
-        self._waiting: list[tuple[int, asyncio.Future]] = []
+        self._sent_number = 0
+        self._acknowledged_number = 0
+        self._waiters: list[_AckWaiter] = []
 
     def send(self, backends: Iterable[Backend], complete: bool) -> int:
         """Streams one update, if there is anything in it for this gateway; the number of the last one."""
@@ -31,119 +47,156 @@
             backend for backend in backends if self.complete or backend.state != BackendState.READY
         )
         if wanted or complete:
-            self._number += 1
-            self.link.send(BackendUpdate(self._sender, self._number, complete, wanted))
-        return self._number
+            self._sent_number += 1
+            self.connection.send(BackendUpdate(self._sender, self._sent_number, complete, wanted))
+        return self._sent_number
 
-    def take_ack(self, ack: BackendAck) -> None:
+    def acknowledged(self, ack: BackendAck) -> None:
         """The gateway has everything up to a number."""
-        self.acknowledged = max(self.acknowledged, ack.number)
-        for number, future in self._waiting:
-            if number <= self.acknowledged and not future.done():
-                future.set_result(None)
-        self._waiting = [row for row in self._waiting if not row[1].done()]
+        self._acknowledged_number = max(self._acknowledged_number, ack.number)
+        for waiter in self._waiters:
+            if waiter.number <= self._acknowledged_number:
+                waiter.finish()
+        self._waiters = [waiter for waiter in self._waiters if not waiter.future.done()]
 
-    def until(self, number: int) -> asyncio.Future:
+    def until_acknowledged(self, number: int) -> asyncio.Future[None]:
         """Done once the update is acknowledged or the connection has ended."""
-        future = asyncio.get_running_loop().create_future()
-        if number <= self.acknowledged or self.link.closed:
-            future.set_result(None)
+        waiter = _AckWaiter(number, asyncio.get_running_loop().create_future())
+        if number <= self._acknowledged_number or self.connection.closed:
+            waiter.finish()
         else:
-            self._waiting.append((number, future))
-        return future
+            self._waiters.append(waiter)
+        return waiter.future
 
     def end(self) -> None:
         """The connection ended: nobody waits for it any longer."""
-        for _, future in self._waiting:
-            if not future.done():
-                future.set_result(None)
-        self._waiting.clear()
+        for waiter in self._waiters:
+            waiter.finish()
+        self._waiters.clear()
+
+
+@attrs.frozen
+class SentUpdate:
+    """The last update that a subscriber was sent, by its number."""
+
+    subscriber: Subscriber
+    number: int
 
 
 class BackendExchange:
-    """Spreads what the registry learns."""
+    """Publishes what the registry learns.
 
-    def __init__(self, sender: str, everything: Callable[[], Iterable[Backend]], peers: Callable[[], list]):
+    `everything` gives all that the registry holds, `peers` the connections to the other control nodes.
+    """
+
+    def __init__(
+        self,
+        sender: str,
+        everything: Callable[[], Iterable[Backend]],
+        peers: Callable[[], Sequence[PeerConnection]],
+    ) -> None:
         self._sender = sender
         self._everything = everything
         self._peers = peers
-        self._subscribers: dict[object, Subscriber] = {}
+        self._subscribers: dict[PeerConnection, Subscriber] = {}
+
+    # Gateways
 
-    def subscribe(self, link, complete: bool = True) -> None:
-        """Begins a gateway's stream with all that is known, or with the backends that have left.
+    def subscribe(self, connection: PeerConnection, complete: bool = True) -> None:
+        """Begins a gateway's stream with all that is known, or with the backends that leave or departed.
 
         The numbers on a connection go on where its gateway changes from one to the other.
         """
-        subscriber = self._subscribers.setdefault(link, Subscriber(link, self._sender))
+        subscriber = self._subscribers.setdefault(connection, Subscriber(connection, self._sender))
         subscriber.complete = complete
         subscriber.send(self._everything(), complete)
 
-    def lost(self, link) -> None:
+    def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
-        subscriber = self._subscribers.pop(link, None)
+        subscriber = self._subscribers.pop(connection, None)
         if subscriber is not None:
             subscriber.end()
 
-    def take_ack(self, link, ack: BackendAck) -> None:
+    def acknowledged(self, connection: PeerConnection, ack: BackendAck) -> None:
         """A gateway acknowledges."""
-        subscriber = self._subscribers.get(link)
+        subscriber = self._subscribers.get(connection)
         if subscriber is not None:
-            subscriber.take_ack(ack)
+            subscriber.acknowledged(ack)
 
-    def stream(self, backends: list[Backend]) -> list[tuple[Subscriber, int]]:
-        """Tells the gateways that are subscribed here."""
+    def notify_gateways(self, backends: list[Backend]) -> list[SentUpdate]:
+        """Streams changes to the gateways that are subscribed here."""
         if not backends:
             return []
         return [
-            (subscriber, subscriber.send(backends, complete=False))
+            SentUpdate(subscriber, subscriber.send(backends, complete=False))
             for subscriber in self._subscribers.values()
         ]
 
-    def tell_peers(self, backends: list[Backend]) -> None:
-        """Tells the other control nodes without waiting for them."""
+    # The other control nodes
+
+    def notify_peers(self, backends: list[Backend]) -> None:
+        """Sends changes to the other control nodes without waiting for them."""
         if not backends:
             return
-        news = BackendUpdate(self._sender, 0, False, tuple(backends))
-        for link in self._peers():
-            link.send(news)
+        update = self._peer_update(backends)
+        for connection in self._peers():
+            connection.send(update)
 
-    async def tell_all(self, backends: list[Backend]) -> set[str]:
-        """Tells everybody and waits until they have it, or `ACK_WAIT_S` long.
+    async def notify_all(self, backends: list[Backend]) -> set[str]:
+        """Sends changes to everybody and waits until they are acknowledged, or `ACK_WAIT_S` long.
 
-        The internal addresses of the control nodes that have it, without this one's.
+        The internal addresses of the control nodes that acknowledged, without this one's.
         """
-        waits = [subscriber.until(number) for subscriber, number in self.stream(backends)]
-        return await self._ask_peers(backends, set(), ACK_WAIT_S, waits)
+        acks = [sent.subscriber.until_acknowledged(sent.number) for sent in self.notify_gateways(backends)]
+        return await self._request_peers(backends, set(), ACK_WAIT_S, acks)
 
-    async def tell_peers_again(self, backends: list[Backend], holders: set[str], within: float) -> set[str]:
-        """Tells the control nodes that don't have it yet; all that have it then."""
-        return holders | await self._ask_peers(backends, holders, min(within, ACK_WAIT_S), [])
+    async def notify_remaining_peers(
+        self, backends: list[Backend], holders: set[str], within: float
+    ) -> set[str]:
+        """Sends changes to the control nodes that have not acknowledged them; all that have then.
 
-    async def _ask_peers(
-        self, backends: list[Backend], but: set[str], within: float, waits: list[asyncio.Future]
+        It waits `within` seconds at the most.
+        """
+        timeout = min(within, ACK_WAIT_S)
+        return holders | await self._request_peers(backends, holders, timeout, [])
+
+    async def _request_peers(
+        self,
+        backends: list[Backend],
+        excluded: set[str],
+        timeout: float,
+        acks: list[asyncio.Future[None]],
     ) -> set[str]:
-        news = BackendUpdate(self._sender, 0, False, tuple(backends))
-        asked = {
-            link: asyncio.ensure_future(link.request(news, within))
-            for link in self._peers()
-            if link.address not in but
+        """The addresses of the peers that acknowledged in time; `acks` of gateways are waited for besides."""
+        update = self._peer_update(backends)
+        requests = {
+            connection: asyncio.ensure_future(connection.request(update, timeout))
+            for connection in self._peers()
+            if connection.address not in excluded
         }
-        if not waits and not asked:
+        if not acks and not requests:
             return set()
-        done, late = await asyncio.wait([*waits, *asked.values()], timeout=within)
+        done, late = await asyncio.wait([*acks, *requests.values()], timeout=timeout)
         for future in late:
             future.cancel()
-        answered = [link for link, reply in asked.items() if reply in done and reply.result() is not None]
-        for link in asked:
-            if link not in answered:
-                link.send(news)  # a request may be withdrawn unsent; what is sent stays on its connection
-        return {link.address for link in answered}
+        acknowledged = [
+            connection
+            for connection, reply in requests.items()
+            if reply in done and reply.result() is not None
+        ]
+        for connection in requests:
+            if connection not in acknowledged:
+                connection.send(update)  # a request may be withdrawn unsent; this stays on its connection
+        return {connection.address for connection in acknowledged}
+
+    def send_complete(self, connection: PeerConnection) -> None:
+        """A control node has connected: it gets all of the registry."""
+        connection.send(self._peer_update(self._everything(), complete=True))
 
-    def tell_peer_everything(self, link) -> None:
-        """A control node has come: it gets the whole registry."""
-        link.send(BackendUpdate(self._sender, 0, True, tuple(self._everything())))
+    def _peer_update(self, backends: Iterable[Backend], complete: bool = False) -> BackendUpdate:
+        return BackendUpdate(self._sender, UNNUMBERED, complete, tuple(backends))
 
     @staticmethod
-    def acknowledge_news(link, sequence: int, news: BackendUpdate) -> None:
-        """Answers another control node's news."""
-        link.reply(sequence, BackendAck(news.sender, news.number))
+    def acknowledge(connection: PeerConnection, sequence: int, update: BackendUpdate) -> None:
+        """Replies to another control node's update."""
+        connection.reply(sequence, BackendAck(update.sender, update.number))
--- a/kestrelbend/tier/discovery/freshness.py
+++ b/kestrelbend/tier/discovery/freshness.py
@@ -1,6 +1,6 @@
-"""Telling a backend that fell silent from a listener that hears nobody.
+"""Telling a backend that became unresponsive from a listener that hears nobody.
 
-Invariant: nobody counts as silent unless at least half of the others were heard within the same time; a
+Invariant: nobody counts as unresponsive unless at least half of the others were heard within the same time; a
 listener that is cut off therefore suspects nobody.
 """
 
@@ -8,32 +8,37 @@
 
 from collections.abc import Iterable
 
-SUSPECT_INTERVALS = 3.5
-DEPARTED_INTERVALS = 10.0
+SUSPECT_INTERVALS = 3.5  # heartbeat intervals without a heartbeat, after which a backend is suspected
+DEPARTED_INTERVALS = 10.0  # the same, after which it is presumed departed
 
 
 class Freshness:
     """When each backend's sequence last rose, on the listener's steady clock (seconds)."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, float] = {}
+        self._heard_at: dict[str, float] = {}
 
     def heard(self, identity: str, now: float) -> None:
-        self._heard[identity] = now
+        """Records that a backend's sequence has risen."""
+        self._heard_at[identity] = now
 
     def forget(self, identity: str) -> None:
-        self._heard.pop(identity, None)
+        """Drops a backend that is no longer listened for."""
+        self._heard_at.pop(identity, None)
 
-    def silent(self, identities: Iterable[str], now: float, longest: float) -> tuple[str, ...]:
-        """Those of the identities that weren't heard for `longest` seconds, if most others were."""
-        unresponsive = []
+    def unresponsive(self, identities: Iterable[str], now: float, timeout: float) -> tuple[str, ...]:
+        """Those of the identities that weren't heard for `timeout` seconds, if most others were.
+
+        One that was never heard counts as heard just now.
+        """
+        late = []
         count = 0
         for identity in identities:
             count += 1
-            if now - self._heard.get(identity, now) > longest:
-                unresponsive.append(identity)
-        if not unresponsive:
+            if now - self._heard_at.get(identity, now) > timeout:
+                late.append(identity)
+        if not late:
             return ()
-        fresh = count - len(unresponsive)
+        fresh = count - len(late)
         others = count - 1
-        return tuple(unresponsive) if fresh > 0 and 2 * fresh >= others else ()
+        return tuple(late) if fresh > 0 and 2 * fresh >= others else ()
--- a/kestrelbend/tier/discovery/messages.py
+++ b/kestrelbend/tier/discovery/messages.py
@@ -1,4 +1,7 @@
-"""What is known of one backend, and how control nodes and gateways tell each other."""
+"""What is known of one backend, and how control nodes and gateways notify each other of it.
+
+Fields travel by their position (see `protocol.wire_names`): new ones are added at the end alone.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 
 
 class BackendState(enum.IntEnum):
-    """A backend's state by its own words; a later state never goes back."""
+    """A backend's state by its own reports; a later state never goes back (see `order`)."""
 
-    READY = 0
-    DRAINING = 1
-    DEPARTED = 2
+    READY = 0  # takes requests
+    DRAINING = 1  # ends what it has, and takes nothing new
+    DEPARTED = 2  # has ended, or is presumed to have
 
 
 @attrs.frozen
@@ -21,19 +24,19 @@
 
     identity: str
     service: str
-    address: str
+    address: str  # "ip:port"
     zone: str
-    software: str
-    slots: int
-    state: int
-    warming_up_ms: int
-    sequence: int
+    software: str  # version, or ""
+    slots: int  # requests that it takes at once
+    state: int  # a `BackendState`
+    warming_up_ms: int  # that its slow start still takes; 0 once it is warm
+    sequence: int  # rises with each of its reports
     models: str = ""  # the report's Models, as JSON
 
 
 @attrs.frozen
 class BackendUpdate:
-    """Backends that changed, streamed; `complete` replaces what the sender told before."""
+    """Backends that changed, streamed; a `complete` one replaces all that the sender sent before."""
 
     sender: str
     number: int  # rises by one on a connection; acknowledged by it
--- a/kestrelbend/tier/discovery/registry.py
+++ b/kestrelbend/tier/discovery/registry.py
@@ -1,23 +1,33 @@
-"""A control node's list of backends, from their own heartbeats and from the other control nodes.
+"""A control node's registry of backends, from their own heartbeats and from the other control nodes.
+
+What happens to one incarnation, and which call brings it about:
+
+    unknown   --heartbeat, merge-->                         READY or DRAINING
+    READY     --heartbeat, merge-->                         DRAINING
+    any       --leave, merge-->                             DEPARTED for good
+    any live  --expire: unresponsive-->                     presumed DEPARTED
+    any live  --heartbeat of another at its address-->      presumed DEPARTED
+    presumed  --heartbeat, merge of a later report-->       READY or DRAINING, as it was
+    DEPARTED  --expire: tombstone too old, or too many-->   unknown
 
 Invariant: the entry of an incarnation only ever moves forward in the order of `order.supersedes`; a report
 that comes late or twice changes nothing.  Once an incarnation has reported here by itself, the others at its
-address are gone; what other nodes tell displaces nobody, as it may be older than what is known here.
+address are departed; what other nodes send displaces nobody, as it may be older than what is known here.
+All times are this node's steady clock, in seconds.
 """
 
 from __future__ import annotations
 
 import attrs
 
-from kestrelbend.tier.discovery.freshness import DEPARTED_INTERVALS, SUSPECT_INTERVALS, Freshness
-from kestrelbend.tier.discovery.messages import Backend, BackendState
-from kestrelbend.tier.discovery.order import differs, as_departed, presumed_departed, supersedes
-from kestrelbend.tier.discovery.report import HeartbeatRejected, is_name, read_report
+from .freshness import DEPARTED_INTERVALS, SUSPECT_INTERVALS, Freshness
+from .live_addresses import LiveAddresses
+from .messages import Backend, BackendState
+from .order import as_departed, as_draining, differs, presumed_departed, supersedes
+from .report import HeartbeatRejected, RejectionCode, is_name, read_report
+from .tombstones import Tombstones
 
-TOMBSTONE_S = 600.0
-MOST_TOMBSTONES = 10_000
-MOST_LIVE = 20_000
-FULL = "full"  # the rejection that says nothing about the report
+MAX_LIVE = 20_000  # backends that are not departed
 COUNTERS_STREAM_INTERVAL_S = 2.0  # a change of nothing but counters is streamed at most this often
 
 
@@ -26,13 +36,12 @@
     backend: Backend
     changed: int  # the registry's number when it was last to be streamed
     streamed_at: float
-    drained: bool
-    departed_at: float = 0.0
+    drained: bool  # it has reported that it drains
 
 
 @attrs.frozen
 class UnresponsiveBackends:
-    """Backends that fell silent: `suspects` are chosen last, `departed` were just presumed gone."""
+    """`suspects` are chosen last, `departed` were just presumed so."""
 
     suspects: tuple[str, ...]
     departed: tuple[Backend, ...]
@@ -46,48 +55,13 @@
     backends: tuple[Backend, ...]
 
 
-class LiveAddresses:
-    """Which incarnations that are not gone are known at each address."""
-
-    def __init__(self) -> None:
-        self._at: dict[str, set[str]] = {}
-        self.count = 0
-
-    def add(self, address: str, identity: str) -> None:
-        """Notes an incarnation; it may be noted already."""
-        held = self._at.setdefault(address, set())
-        self.count += identity not in held
-        held.add(identity)
-
-    def remove(self, address: str, identity: str) -> None:
-        """Forgets an incarnation, if it is known at the address."""
-        held = self._at.get(address)
-        if held is None or identity not in held:
-            return
-        held.remove(identity)
-        self.count -= 1
-        if not held:
-            del self._at[address]
-
-    def others(self, address: str, identity: str) -> tuple[str, ...]:
-        """The incarnations at an address beside one."""
-        held = self._at.get(address)
-        if held is None or held == {identity}:
-            return ()
-        return tuple(sorted(held - {identity}))
-
-    def identities(self) -> tuple[str, ...]:
-        """All incarnations."""
-        return tuple(identity for held in self._at.values() for identity in held)
-
-
 class BackendRegistry:
-    """All backends that are known, and tombstones of those that are gone."""
+    """All backends that are known, and tombstones of those that are departed."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}  # in the order of `changed`
         self._live = LiveAddresses()
-        self._tombstones: dict[str, None] = {}
+        self._tombstones = Tombstones()
         self._freshness = Freshness()
         self._number = 0
         self._urgent_number = 0
@@ -102,33 +76,57 @@
         """Rises with each change that is to be streamed."""
         return self._number
 
+    # What comes in
+
     def heartbeat(self, identity: str, report: object, now: float) -> Backend | HeartbeatRejected:
         """Takes a backend's own report; returns the backend as it is now known."""
         backend = read_report(identity, report)
         if isinstance(backend, HeartbeatRejected):
             return backend
-        if identity not in self._entries and self._live.count >= MOST_LIVE:
-            return HeartbeatRejected(FULL, "too many backends are known")
-        if self._offer(backend, now):
+        if self._is_full_for(identity):
+            return HeartbeatRejected(RejectionCode.REGISTRY_FULL, "too many backends are known")
+        if self._apply(backend, now):
             self._displace_others(backend, now)
         return self._entries[identity].backend
 
     def leave(self, identity: str, now: float) -> Backend | HeartbeatRejected:
-        """Takes a backend's word that it ends; an unknown one is remembered as gone."""
+        """Takes a backend's report that it ends; an unknown one is remembered as departed."""
         if not is_name(identity):
-            return HeartbeatRejected("identity", "the id is no short text")
+            return HeartbeatRejected(RejectionCode.IDENTITY, "the id is no short text")
         entry = self._entries.get(identity)
-        known = entry.backend if entry else Backend(identity, "", "", "", "", 0, 0, 0, 0)
-        self._offer(as_departed(known), now)
+        known = entry.backend if entry else _unknown_backend(identity)
+        self._apply(as_departed(known), now)
         return self._entries[identity].backend
 
     def merge(self, backend: Backend, now: float) -> bool:
-        """Takes what another control node told; True if it was news."""
-        if backend.identity not in self._entries and self._live.count >= MOST_LIVE:
+        """Takes what another control node sent; True if it was newer than what was known."""
+        if self._is_full_for(backend.identity):
             return False
-        return self._offer(backend, now)
+        return self._apply(backend, now)
+
+    def expire(self, now: float, heartbeat_interval: float, in_contact_since: float) -> UnresponsiveBackends:
+        """Presumes backends departed that are unresponsive for `DEPARTED_INTERVALS`; drops old tombstones.
+
+        Nobody is presumed departed unless the node was in contact for longer than that.
+        """
+        for identity in self._tombstones.take_expired(now):
+            self._forget(identity)
+        live = self._live.identities()
+        suspects = self._freshness.unresponsive(live, now, SUSPECT_INTERVALS * heartbeat_interval)
+        departure_timeout = DEPARTED_INTERVALS * heartbeat_interval
+        if not suspects or now - in_contact_since <= departure_timeout:
+            return UnresponsiveBackends(suspects, ())
+        departed = {}
+        for identity in self._freshness.unresponsive(live, now, departure_timeout):
+            self._apply(presumed_departed(self._entries[identity].backend), now)
+            departed[identity] = self._entries[identity].backend
+        remaining = tuple(identity for identity in suspects if identity not in departed)
+        return UnresponsiveBackends(remaining, tuple(departed.values()))
+
+    # What is known
 
     def get(self, identity: str) -> Backend | None:
+        """What is known of one incarnation."""
         entry = self._entries.get(identity)
         return entry.backend if entry else None
 
@@ -154,42 +152,35 @@
         changed.reverse()
         return Changes(self._number, tuple(changed))
 
-    def expired(self, now: float, heartbeat_interval: float, in_touch_since: float) -> UnresponsiveBackends:
-        """Presumes long silent backends gone, if the node was in touch meanwhile; drops old tombstones."""
-        self._drop_tombstones(now)
-        live = self._live.identities()
-        suspects = self._freshness.silent(live, now, SUSPECT_INTERVALS * heartbeat_interval)
-        longest = DEPARTED_INTERVALS * heartbeat_interval
-        if not suspects or now - in_touch_since <= longest:
-            return UnresponsiveBackends(suspects, ())
-        departed = []
-        for identity in self._freshness.silent(live, now, longest):
-            self._offer(presumed_departed(self._entries[identity].backend), now)
-            departed.append(self._entries[identity].backend)
-        departed_identities = {backend.identity for backend in departed}
-        return UnresponsiveBackends(
-            tuple(name for name in suspects if name not in departed_identities), tuple(departed)
-        )
+    # How entries move
+
+    def _is_full_for(self, identity: str) -> bool:
+        return identity not in self._entries and self._live.count >= MAX_LIVE
 
-    def _offer(self, backend: Backend, now: float) -> bool:
+    def _apply(self, backend: Backend, now: float) -> bool:
+        """Moves the incarnation's entry forward to a report; False where the report is not newer."""
         entry = self._entries.get(backend.identity)
         if entry is None:
-            entry = _Entry(backend, 0, now, backend.state == BackendState.DRAINING)
-            self._entries[backend.identity] = entry
-            self._freshness.heard(backend.identity, now)
-            self._publish(entry, now)
-            self._urgent_number = self._number
-            self._place(entry, None, now)
+            self._add(backend, now)
             return True
         if not supersedes(backend, entry.backend):
             return False
         self._advance(entry, backend, now)
         return True
 
+    def _add(self, backend: Backend, now: float) -> None:
+        entry = _Entry(backend, 0, now, backend.state == BackendState.DRAINING)
+        self._entries[backend.identity] = entry
+        self._freshness.heard(backend.identity, now)
+        self._publish(entry, now)
+        self._urgent_number = self._number
+        self._update_indexes(backend, now)
+
     def _advance(self, entry: _Entry, backend: Backend, now: float) -> None:
         if backend.state == BackendState.READY and entry.drained:
-            backend = attrs.evolve(backend, state=int(BackendState.DRAINING))
-        before, entry.backend = entry.backend, backend
+            backend = as_draining(backend)
+        before = entry.backend
+        entry.backend = backend
         entry.drained = entry.drained or backend.state == BackendState.DRAINING
         if backend.sequence > before.sequence:
             self._freshness.heard(backend.identity, now)
@@ -198,49 +189,52 @@
             self._urgent_number = self._number
         elif now - entry.streamed_at >= COUNTERS_STREAM_INTERVAL_S:
             self._publish(entry, now)
-        self._place(entry, before, now)
+        self._live.remove(before.address, before.identity)
+        self._update_indexes(backend, now)
 
     def _publish(self, entry: _Entry, now: float) -> None:
-        """Gives the entry the newest number and the last place."""
+        """Gives the entry the newest number and the last position."""
         self._number += 1
         entry.changed = self._number
         entry.streamed_at = now
         self._entries[entry.backend.identity] = self._entries.pop(entry.backend.identity)
 
-    def _place(self, entry: _Entry, before: Backend | None, now: float) -> None:
-        """Keeps the live addresses and the tombstones in step with an entry that moved."""
-        backend = entry.backend
-        if before is not None:
-            self._live.remove(before.address, before.identity)
+    def _update_indexes(self, backend: Backend, now: float) -> None:
+        """Adds an entry that moved to the live addresses or to the tombstones."""
         if backend.state == BackendState.DEPARTED:
-            self._bury(entry, now)
+            self._add_tombstone(backend.identity, now)
             return
-        self._tombstones.pop(backend.identity, None)
+        self._tombstones.remove(backend.identity)
         self._live.add(backend.address, backend.identity)
 
     def _displace_others(self, backend: Backend, now: float) -> None:
         """The backend has just reported, so earlier incarnations at its address have ended."""
         if backend.state != BackendState.DEPARTED:
             for identity in self._live.others(backend.address, backend.identity):
-                self._offer(presumed_departed(self._entries[identity].backend), now)
+                self._apply(presumed_departed(self._entries[identity].backend), now)
 
-    def _bury(self, entry: _Entry, now: float) -> None:
-        identity = entry.backend.identity
-        if identity not in self._tombstones:
-            entry.departed_at = now
-            self._tombstones[identity] = None
+    def _add_tombstone(self, identity: str, now: float) -> None:
+        if self._tombstones.add(identity, now):
             self._freshness.forget(identity)
-        while len(self._tombstones) > MOST_TOMBSTONES:
-            self._forget(next(iter(self._tombstones)))
-
-    def _drop_tombstones(self, now: float) -> None:
-        while self._tombstones:
-            oldest = next(iter(self._tombstones))
-            if now - self._entries[oldest].departed_at < TOMBSTONE_S:
-                return
-            self._forget(oldest)
+        for excess in self._tombstones.take_excess():
+            self._forget(excess)
 
     def _forget(self, identity: str) -> None:
-        del self._tombstones[identity]
+        """Drops what is known of a departed incarnation; its tombstone is gone already."""
         del self._entries[identity]
         self._freshness.forget(identity)
+
+
+def _unknown_backend(identity: str) -> Backend:
+    """A backend of which nothing but its identity is known."""
+    return Backend(
+        identity=identity,
+        service="",
+        address="",
+        zone="",
+        software="",
+        slots=0,
+        state=int(BackendState.READY),
+        warming_up_ms=0,
+        sequence=0,
+    )
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import enum
 import json
 from typing import Any
 
@@ -15,27 +16,36 @@
     is_positive_integer,
     is_text,
 )
-from kestrelbend.tier.discovery.messages import Backend, BackendState
-from kestrelbend.tier.discovery.order import DEPARTURE_SEQUENCE
+from .messages import Backend, BackendState
+from .order import DEPARTURE_SEQUENCE
 
-MOST_NAME = 256  # characters
-MOST_MODELS_TEXT = 16 * 1024  # characters
-MOST_COLD_MS = 2**31
-MOST_SLOTS = 2**31 - 1
+MAX_NAME_LENGTH = 256  # characters
+MAX_MODELS_LENGTH = 16 * 1024  # characters
+MAX_WARMING_UP_MS = 2**31
+MAX_SLOTS = 2**31 - 1
 STATES = {"ready": BackendState.READY, "draining": BackendState.DRAINING}
 
 
+class RejectionCode(enum.StrEnum):
+    """Why a heartbeat is rejected, in one word for counting."""
+
+    IDENTITY = "identity"
+    FORM = "form"
+    MODELS = "models"
+    REGISTRY_FULL = "full"  # says nothing about the report
+
+
 @attrs.frozen
 class HeartbeatRejected:
-    """Why a heartbeat isn't taken; `code` is one word for counting."""
+    """A heartbeat that isn't taken; `reason` says what is wrong with it."""
 
-    code: str
+    code: RejectionCode
     reason: str
 
 
 def is_name(value: Any) -> bool:
     """A non-empty text that is short enough to be a name."""
-    return is_text(value) and len(value) <= MOST_NAME
+    return is_text(value) and len(value) <= MAX_NAME_LENGTH
 
 
 def _is_state(value: Any) -> bool:
@@ -43,15 +53,19 @@
 
 
 def _is_slots(value: Any) -> bool:
-    return is_positive_integer(value) and value <= MOST_SLOTS
+    return is_positive_integer(value) and value <= MAX_SLOTS
 
 
 def _is_sequence(value: Any) -> bool:
     return type(value) is int and 0 <= value < DEPARTURE_SEQUENCE
 
 
-def _is_cold(value: Any) -> bool:
-    return is_number(value) and 0 <= value <= MOST_COLD_MS
+def _is_warming_up(value: Any) -> bool:
+    return is_number(value) and 0 <= value <= MAX_WARMING_UP_MS
+
+
+def _is_models(value: Any) -> bool:
+    return isinstance(value, list)
 
 
 REPORT = schema.Schema(
@@ -64,7 +78,7 @@
             "State": _is_state,
             "Seq": _is_sequence,
         },
-        optional={"Ver": is_name, "ColdLeftMs": _is_cold, "Models": lambda value: isinstance(value, list)},
+        optional={"Ver": is_name, "ColdLeftMs": _is_warming_up, "Models": _is_models},
     )
 )
 
@@ -72,14 +86,14 @@
 def read_report(identity: str, report: object) -> Backend | HeartbeatRejected:
     """The backend that a heartbeat describes; unknown fields are ignored."""
     if not is_name(identity):
-        return HeartbeatRejected("identity", "the id is no short text")
+        return HeartbeatRejected(RejectionCode.IDENTITY, "the id is no short text")
     try:
         fields = REPORT.validate(report)
     except schema.SchemaError as error:
-        return HeartbeatRejected("form", f"the report: {error.code}")
+        return HeartbeatRejected(RejectionCode.FORM, f"the report: {error.code}")
     models = _models_text(fields.get("Models"))
     if models is None:
-        return HeartbeatRejected("models", "Models is too large")
+        return HeartbeatRejected(RejectionCode.MODELS, "Models is too large")
     return Backend(
         identity=identity,
         service=fields["Upstream"],
@@ -102,4 +116,4 @@
         text = json.dumps(models, separators=(",", ":"))
     except (ValueError, TypeError, RecursionError):
         return None
-    return text if len(text) <= MOST_MODELS_TEXT else None
+    return text if len(text) <= MAX_MODELS_LENGTH else None
--- a/kestrelbend/tier/fleet/watch.py
+++ b/kestrelbend/tier/fleet/watch.py
@@ -170,7 +170,7 @@
 
     def _look_at_backends(self, gateway: Process, drained: list) -> None:
         for backend in drained:
-            chosen = gateway.instance.view.of(backend.service)
+            chosen = gateway.instance.view.ready(backend.service)
             if any(one.identity == backend.identity for one in chosen):
                 key = f"{gateway.name} {backend.identity}"
                 self._broken_once(key, f"{gateway.name} still sends to {backend.identity}, which drains")
@@ -188,7 +188,7 @@
             if not gateway.instance.life.ready:
                 self._fleet.broken(f"{gateway.name} is not ready in a calm time")
             for backend in self._backends.ready():
-                known = gateway.instance.view.of(backend.service)
+                known = gateway.instance.view.ready(backend.service)
                 old = now - backend.began_at > BACKEND_KNOWN_S
                 if old and all(one.identity != backend.identity for one in known):
                     self._fleet.broken(f"{gateway.name} does not know {backend.identity}")
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -140,7 +140,7 @@
     def on_peer(self, connection):
         """Another control node gets all that is known of backends; it has no need of other streams."""
         if connection.address in self.control_addresses():
-            self.exchange.tell_peer_everything(connection)
+            self.exchange.send_complete(connection)
 
     def on_lost(self, connection):
         """Ends the streams of a connection."""
@@ -164,10 +164,10 @@
         elif isinstance(message, ConfigFetch):
             self._send_newer_configuration(connection, message.version)
         elif isinstance(message, BackendAck):
-            self.exchange.take_ack(connection, message)
+            self.exchange.acknowledged(connection, message)
         elif isinstance(message, BackendUpdate):
             self.backend_reports.merge(message.backends)
-            self.exchange.acknowledge_news(connection, sequence, message)
+            self.exchange.acknowledge(connection, sequence, message)
         elif isinstance(message, ConfigOrder):
             self._answer(connection, sequence, self._decide(message))
         elif isinstance(message, ReadRequest):
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -128,7 +128,7 @@
 
     def _take_backends(self, connection, update: BackendUpdate) -> None:
         now = self.now()
-        self.view.take(update, now)
+        self.view.merge(update, now)
         if update.complete and self._backends_notified_at is None:
             self._backends_notified_at = now
         connection.send(BackendAck(update.sender, update.number))
@@ -198,7 +198,7 @@
 
     def of(self, service: str):
         """The ready backends of a service."""
-        return self.view.of(service)
+        return self.view.ready(service)
 
     def mark_departed(self, identity: str) -> None:
         """Another backend answered in this one's place."""
@@ -238,7 +238,7 @@
         if now - self._backends_notified_at > SETTLED_BACKENDS_S:
             return True
         table = self.routing.current()
-        return all(self.view.of(service) for service in table.services)
+        return all(self.view.ready(service) for service in table.services)
 
     # Life
 
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -7,7 +7,7 @@
 import testtools
 
 from kestrelbend.tier.configuration.ports import ReportOutcome
-from kestrelbend.tier.control.backend_reports import ANSWER_S, BackendReports
+from kestrelbend.tier.control.backend_reports import REPLY_TIMEOUT_S, BackendReports
 from kestrelbend.tier.discovery import registry as registry_module
 from kestrelbend.tier.discovery.exchange import ACK_WAIT_S, BackendExchange
 from kestrelbend.tier.discovery.messages import BackendAck, BackendState, BackendUpdate
@@ -33,13 +33,13 @@
     def __init__(self, address, delay=0.01):
         self.address = address
         self.delay = delay
-        self.news = []
+        self.updates = []
 
     def send(self, message):
-        self.news.append(message)
+        self.updates.append(message)
 
     async def request(self, message, timeout):
-        self.news.append(message)
+        self.updates.append(message)
         if self.delay is None or self.delay > timeout:
             await asyncio.sleep(timeout)
             return None
@@ -100,7 +100,7 @@
             outcome, took = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertTrue(took < 0.05, took)
-            self.assertEqual(BackendState.DRAINING, self.far.news[-1].backends[0].state)
+            self.assertEqual(BackendState.DRAINING, self.far.updates[-1].backends[0].state)
 
         self.play(story)
 
@@ -110,7 +110,7 @@
             for answering in (self.drain(), self.timed(self.reports.leave("i-1"))):
                 outcome, took = await answering
                 self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
-                self.assertTrue(took <= ANSWER_S, took)
+                self.assertTrue(took <= REPLY_TIMEOUT_S, took)
 
         self.play(story)
 
@@ -119,7 +119,7 @@
             self.in_contact = False
             outcome, _ = await self.drain()
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
-            self.assertEqual(BackendState.DRAINING, self.near.news[0].backends[0].state)
+            self.assertEqual(BackendState.DRAINING, self.near.updates[0].backends[0].state)
 
         self.play(story)
 
@@ -141,7 +141,7 @@
             asyncio.get_running_loop().call_later(0.3, setattr, self, "in_contact", True)
             outcome, took = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertTrue(0.3 <= took < ANSWER_S, took)
+            self.assertTrue(0.3 <= took < REPLY_TIMEOUT_S, took)
 
         self.play(story)
 
@@ -161,7 +161,7 @@
             asyncio.get_running_loop().call_later(0.5, setattr, self.near, "delay", 0.01)
             outcome, _ = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertEqual(3, len(self.near.news))
+            self.assertEqual(3, len(self.near.updates))
 
         self.play(story)
 
@@ -169,8 +169,8 @@
         async def story():
             self.far.delay = None
             await self.drain()
-            self.assertEqual(2, len(self.far.news))
-            self.assertEqual(self.far.news[0], self.far.news[1])
+            self.assertEqual(2, len(self.far.updates))
+            self.assertEqual(self.far.updates[0], self.far.updates[1])
 
         self.play(story)
 
@@ -197,12 +197,12 @@
     def test_given_plain_heartbeats_then_they_are_spread_together_later(self):
         async def story():
             await self.heartbeat()
-            told = len(self.near.news)
+            published = len(self.near.updates)
             await asyncio.sleep(COUNTERS_STREAM_INTERVAL_S)
             await self.heartbeat(Seq=2)
-            self.assertEqual(told, len(self.near.news))
+            self.assertEqual(published, len(self.near.updates))
             self.reports.publish_pending_changes()
-            self.assertEqual(2, self.near.news[-1].backends[0].sequence)
+            self.assertEqual(2, self.near.updates[-1].backends[0].sequence)
 
         self.play(story)
 
@@ -211,7 +211,7 @@
             backend = read_report("i-9", READY)
             self.reports.merge([backend])
             self.reports.publish_pending_changes()
-            self.assertEqual([], self.near.news)
+            self.assertEqual([], self.near.updates)
 
         self.play(story)
 
@@ -227,7 +227,7 @@
         self.play(story)
 
     def test_given_a_full_registry_then_a_proper_heartbeat_is_not_called_malformed(self):
-        self.patch(registry_module, "MOST_LIVE", 0)
+        self.patch(registry_module, "MAX_LIVE", 0)
 
         async def story():
             outcome, _ = await self.heartbeat()
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -9,10 +9,12 @@
 from hypothesis import strategies
 
 from kestrelbend.tier.discovery import registry as registry_module
+from kestrelbend.tier.discovery import tombstones as tombstones_module
 from kestrelbend.tier.discovery.messages import Backend, BackendState
 from kestrelbend.tier.discovery.order import DEPARTURE_SEQUENCE, as_departed, presumed_departed, supersedes
-from kestrelbend.tier.discovery.registry import COUNTERS_STREAM_INTERVAL_S, TOMBSTONE_S, BackendRegistry
+from kestrelbend.tier.discovery.registry import COUNTERS_STREAM_INTERVAL_S, BackendRegistry
 from kestrelbend.tier.discovery.report import HeartbeatRejected
+from kestrelbend.tier.discovery.tombstones import TOMBSTONE_S
 
 REPEATABLE = hypothesis.settings(derandomize=True, database=None, deadline=None)
 READY, DRAINING, DEPARTED = (int(state) for state in BackendState)
@@ -183,13 +185,13 @@
         words += [presumed_departed(words[2]), presumed_departed(words[4]), presumed_departed(words[6])]
         for seed in range(200):
             rng = random.Random(seed)
-            told = rng.sample(words, rng.randrange(1, len(words))) + [as_departed(words[0])] * rng.randrange(
-                2
-            )
+            reports = rng.sample(words, rng.randrange(1, len(words))) + [
+                as_departed(words[0])
+            ] * rng.randrange(2)
             states = set()
             for _ in range(4):
                 registry = BackendRegistry()
-                for word in rng.sample(told, len(told)):
+                for word in rng.sample(reports, len(reports)):
                     registry.merge(word, 0.0)
                 states.add((registry.get("i-1").state, registry.get("i-1").sequence))
             self.assertEqual(1, len(states), (seed, states))
@@ -204,15 +206,15 @@
                 self.assertFalse(supersedes(one, other) and supersedes(other, one))
 
     def test_given_old_tombstones_or_too_many_then_they_are_forgotten(self):
-        self.patch(registry_module, "MOST_TOMBSTONES", 3)
+        self.patch(tombstones_module, "MAX_TOMBSTONES", 3)
         for index in range(5):
             self.registry.leave(f"i-{index}", float(index))
         self.assertEqual(["i-2", "i-3", "i-4"], [backend.identity for backend in self.registry.all()])
-        self.registry.expired(2.5 + TOMBSTONE_S, INTERVAL, 0.0)
+        self.registry.expire(2.5 + TOMBSTONE_S, INTERVAL, 0.0)
         self.assertEqual(["i-3", "i-4"], [backend.identity for backend in self.registry.all()])
 
     def test_given_too_many_backends_then_new_ones_are_rejected_and_known_ones_heard(self):
-        self.patch(registry_module, "MOST_LIVE", 1)
+        self.patch(registry_module, "MAX_LIVE", 1)
         self.registry.heartbeat("i-1", report(1), 0.0)
         other = report(1, address="10.0.0.8:80")
         self.assertEqual("full", self.registry.heartbeat("i-2", other, 0.0).code)
@@ -233,15 +235,15 @@
     def test_given_one_that_is_silent_among_others_then_it_is_suspect_and_later_gone(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
-        self.assertEqual(("a",), self.registry.expired(3.6, INTERVAL, 0.0).suspects)
-        silent = self.registry.expired(11.0, INTERVAL, 0.0)
+        self.assertEqual(("a",), self.registry.expire(3.6, INTERVAL, 0.0).suspects)
+        silent = self.registry.expire(11.0, INTERVAL, 0.0)
         self.assertEqual(((), ["a"]), (silent.suspects, [backend.identity for backend in silent.departed]))
         self.assertEqual(DEPARTED, self.registry.get("a").state)
 
     def test_given_one_presumed_gone_then_its_next_report_brings_it_back(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
-        self.registry.expired(11.0, INTERVAL, 0.0)
+        self.registry.expire(11.0, INTERVAL, 0.0)
         self.send_heartbeats(12, "a")
         self.assertEqual(READY, self.registry.get("a").state)
 
@@ -255,11 +257,11 @@
         self.send_heartbeats(0.0, *"abcd")
         self.send_heartbeats(9.0, "a")
         for now in (20.0, 9.5):
-            silent = self.registry.expired(now, INTERVAL, 0.0)
+            silent = self.registry.expire(now, INTERVAL, 0.0)
             self.assertEqual(((), ()), (silent.suspects, silent.departed))
 
     def test_given_a_node_that_was_out_of_touch_then_it_presumes_nobody_gone(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
-        silent = self.registry.expired(11.0, INTERVAL, 5.0)
+        silent = self.registry.expire(11.0, INTERVAL, 5.0)
         self.assertEqual((("a",), ()), (silent.suspects, silent.departed))
--- a/tests/tier/test_discovery_view.py
+++ b/tests/tier/test_discovery_view.py
@@ -5,7 +5,8 @@
 
 from kestrelbend.tier.discovery.messages import Backend, BackendState, BackendUpdate
 from kestrelbend.tier.discovery.order import as_departed, presumed_departed
-from kestrelbend.tier.discovery.view import TOMBSTONE_S, BackendView
+from kestrelbend.tier.discovery.tombstones import TOMBSTONE_S
+from kestrelbend.tier.discovery.view import BackendView
 
 READY, DRAINING, DEPARTED = (int(state) for state in BackendState)
 INTERVAL = 1.0
@@ -25,10 +26,10 @@
         self.view = BackendView()
 
     def take(self, *backends, sender="c-1", complete=False, now=0.0):
-        return self.view.take(BackendUpdate(sender, 1, complete, backends), now)
+        return self.view.merge(BackendUpdate(sender, 1, complete, backends), now)
 
     def names(self, service="blue"):
-        return [known.identity for known in self.view.of(service)]
+        return [known.identity for known in self.view.ready(service)]
 
     def test_given_updates_of_two_senders_then_the_view_holds_both(self):
         self.take(backend("a"), backend("x", service="green"))
@@ -65,12 +66,12 @@
 
     def test_given_counters_that_run_on_then_the_choice_is_not_built_anew(self):
         self.take(backend("a", 5), backend("b", 5))
-        before = self.view.of("blue")
+        before = self.view.ready("blue")
         self.take(backend("a", 6), backend("b", 7))
-        self.assertIs(before, self.view.of("blue"))
+        self.assertIs(before, self.view.ready("blue"))
         self.assertEqual(7, self.view.get("b").sequence)
         self.take(backend("a", 8, slots=9))
-        self.assertEqual([9, 4], [known.slots for known in self.view.of("blue")])
+        self.assertEqual([9, 4], [known.slots for known in self.view.ready("blue")])
 
     def test_given_one_that_moves_to_another_service_then_it_is_in_that_one_only(self):
         self.take(backend("a", 5))
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -94,7 +94,7 @@
 
     def test_given_a_gateway_when_it_subscribes_then_it_gets_everything_first(self):
         self.given_an_exchange()
-        self.exchange.stream([backend()])
+        self.exchange.notify_gateways([backend()])
         expected = [
             BackendUpdate("c:1", 1, True, (backend(0),)),
             BackendUpdate("c:1", 2, False, (backend(),)),
@@ -105,15 +105,15 @@
         self.given_an_exchange()
         other = FakeConnection()
         self.exchange.subscribe(other, complete=False)
-        self.exchange.stream([backend(0), backend(1)])
-        self.exchange.stream([backend(0, 3)])
+        self.exchange.notify_gateways([backend(0), backend(1)])
+        self.exchange.notify_gateways([backend(0, 3)])
         self.assertEqual([BackendUpdate("c:1", 1, False, (backend(1),))], other.sent)
 
     def test_given_a_gateway_that_wants_all_later_then_it_gets_everything_and_numbers_go_on(self):
         self.given_an_exchange()
         other = FakeConnection()
         self.exchange.subscribe(other, complete=False)
-        self.exchange.stream([backend(1)])
+        self.exchange.notify_gateways([backend(1)])
         self.exchange.subscribe(other, complete=True)
         self.assertEqual([1, 2], [update.number for update in other.sent])
         self.assertEqual((backend(0),), other.sent[-1].backends)
@@ -121,14 +121,14 @@
     def test_given_a_backend_that_leaves_when_all_have_acknowledged_then_not_before_it_may_be_told(self):
         async def play():
             self.given_an_exchange()
-            telling = asyncio.ensure_future(self.exchange.tell_all([backend()]))
+            telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
-            self.exchange.take_ack(self.gateway, BackendAck("c:1", 1))
+            self.exchange.acknowledged(self.gateway, BackendAck("c:1", 1))
             self.peer.asked[0].set_result(None)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             self.assertFalse(telling.done())
-            self.exchange.take_ack(self.gateway, BackendAck("c:1", 2))
+            self.exchange.acknowledged(self.gateway, BackendAck("c:1", 2))
             await telling
 
         asyncio.run(play())
@@ -136,7 +136,7 @@
     def test_given_a_gateway_that_is_lost_when_a_backend_leaves_then_nobody_waits_for_it(self):
         async def play():
             self.given_an_exchange()
-            telling = asyncio.ensure_future(self.exchange.tell_all([backend()]))
+            telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
             self.exchange.lost(self.gateway)
             self.peer.asked[0].set_result(None)
