--- a/tests/tier/budget_fleet.py
+++ b/tests/tier/budget_fleet.py
@@ -21,7 +21,7 @@
 
     lost: float = 0.0
     reply_lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     refused: float = 0.0
     delay_s: float = 0.0
 
@@ -91,7 +91,7 @@
         self.requests.append((address, request))
         if self._happens(self.faults.refused):
             raise ConnectionResetError
-        if self._happens(self.faults.doubled):
+        if self._happens(self.faults.duplicated):
             later = self.chance.uniform(0, 2)
             asyncio.get_running_loop().call_later(later, self._arrive, address, request, None)
         await asyncio.sleep(self.chance.uniform(0, self.faults.delay_s))
--- a/tests/tier/memory_disk.py
+++ b/tests/tier/memory_disk.py
@@ -26,7 +26,7 @@
         return list(dict.fromkeys([self.synced, b"", torn, self.content]))
 
 
-_Folder = dict[str, _File]
+_Directory = dict[str, _File]
 
 
 @attrs.frozen
@@ -37,20 +37,20 @@
     put: str | None
     file: _File | None
 
-    def apply(self, folder: _Folder) -> None:
+    def apply(self, directory: _Directory) -> None:
         if self.removed is not None:
-            folder.pop(self.removed, None)
+            directory.pop(self.removed, None)
         if self.put is not None:
-            folder[self.put] = self.file
+            directory[self.put] = self.file
 
 
 class MemoryDisk:
     """Paths are plain keys.  `fail_at` counts operations down to the one that is cut short."""
 
-    def __init__(self, files: _Folder | None = None) -> None:
-        self.files: _Folder = files or {}
-        self.lasting: _Folder = dict(self.files)
-        self.changes: list[_Change] = []  # of names, since the folder's last sync
+    def __init__(self, files: _Directory | None = None) -> None:
+        self.files: _Directory = files or {}
+        self.durable: _Directory = dict(self.files)
+        self.changes: list[_Change] = []  # of names, since the directory's last sync
         self.longest_write = 0
         self.fail_at = -1
         self.failure: Callable[[], Exception] = PowerLoss
@@ -99,22 +99,22 @@
 
     def sync_directory(self, path: str) -> None:
         self._step()
-        self.lasting = dict(self.files)
+        self.durable = dict(self.files)
         self.changes.clear()
 
-    def after_kill(self) -> MemoryDisk:
-        """What a process finds whose machine went on: all that was done, lasting or not."""
+    def after_process_kill(self) -> MemoryDisk:
+        """What a process finds whose machine went on: all that was done, durable or not."""
         return copy.deepcopy(self)
 
     def after_power_loss(self) -> Iterator[MemoryDisk]:
         """Each disk that a loss of power may leave."""
         for kept in itertools.product((False, True), repeat=len(self.changes)):
-            folder = dict(self.lasting)
+            directory = dict(self.durable)
             for change in itertools.compress(self.changes, kept):
-                change.apply(folder)
-            contents = [file.possible_contents() for file in folder.values()]
+                change.apply(directory)
+            contents = [file.possible_contents() for file in directory.values()]
             for left in itertools.product(*contents):
-                yield MemoryDisk({name: _File(one) for name, one in zip(folder, left, strict=True)})
+                yield MemoryDisk({name: _File(one) for name, one in zip(directory, left, strict=True)})
 
     def _change(self, change: _Change) -> None:
         change.apply(self.files)
--- a/tests/tier/test_budgets_client.py
+++ b/tests/tier/test_budgets_client.py
@@ -156,7 +156,7 @@
         self.chance = random.Random(seed)
         self.handed_out = dict.fromkeys(("one", "two", "three"), 0)
         self.left_open = dict.fromkeys(self.handed_out, 0)
-        chances = {name: self.chance.choice((0, 0.1, 0.3)) for name in ("lost", "reply_lost", "doubled")}
+        chances = {name: self.chance.choice((0, 0.1, 0.3)) for name in ("lost", "reply_lost", "duplicated")}
         fleet = BudgetFleet(self.chance, Faults(refused=0.1, delay_s=self.chance.uniform(0, 0.4), **chances))
         clients = [client_of(fleet) for _gateway in range(3)]
         turns = [self.turn(self.chance.choice(clients), number) for number in range(80)]
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -131,7 +131,8 @@
         for incarnation in range(MAX_INCARNATIONS + 1):
             forgotten.add(ReservationNames("10.0.0.1", incarnation).next())
         known = [
-            ReservationNames("10.0.0.1", life).next() in forgotten for life in range(MAX_INCARNATIONS + 1)
+            ReservationNames("10.0.0.1", incarnation).next() in forgotten
+            for incarnation in range(MAX_INCARNATIONS + 1)
         ]
         self.assertEqual([False] + [True] * MAX_INCARNATIONS, known)
 
@@ -297,10 +298,10 @@
 
     async def play(self, seed):
         chance = random.Random(seed)
-        fleet = BudgetFleet(chance, Faults(doubled=0.4, reply_lost=0.1, delay_s=0.1))
+        fleet = BudgetFleet(chance, Faults(duplicated=0.4, reply_lost=0.1, delay_s=0.1))
         gateways = [
-            (BudgetClient(fleet.send, lambda shard: ADDRESSES, 1), ReservationNames("10.0.0.1", life))
-            for life in range(2)
+            (BudgetClient(fleet.send, lambda shard: ADDRESSES, 1), ReservationNames("10.0.0.1", incarnation))
+            for incarnation in range(2)
         ]
         handed_out = 0
 
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -69,7 +69,7 @@
     ".test_given_a_change_that_is_not_committed_then_the_group_before_is_told_and_it_is_not_settled",
     "emptied": "test_configuration_state.EmptyingTest"
     ".test_given_an_order_and_nothing_heard_then_the_state_is_running",
-    "emptied-identity": "test_storage_journal.DataFolderTest"
+    "emptied-identity": "test_storage_journal.DataDirectoryTest"
     ".test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so",
     "reservation-first": "test_dataplane_streams.Budgets.test_a_spent_budget_is_402_without_a_send",
     "reservation-name": "test_budgets_table.BudgetTest"
--- a/tests/tier/test_storage_journal.py
+++ b/tests/tier/test_storage_journal.py
@@ -17,7 +17,7 @@
 from kestrelbend.tier.storage.records import DeferredRecord
 from tests.tier.memory_disk import MemoryDisk, PowerLoss, disk_full
 
-FOLDER = "journal"
+DIRECTORY = "journal"
 FILES_AT_ONCE = 2
 CAPACITY = 1 << 20
 
@@ -26,8 +26,8 @@
     """Writes numbered records to a disk and knows which of them were acknowledged."""
 
     def __init__(self, disk):
-        self.files = JournalFiles(disk, FOLDER, FILES_AT_ONCE, chunk_bytes=20)
-        self.aside = None
+        self.files = JournalFiles(disk, DIRECTORY, FILES_AT_ONCE, chunk_bytes=20)
+        self.checkpoint = None
         self.records = self.files.load()
         self.acknowledged = len(self.records)
 
@@ -42,13 +42,13 @@
             elif step == "checkpoint":
                 self.files.write_checkpoint(self.records)
             elif step == "begin":
-                self.aside = self.files.begin_checkpoint(list(self.records))
-            elif step == "slice":
-                self.aside.step()
+                self.checkpoint = self.files.begin_checkpoint(list(self.records))
+            elif step == "step":
+                self.checkpoint.step()
             elif step == "end":
-                while self.aside.step():
+                while self.checkpoint.step():
                     pass
-                self.files.end_checkpoint(self.aside)
+                self.files.end_checkpoint(self.checkpoint)
             else:
                 self.files.maintain()
             self.acknowledged = len(self.records)
@@ -78,7 +78,7 @@
             Writer(disk).play(before)
             writer, whole = run_until_failure(disk, script, step)
             count = len(before) if writer is None else writer.acknowledged
-            for left in [disk.after_kill(), *disk.after_power_loss()]:
+            for left in [disk.after_process_kill(), *disk.after_power_loss()]:
                 self.check_start(left, count)
                 found += 1
             if whole:
@@ -94,7 +94,7 @@
             again = Writer(left)
             self.assertEqual(first.records, again.records)
             again.play(["append", "append", "append"])
-        first.play(["upkeep", "append"])
+        first.play(["maintain", "append"])
         for left in disk.after_power_loss():
             self.assertEqual(first.records, Writer(left).records)
 
@@ -102,67 +102,71 @@
         self.assertGreater(self.check_all_endings(["append"], ["append", "append", "append", "group"]), 40)
 
     def test_given_a_checkpoint_when_power_goes_at_any_step_then_all_acknowledged_is_read(self):
-        self.assertGreater(self.check_all_endings(["append"] * 2, ["checkpoint", "append", "upkeep"]), 40)
+        self.assertGreater(self.check_all_endings(["append"] * 2, ["checkpoint", "append", "maintain"]), 40)
 
     def test_given_two_checkpoints_and_removal_when_power_goes_then_all_acknowledged_is_read(self):
-        script = ["checkpoint", "upkeep", "append", "checkpoint", "upkeep"]
+        script = ["checkpoint", "maintain", "append", "checkpoint", "maintain"]
         self.assertGreater(self.check_all_endings(["append"], script), 40)
 
-    def test_given_a_checkpoint_in_slices_when_power_goes_between_then_all_acknowledged_is_read(self):
-        script = ["begin", *["slice"] * 5, "append", "slice", "upkeep", "append", "end", "append", "upkeep"]
+    def test_given_a_checkpoint_in_steps_when_power_goes_between_then_all_acknowledged_is_read(self):
+        script = ["begin", *["step"] * 5, "append", "step", "maintain", "append", "end", "append", "maintain"]
         self.assertGreater(self.check_all_endings(["append"] * 2, script), 60)
 
-    def test_given_a_checkpoint_in_slices_when_it_is_whole_then_it_stands_for_what_came_before_alone(self):
+    def test_given_a_checkpoint_in_steps_when_it_is_whole_then_it_stands_for_what_came_before_alone(self):
         disk = MemoryDisk()
-        Writer(disk).play(["append", "append", "begin", "append", "slice", "append", "end", "upkeep"])
+        Writer(disk).play(["append", "append", "begin", "append", "step", "append", "end", "maintain"])
         self.assertEqual(
             ["000000000002.checkpoint", "000000000002.versions", "000000000003.versions"],
-            sorted(name for name in disk.list_directory(FOLDER) if disk.files[f"{FOLDER}/{name}"].content),
+            sorted(
+                name for name in disk.list_directory(DIRECTORY) if disk.files[f"{DIRECTORY}/{name}"].content
+            ),
         )
         self.assertEqual([b"record %d" % number for number in range(4)], Writer(disk).records)
 
-    def test_given_a_checkpoint_given_up_when_one_of_the_same_number_is_written_then_upkeep_leaves_it(self):
+    def test_given_a_checkpoint_given_up_when_one_of_the_same_number_is_written_then_maintenance_leaves_it(
+        self,
+    ):
         disk = MemoryDisk()
-        writer, _ = run_until_failure(disk, ["append", "begin", *["slice"] * 4], 9)
-        again = Writer(disk.after_kill())
-        again.play(["begin", *["slice"] * 3, "upkeep", "end"])
+        writer, _ = run_until_failure(disk, ["append", "begin", *["step"] * 4], 9)
+        again = Writer(disk.after_process_kill())
+        again.play(["begin", *["step"] * 3, "maintain", "end"])
         self.assertEqual(again.records, Writer(again.files._disk).records)
 
     def test_given_a_checkpoint_when_there_is_time_then_what_it_replaced_goes(self):
         disk = MemoryDisk()
-        Writer(disk).play(["append"] * 5 + ["checkpoint", "upkeep", "upkeep", "append"])
+        Writer(disk).play(["append"] * 5 + ["checkpoint", "maintain", "maintain", "append"])
         kept = ["000000000005.checkpoint", "000000000005.versions"]
-        self.assertEqual(kept, sorted(disk.list_directory(FOLDER)))
+        self.assertEqual(kept, sorted(disk.list_directory(DIRECTORY)))
 
     def test_given_long_scripts_when_power_goes_again_and_again_then_nothing_is_lost(self):
         for seed in range(60):
             chance = random.Random(seed)
             disk = MemoryDisk()
             count = 0
-            for _life in range(6):
-                script = chance.choices(["append", "group", "checkpoint", "upkeep"], [6, 3, 1, 2], k=20)
+            for _run in range(6):
+                script = chance.choices(["append", "group", "checkpoint", "maintain"], [6, 3, 1, 2], k=20)
                 writer, _whole = run_until_failure(disk, script, chance.randrange(60))
                 count = count if writer is None else writer.acknowledged
                 disk = self.one_ending(disk, chance)
-                self.assertGreaterEqual(len(Writer(disk.after_kill()).records), count, f"seed {seed}")
+                self.assertGreaterEqual(len(Writer(disk.after_process_kill()).records), count, f"seed {seed}")
 
     def one_ending(self, disk, chance):
         if chance.random() < 0.3:
-            return disk.after_kill()
+            return disk.after_process_kill()
         endings = disk.after_power_loss()
         for _skipped in range(chance.randrange(50)):
             next(endings, None)
         return next(endings, None) or next(disk.after_power_loss())
 
 
-class DamagedTest(testtools.TestCase):
+class CorruptedTest(testtools.TestCase):
     def damage(self, name, script):
         disk = MemoryDisk()
         Writer(disk).play(script)
-        disk.files[f"{FOLDER}/{name}"].content = b"other"
+        disk.files[f"{DIRECTORY}/{name}"].content = b"other"
         return self.assertRaises(StorageCorruptedError, Writer, disk).code
 
-    def test_given_a_torn_version_when_a_later_one_is_there_then_the_start_refuses(self):
+    def test_given_a_torn_segment_when_a_later_one_is_there_then_the_start_refuses(self):
         self.assertEqual(StorageCode.HOLE, self.damage("000000000000.versions", ["append", "append"]))
 
     def test_given_a_damaged_checkpoint_then_the_start_refuses(self):
@@ -185,7 +189,7 @@
             function(*arguments)
 
         journal = DiskJournal(
-            FOLDER, capacity, self.written.extend, call, disk=self.disk, clock=lambda: self.now
+            DIRECTORY, capacity, self.written.extend, call, disk=self.disk, clock=lambda: self.now
         )
         journal.load()
         return journal
@@ -299,8 +303,10 @@
 
     def test_given_the_thread_and_real_files_when_closed_then_all_is_written_and_read_back(self):
         with tempfile.TemporaryDirectory() as data_dir:
-            folder = DataDirectory.open(data_dir, True).journal_directory
-            journal = DiskJournal(folder, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
+            directory = DataDirectory.open(data_dir, True).journal_directory
+            journal = DiskJournal(
+                directory, CAPACITY, self.written.extend, lambda call, tickets: call(tickets)
+            )
             self.assertEqual([], journal.load())
             journal.start()
             for ticket in range(100):
@@ -309,11 +315,11 @@
             journal.append(100, b"last")
             self.assertTrue(journal.close(within=30))
             self.assertEqual(list(range(101)), self.written)
-            again = DiskJournal(folder, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
+            again = DiskJournal(directory, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
             self.assertEqual([b"state", b"last"], again.load())
 
 
-class DataFolderTest(testtools.TestCase):
+class DataDirectoryTest(testtools.TestCase):
     def test_given_an_empty_disk_when_the_system_first_starts_then_its_identity_is_known_ahead(self):
         disk = MemoryDisk()
         self.assertEqual("first", DataDirectory.open("data", True, disk).identity)
@@ -321,11 +327,11 @@
 
     def test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so(self):
         disk = MemoryDisk()
-        folder = DataDirectory.open("data", False, disk)
-        self.assertEqual((8, True), (len(folder.identity), folder.created))
+        directory = DataDirectory.open("data", False, disk)
+        self.assertEqual((8, True), (len(directory.identity), directory.created))
         for left in disk.after_power_loss():
-            self.assertEqual(folder.identity, DataDirectory.open("data", True, left).identity)
-        self.assertNotEqual(folder.identity, DataDirectory.open("data", False, MemoryDisk()).identity)
+            self.assertEqual(directory.identity, DataDirectory.open("data", True, left).identity)
+        self.assertNotEqual(directory.identity, DataDirectory.open("data", False, MemoryDisk()).identity)
 
     def test_given_power_goes_while_the_identity_is_written_then_the_next_start_goes_through(self):
         for step in range(5):
@@ -335,7 +341,7 @@
             for left in disk.after_power_loss():
                 self.assertEqual(8, len(DataDirectory.open("data", False, left).identity))
 
-    def test_given_versions_without_an_identity_then_the_start_refuses(self):
+    def test_given_segments_without_an_identity_then_the_start_refuses(self):
         disk = MemoryDisk()
         disk.write("data/journal/000000000000.versions", b"content")
         damage = self.assertRaises(StorageCorruptedError, DataDirectory.open, "data", False, disk)
