--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -12,39 +12,20 @@
 from collections.abc import Iterator
 from typing import Any
 
-import attrs
 import schema
 
 from kestrelbend.tier.configuration import schemas
+from kestrelbend.tier.configuration.document_errors import (
+    DocumentRejection,
+    InvalidDocument,
+    RejectionCode,
+    invalid,
+)
 from kestrelbend.tier.configuration.field_checks import abbreviated
-from kestrelbend.tier.errors import TierError
 
 MAX_DEPTH = 32  # of objects and lists in one another
 
 
-@attrs.frozen
-class DocumentRejection:
-    """Why a document isn't accepted; `code`: one word for counting, `reason`: a sentence for the operator."""
-
-    code: str
-    reason: str
-
-
-class InvalidDocument(TierError):
-    """Carries a rejection from a check to the public functions of `document`; never leaves that module."""
-
-    code = "configuration.invalid_document"
-
-    def __init__(self, rejected: DocumentRejection) -> None:
-        super().__init__(rejected.reason)
-        self.rejected = rejected
-
-
-def invalid(code: str, reason: str) -> InvalidDocument:
-    """The exception of a new rejection."""
-    return InvalidDocument(DocumentRejection(code, reason))
-
-
 def host_key(host: str) -> str:
     """A host as it is compared: without its port and in lower case."""
     if host.startswith("["):
@@ -62,9 +43,9 @@
             parse_float=_finite,
         )
     except (ValueError, RecursionError) as error:
-        raise invalid("unreadable", f"cannot be read whole: {ascii(str(error))[:120]}") from None
+        raise invalid(RejectionCode.UNREADABLE, f"cannot be read whole: {ascii(str(error))[:120]}") from None
     if not isinstance(values, dict):
-        raise invalid("unreadable", "is not an object")
+        raise invalid(RejectionCode.UNREADABLE, "is not an object")
     _check_depth(values)
     return values
 
@@ -95,8 +76,8 @@
     try:
         values = decode(body)
     except InvalidDocument as fault:
-        return (fault.rejected,)
-    faults = [_wrong_schema("configuration", text).rejected for text in schemas.CONFIGURATION.faults(values)]
+        return (fault.rejection,)
+    faults = [_wrong_schema("configuration", text).rejection for text in schemas.CONFIGURATION.faults(values)]
     return (*faults, *_faults_between(_well_formed_parts(values) if faults else values))
 
 
@@ -128,7 +109,7 @@
             continue
         if name in seen:
             yield DocumentRejection(
-                "same_name", f"{abbreviated(kind)}: two items share the name {abbreviated(name)}"
+                RejectionCode.SAME_NAME, f"{abbreviated(kind)}: two items share the name {abbreviated(name)}"
             )
         seen.add(name)
 
@@ -140,7 +121,9 @@
         host_and_prefix = (host_key(route["Hostname"]), route["PathPrefix"])
         if host_and_prefix in claimed:
             name = abbreviated(route["Name"])
-            yield DocumentRejection("same_place", f"route {name}: another route has its host and prefix")
+            yield DocumentRejection(
+                RejectionCode.SAME_HOST_AND_PREFIX, f"route {name}: another route has its host and prefix"
+            )
         claimed.add(host_and_prefix)
         yield from _target_faults(route, services)
 
@@ -156,12 +139,12 @@
     for service in named:
         if service not in services:
             yield DocumentRejection(
-                "unknown_service", f"route {name}: service {abbreviated(service)} is unknown"
+                RejectionCode.UNKNOWN_SERVICE, f"route {name}: service {abbreviated(service)} is unknown"
             )
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
-        yield DocumentRejection("no_weight", f"route {name}: its weights add up to 0")
+        yield DocumentRejection(RejectionCode.NO_WEIGHT, f"route {name}: its weights add up to 0")
     if not named:
-        yield DocumentRejection("no_service", f"route {name}: names no service")
+        yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: names no service")
 
 
 def name_of(item: Any) -> str | None:
@@ -171,7 +154,7 @@
 
 
 def _wrong_schema(what: str, text: str) -> InvalidDocument:
-    return invalid("wrong_form", f"{what}: {text}")
+    return invalid(RejectionCode.WRONG_SCHEMA, f"{what}: {text}")
 
 
 def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -195,7 +178,7 @@
         level = [inner for outer in level for inner in _containers(outer)]
         if not level:
             return
-    raise invalid("too_deep", f"objects lie more than {MAX_DEPTH} deep in one another")
+    raise invalid(RejectionCode.TOO_DEEP, f"objects lie more than {MAX_DEPTH} deep in one another")
 
 
 def _containers(outer: dict[str, Any] | list[Any]) -> list[Any]:
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -13,15 +13,12 @@
 import attrs
 
 from kestrelbend.tier.configuration import schemas
-from kestrelbend.tier.configuration.checks import (
+from kestrelbend.tier.configuration.checks import check_document, check_names, decode, name_of, validate
+from kestrelbend.tier.configuration.document_errors import (
     DocumentRejection,
     InvalidDocument,
-    check_document,
-    check_names,
-    decode,
+    RejectionCode,
     invalid,
-    name_of,
-    validate,
 )
 from kestrelbend.tier.configuration.field_checks import abbreviated
 from kestrelbend.tier.configuration.json_codec import encode_json
@@ -55,24 +52,24 @@
 
 @attrs.frozen(eq=False)
 class Patch:
-    """A patch whose own form is right; whether the merged document is valid is asked by `apply_patch`."""
+    """A patch that fits its schema; `apply_patch` tells whether the merged document is valid."""
 
     version: int
     values: dict[str, Any]
 
 
 def parse_put(body: bytes) -> Document | DocumentRejection:
-    """Reads a whole configuration and checks it."""
+    """Reads a complete configuration and checks it."""
     try:
         values = decode(body)
         check_document(values)
     except InvalidDocument as fault:
-        return fault.rejected
+        return fault.rejection
     return Document(version=values["Ver"], body=bytes(body), values=values)
 
 
 def parse_patch(body: bytes) -> Patch | DocumentRejection:
-    """Reads a patch and checks its own form, whatever the document that it is meant for."""
+    """Reads a patch and checks its own schema, whatever the document that it is meant for."""
     try:
         values = decode(body)
         validate(schemas.PATCH, values, "patch")
@@ -80,7 +77,7 @@
             if isinstance(items, list):
                 check_names(kind, items)
     except InvalidDocument as fault:
-        return fault.rejected
+        return fault.rejection
     return Patch(version=values["Ver"], values=values)
 
 
@@ -93,7 +90,7 @@
         merged = _merge(current.values, patch.values)
         check_document(merged)
     except InvalidDocument as fault:
-        return fault.rejected
+        return fault.rejection
     encoded = encode_json(merged)
     return Document(version=patch.version, body=encoded, values=merged)
 
@@ -116,38 +113,41 @@
     merged = dict(current)
     merged["Ver"] = patch["Ver"]
     for kind, names in (patch.get("Remove") or {}).items():
-        merged[kind] = _without(_items(merged, kind), set(names))
+        merged[kind] = _without_names(_items(merged, kind), set(names))
     for kind, changes in (patch.get("Upsert") or {}).items():
         if isinstance(changes, dict):
             merged[kind] = _overlaid(merged, kind, changes)
         else:
-            merged[kind] = _with(_items(merged, kind), changes)
+            merged[kind] = _with_changes(_items(merged, kind), changes)
     if patch.get("Limits") is not None:
         merged["Limits"] = _overlaid(merged, "Limits", patch["Limits"])
     return merged
 
 
 def _items(values: dict[str, Any], kind: str) -> list[Any]:
+    """The list under a key; raises `InvalidDocument` where something else is there."""
     items = values.get(kind)
     if items is None:
         return []
     if not isinstance(items, list):
-        raise invalid("wrong_form", f"patch: {abbreviated(kind)} is no list of items")
+        raise invalid(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(kind)} is no list of items")
     return items
 
 
 def _overlaid(values: dict[str, Any], kind: str, changes: dict[str, Any]) -> dict[str, Any]:
+    """The object under a key with fields laid over it; raises `InvalidDocument` where there is none."""
     present = values.get(kind) or {}
     if not isinstance(present, dict):
-        raise invalid("wrong_form", f"patch: {abbreviated(kind)} is no object")
+        raise invalid(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(kind)} is no object")
     return {**present, **changes}
 
 
-def _without(items: list[Any], names: set[str]) -> list[Any]:
+def _without_names(items: list[Any], names: set[str]) -> list[Any]:
     return [item for item in items if name_of(item) not in names]
 
 
-def _with(items: list[Any], changes: list[dict[str, Any]]) -> list[Any]:
-    waiting = {item["Name"]: item for item in changes}
-    merged = [waiting.pop(name_of(item), item) for item in items]
-    return merged + list(waiting.values())
+def _with_changes(items: list[Any], changes: list[dict[str, Any]]) -> list[Any]:
+    """The items with those of the same name replaced; new ones come last."""
+    remaining = {item["Name"]: item for item in changes}
+    merged = [remaining.pop(name_of(item), item) for item in items]
+    return merged + list(remaining.values())
--- a/kestrelbend/tier/configuration/document_orders.py
+++ b/kestrelbend/tier/configuration/document_orders.py
@@ -16,7 +16,6 @@
 
 import attrs
 
-from kestrelbend.tier.configuration.checks import DocumentRejection
 from kestrelbend.tier.configuration.document import (
     Document,
     Patch,
@@ -26,6 +25,7 @@
     parse_put,
     read_accepted,
 )
+from kestrelbend.tier.configuration.document_errors import DocumentRejection, RejectionCode
 from kestrelbend.tier.configuration.messages import (
     UNDETERMINED,
     ConfigOrder,
@@ -129,7 +129,7 @@
         return accepted_now(self.version)
 
     def needs_evaluation(self, order: ConfigOrder) -> bool:
-        """Whether `check` would have to read the whole order now."""
+        """Whether `check` would have to read the order to its end now."""
         digest = _digest(order)
         return self._kept_result(digest) is None and self._accepted_version(digest) is None
 
@@ -221,7 +221,7 @@
         case OrderKind.PATCH:
             return parse_patch(order.body)
         case _:
-            return DocumentRejection("unknown_kind", "not an order on the configuration")
+            return DocumentRejection(RejectionCode.UNKNOWN_KIND, "not an order on the configuration")
 
 
 def _invalid(version: int, rejection: DocumentRejection) -> ConfigOutcome:
--- a/kestrelbend/tier/configuration/messages.py
+++ b/kestrelbend/tier/configuration/messages.py
@@ -12,7 +12,7 @@
 
 
 class OrderKind(enum.IntEnum):
-    """Which call of the operator's API an order came by."""
+    """What an order asks for: a call of the operator's API, or a record that the tier makes itself."""
 
     PUT = 0
     PATCH = 1
@@ -29,17 +29,17 @@
 class ConfigOrder:
     """A command of the configuration's shard, and a control node's call to the shard's owner."""
 
-    kind: int
-    base_version: int
+    kind: int  # an `OrderKind`
+    base_version: int  # the version that the order changes; 0 where the order changes none
     body: bytes
 
 
 @attrs.frozen
 class ConfigOutcome:
-    """`status` as the operator's API answers it, or `UNDETERMINED`."""
+    """What became of an order."""
 
-    status: int
-    version: int
+    status: int  # as the operator's API answers it, or `UNDETERMINED`
+    version: int  # that the order brought, or the current one where it brought none; 0: not known
     reason: str
 
 
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class ReadReply:
-    """Empty `body` and not `owner`: ask another."""
+    """The newest configuration; where `owner` is false, nothing was read and another may be asked."""
 
     owner: bool
     version: int
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -134,8 +134,10 @@
 
 
 async def _read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """The whole body, or None if it was longer; what is too long is read and dropped, so that the caller,
-    which may still be writing, gets its answer."""
+    """The complete body, or None if it was longer than `max_bytes`.
+
+    What is too long is read and dropped, so that the caller, which may still be writing, gets its answer.
+    """
     chunks: list[bytes] = []
     size = 0
     while True:
--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -11,8 +11,8 @@
 class ReportOutcome(enum.Enum):
     """What became of a backend's report of itself."""
 
-    ACCEPTED = "taken"  # known wherever it must be known
-    MALFORMED = "malformed"  # wherever it is sent again
+    ACCEPTED = "taken"  # known at each node that has to know it
+    MALFORMED = "malformed"  # rejected for good, wherever it is sent
     UNAVAILABLE = "unavailable"  # this node can't vouch for it: ask another
 
 
@@ -47,16 +47,16 @@
         """Takes a backend's heartbeat; `ACCEPTED` once it is safe to acknowledge it."""
 
     async def leave(self, identity: str) -> ReportOutcome:
-        """Takes a backend's word that it is gone."""
+        """Takes a backend's report that it is gone; `ACCEPTED` once that is known wherever it must be."""
 
     async def retire_start(self, node: str, deadline_s: float) -> RetireOutcome:
-        """Begins to empty a storage node."""
+        """Begins to empty a storage node, which should be done `deadline_s` seconds from now."""
 
     async def retire_state(self, node: str) -> RetireState:
         """How far the emptying of a storage node has come."""
 
     def status(self) -> dict[str, Any]:
-        """What is known here of the whole tier, see `membership.status`."""
+        """What is known here of the tier, see `membership.status`."""
 
     def heartbeat_url(self) -> str | None:
         """An address for a backend's later heartbeats, or None to leave the choice to the backend."""
--- a/kestrelbend/tier/configuration/rejections.py
+++ b/kestrelbend/tier/configuration/rejections.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Rejection:
-    """One status that one call may be rejected with; `ANY_CALL`: before it is looked at any further."""
+    """One status that one call may be rejected with; `ANY_CALL`: before its content is read."""
 
     call: str
     status: int
@@ -49,7 +49,7 @@
 REJECTIONS = (
     Rejection(ANY_CALL, NOT_FOUND, _CALL, "no such call"),
     Rejection(ANY_CALL, METHOD_NOT_ALLOWED, _CALL, "the call takes another method"),
-    Rejection(ANY_CALL, BODY_TIMEOUT, _CALL, "the body did not come in time, so nothing of it was looked at"),
+    Rejection(ANY_CALL, BODY_TIMEOUT, _CALL, "the body did not come in time, so nothing of it was read"),
     Rejection(ANY_CALL, BODY_TOO_LARGE, _CALL, "the body is longer than any proper one"),
     *(Rejection(call, INVALID, _CALL, "the base version is missing or no whole number") for call in _ORDERS),
     *(
@@ -58,7 +58,7 @@
     ),
     *(
         Rejection(
-            call, PRECONDITION_FAILED, _OWNER_OR_ENTRY, "its base is passed, and the order was not taken"
+            call, PRECONDITION_FAILED, _OWNER_OR_ENTRY, "its base is passed, and the order was not accepted"
         )
         for call in _ORDERS
     ),
@@ -82,5 +82,5 @@
 
 
 def may_reject(call: str, status: int) -> bool:
-    """Whether the table lets a call that was read whole be rejected with a status."""
+    """Whether the table lets a call that was read to its end be rejected with a status."""
     return (call, status) in _ALLOWED
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -24,22 +24,22 @@
 
 @attrs.frozen
 class Route:
-    """One route as requests need it; `targets` are the services and their weights (above 0)."""
+    """One route as requests need it; what an operator may leave out has its default here."""
 
     name: str
     hostname: str
     path_prefix: str
-    kind: str
-    timeout_ms: float
-    slo_ms: float
-    priority: int
-    retries: int
+    kind: str  # `RouteType`
+    timeout_ms: float  # for a request, all its attempts together
+    slo_ms: float  # latency target of a request
+    priority: int  # among requests that wait, the lower goes first
+    retries: int  # backends that a request may be sent to, 1 at least
     stored: bool
     retain_s: int  # for which a program of the route may stay away and come back
-    sticky: bool
-    resumable: bool
-    inter_token_target_ms: float
-    targets: tuple[tuple[str, int], ...]
+    sticky: bool  # sessions keep to a backend
+    resumable: bool  # a broken stream may be resumed within its answer
+    inter_token_target_ms: float  # latency target between two tokens (key `gap_aim_ms`)
+    targets: tuple[tuple[str, int], ...]  # services and their weights, above 0
 
 
 @attrs.frozen
@@ -48,10 +48,10 @@
 
     name: str
     health_path: str
-    max_conns: int
-    slots: int
-    kv_tokens: int
-    stride: int
+    max_conns: int  # to one of its backends, by all gateways together
+    slots: int  # concurrent turns of a backend that names no number
+    kv_tokens: int  # capacity of a backend's KV cache
+    stride: int  # tokens in one event of a stream
     is_model: bool
 
 
@@ -74,8 +74,8 @@
         self.by_prefix: dict[str, Route] = {}
         self.depths: tuple[int, ...] = ()
 
-    def close(self) -> None:
-        """Sorts the depths once all routes are in."""
+    def index_depths(self) -> None:
+        """Sorts the depths; called once all routes are in."""
         self.depths = tuple(sorted({prefix.count("/") for prefix in self.by_prefix}))
 
     def find(self, path: str) -> Route | None:
@@ -108,7 +108,7 @@
             host = self._hosts.setdefault(host_key(route.hostname), _HostRoutes())
             host.by_prefix[route.path_prefix] = route
         for host in self._hosts.values():
-            host.close()
+            host.index_depths()
 
     @classmethod
     def empty(cls) -> RoutingTable:
@@ -190,5 +190,6 @@
 
 
 def _value(item: dict[str, Any], name: str, default: Any) -> Any:
+    """A field's value; null counts as left out."""
     value = item.get(name)
     return default if value is None else value
--- a/kestrelbend/tier/configuration/schemas.py
+++ b/kestrelbend/tier/configuration/schemas.py
@@ -1,6 +1,6 @@
-"""The forms of the operator's documents: which fields there are and what each may hold.
+"""The schemas of the operator's documents: which fields there are and what each may hold.
 
-Fields that are not named here are kept and not looked at.
+Fields that are not named here are kept and not checked.  The keys are those of the operators' pages.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -2,7 +2,7 @@
 
 Invariant: every replica that applies the same orders in the same sequence holds the same state and answers
 the same.  The parts: `document_orders` (the operator's document), `placements` (which replicas hold a shard),
-`stores` with `store_orders` (disks, and nodes that are to be emptied), `snapshot` (the whole as bytes).
+`stores` with `store_orders` (disks, and nodes that are to be emptied), `snapshot` (all of it as bytes).
 """
 
 from __future__ import annotations
@@ -125,7 +125,7 @@
         return {voter for placement in self.placements for voter in placement.voters}
 
     def snapshot(self) -> bytes:
-        """The whole state: a line of JSON, then the current document's body as it is."""
+        """The complete state: a line of JSON, then the current document's body as it is."""
         return encode_snapshot(
             SnapshotContent(
                 document=self._documents.document,
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -121,7 +121,7 @@
 
     @property
     def retiring(self) -> tuple[str, ...]:
-        """The nodes to be emptied; a name stays here for good, also once its node is gone."""
+        """The nodes to be emptied; a name stays here for good, also once its node has departed."""
         return tuple(self._retiring)
 
     @property
@@ -147,24 +147,28 @@
         return disk is not None and disk.node in self._retiring
 
     def is_emptied(self, node: str, shard: str) -> bool:
-        """Whether the shard is known to be gone from the node."""
+        """Whether the shard is known to have left the node."""
         return (node, shard) in self._emptied
 
     def is_complete(self, node: str, placements: Iterable[ShardPlacement]) -> bool:
-        """Whether every shard that exists is known to be gone from a node that is to be emptied."""
+        """Whether every shard that exists is known to have left a node that is to be emptied."""
         shards = [CONFIGURATION_SHARD, *(placement.shard for placement in placements)]
         return node in self._retiring and all(self.is_emptied(node, shard) for shard in shards)
 
     def may_record(self, fact: Emptied, placement: ShardPlacement | None) -> bool:
-        """Whether a fact stays true from here on; `placement` is the one in force of its shard."""
-        gone = self.replicas_of(fact.node)
+        """Whether a fact stays true from here on; `placement` is the one in force of its shard.
+
+        It does if no replica of the node is in the group or may come into a later one: the group is the one
+        that the placement in force led to, and no later placement adds a replica of a retiring node.
+        """
+        node_replicas = self.replicas_of(fact.node)
         if fact.node not in self._retiring or not self._disks.keys() >= set(fact.group):
             return False
         if fact.shard == CONFIGURATION_SHARD:
-            return gone.isdisjoint(fact.group)
+            return node_replicas.isdisjoint(fact.group)
         if placement is None or not 0 < placement.number == fact.number:
             return False
-        return gone.isdisjoint(fact.group) and gone.isdisjoint(placement.voters)
+        return node_replicas.isdisjoint(fact.group) and node_replicas.isdisjoint(placement.voters)
 
     def record_disk(self, disk: KnownDisk, placed: set[str]) -> None:
         """Records a disk; beyond the bound the oldest that is none of the `placed` ones is forgotten."""
@@ -179,7 +183,7 @@
         self._retiring[node] = None
 
     def record_emptied(self, fact: Emptied) -> None:
-        """Records that a shard is gone from a node."""
+        """Records that a shard has left a node."""
         self._emptied[fact.node, fact.shard] = fact
 
 
--- a/tests/tier/test_configuration_document.py
+++ b/tests/tier/test_configuration_document.py
@@ -8,14 +8,8 @@
 from hypothesis import strategies
 
 from kestrelbend.tier.configuration.checks import document_faults
-from kestrelbend.tier.configuration.document import (
-    DocumentRejection,
-    Document,
-    Patch,
-    apply_patch,
-    parse_patch,
-    parse_put,
-)
+from kestrelbend.tier.configuration.document import Document, Patch, apply_patch, parse_patch, parse_put
+from kestrelbend.tier.configuration.document_errors import DocumentRejection
 
 REPEATABLE = hypothesis.settings(derandomize=True, database=None, deadline=None)
 SERVICES = [{"Name": "blue", "HealthPath": "/healthz", "MaxConns": 9}, {"Name": "green"}]
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -14,6 +14,7 @@
     LARGE_BYTES,
     ConfigurationMachine,
     ConfigurationService,
+    ShardNotOpen,
 )
 from kestrelbend.tier.fleet.http import Reply
 from kestrelbend.tier.fleet.operator import BASE_VERSION
@@ -270,6 +271,23 @@
             outcome(None)
 
 
+class NotOpenTest(testtools.TestCase):
+    """A process whose replica of the shard has not been opened yet."""
+
+    def test_given_no_replica_then_the_state_and_the_replica_are_a_typed_error(self):
+        class EmptyHost:
+            def replica(self, shard):
+                return None
+
+            machine = replica
+
+        service = ConfigurationService(EmptyHost(), None, lambda: 0.0, None)
+        self.assertFalse(service.is_open)
+        for name in ("state", "replica"):
+            error = self.assertRaises(ShardNotOpen, getattr, service, name)
+            self.assertEqual("configuration.not_open", error.code)
+
+
 class DecidingTest(testtools.TestCase):
     """The owner's decisions while entries are under way."""
 
