--- a/kestrelbend/tier/protocol/peer_connection.py
+++ b/kestrelbend/tier/protocol/peer_connection.py
@@ -74,6 +74,7 @@
         self.outgoing = outgoing
         self.address = address  # of the peer, where outgoing
         self.peer: Hello | None = None  # once it has greeted
+        self.peer_replica = ""  # from then on, the identity of its disk; "" where it has none
         self._transport: asyncio.Transport | None = None
         self._reader = FrameReader()
         self._writer = FrameWriter(ANY_ORDER)
@@ -139,6 +140,7 @@
             return False
         if isinstance(message, Hello):
             self.peer = message
+            self.peer_replica = message.replica
             self._endpoint.greeted(self)
             return True
         if sequence < 0:
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -46,7 +46,8 @@
 from ..membership.table import LIVE_S, MemberTable
 from ..protocol.peer_connection import PeerConnection
 from ..replication.group import has_quorum
-from .process import CONTROL_PORT, TierProcess
+from .addresses import CONTROL_PORT, seed_addresses
+from .process import TierProcess
 
 HAND_OVER_S = 1.0
 
@@ -103,7 +104,7 @@
         """The configuration's replica is always here; seeds found it at the first start."""
         founders = ()
         if self.settings.bootstrap:
-            founders = tuple(f"{address}#first" for address in self.seed_addresses())
+            founders = tuple(f"{address}#first" for address in seed_addresses(self.settings))
         self.host.open(CONFIGURATION_SHARD, founders, self.now()).watch_currency()
         super().open_replicas()
 
@@ -158,7 +159,7 @@
         elif isinstance(message, MemberSummary):
             self._summaries.take(message, self.now())
         elif isinstance(message, Subscribe):
-            self._subscribe(connection, message)
+            self._accept_subscription(connection, message)
         elif isinstance(message, ConfigAck):
             self.config_stream.acknowledged(connection, message.version)
         elif isinstance(message, ConfigFetch):
@@ -186,7 +187,7 @@
             return NOT_OWNER
         return await self.configuration.decide(order, FORWARD_TIMEOUT_S)
 
-    def _subscribe(self, connection: PeerConnection, message: Subscribe) -> None:
+    def _accept_subscription(self, connection: PeerConnection, message: Subscribe) -> None:
         if message.member.serves_front:
             self.config_stream.subscribe(connection, message.config_version, message.complete)
             self.exchange.subscribe(connection, message.complete)
@@ -292,6 +293,6 @@
 
     async def stop(self):
         """Hands over the shards owned here, then ends the API."""
-        await self.hand_over(HAND_OVER_S)
+        await self.shards.hand_over(HAND_OVER_S)
         self.served_enough.set()
         await asyncio.wait([self._serving], timeout=1.5)
--- a/kestrelbend/tier/roles/environment.py
+++ b/kestrelbend/tier/roles/environment.py
@@ -20,14 +20,18 @@
 from .settings import Settings
 
 if TYPE_CHECKING:
-    from ..dataplane.server import Listener
+    from ..dataplane.server import CurrentLimits, Listener
 
-IDENTITY_BYTES = 4
+IDENTITY_BYTES = 4  # of a disk
 BROKEN_INVARIANT = 70  # the exit status of a process that must not go on
 
 Written = Callable[[list[int]], None]
 
 
+def no_limits() -> None:
+    """Before the first configuration, and where no operator's limits apply."""
+
+
 class Environment(Protocol):
     """What a process asks of the machine that it runs on."""
 
@@ -35,7 +39,7 @@
         """The steady clock, in seconds."""
 
     def new_incarnation(self) -> int:
-        """A number for this life of the process, higher than those of its earlier lives."""
+        """A number for this run of the process, higher than those of its earlier runs."""
 
     def new_disk_identity(self) -> str:
         """A name for an emptied disk that no other disk has had."""
@@ -61,15 +65,15 @@
     def read_settings(self, path: str) -> Settings:
         """The settings as they stand now; raises `SettingsError`."""
 
-    async def serve(self, listeners: Sequence[Listener], **options) -> None:
-        """Serves until all listeners are shut down; options as of `serve_all`."""
+    async def serve(self, listeners: Sequence[Listener], limits: CurrentLimits = no_limits) -> None:
+        """Serves until all listeners are shut down; `limits` gives those of the operator in force."""
 
     def abort(self) -> None:
         """Ends the process at once: an invariant is broken."""
 
 
 class SystemEnvironment:
-    """The operating system's."""
+    """The operating system's, see `Environment`."""
 
     def now(self) -> float:
         return time.monotonic()
@@ -108,10 +112,10 @@
     def read_settings(self, path: str) -> Settings:
         return Settings.read(path)
 
-    async def serve(self, listeners: Sequence[Listener], **options) -> None:
+    async def serve(self, listeners: Sequence[Listener], limits: CurrentLimits = no_limits) -> None:
         from ..dataplane.server import serve_all  # stores serve nothing and don't load it
 
-        await serve_all(listeners, **options)
+        await serve_all(listeners, limits)
 
     def abort(self) -> None:
         os._exit(BROKEN_INVARIANT)
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -19,8 +19,9 @@
 from ..discovery.view import BackendView
 from ..membership.messages import ConfigAck, ConfigFetch, ConfigUpdate, ContactReply, ContactRequest
 from ..membership.placement import BUDGET_SHARDS, address_of, budget_shards
+from .addresses import GATEWAY_PORT
 from .gateway_contact import GatewayContact, Standing
-from .process import GATEWAY_PORT, TierProcess
+from .process import TierProcess
 
 BUDGET_REPLY_S = 0.35
 SETTLED_BACKENDS_S = 3.0  # after this a gateway serves though some service has no backend yet
--- a/kestrelbend/tier/roles/start.py
+++ b/kestrelbend/tier/roles/start.py
@@ -1,4 +1,7 @@
-"""Starting one role of the tier; imports nothing that the role does not need."""
+"""Starting one role of the tier; imports nothing that the role does not need.
+
+serve_role: log -> settings (exit status 2 where they are wrong) -> the role's class -> `TierProcess.run`
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,17 @@
 import gc
 import os
 import sys
+from typing import TYPE_CHECKING
 
 import logbook
 
 from .settings import Settings, SettingsError
 
+if TYPE_CHECKING:
+    from .process import TierProcess
+
 SETTINGS_VARIABLE = "KESTRELBEND_SETTINGS"
-WRONG_SETTINGS = 2
+WRONG_SETTINGS = 2  # the exit status
 COLLECT_AFTER = 50_000  # allocations between collections of garbage: few cycles are made here
 
 
@@ -43,7 +50,7 @@
     await process_class(settings, path).run()
 
 
-def load_role(role: str):
+def load_role(role: str) -> type[TierProcess]:
     """The class of a role; only what the role needs is imported."""
     if role == "gateway":
         from .gateway import GatewayProcess
