--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 	cat requirements.txt requirements-dev.txt requirements-tier.txt constraints.txt > $@
 
 test: build
-	.venv/bin/python -m pytest -q
+	.venv/bin/python -m pytest -q -n auto --dist worksteal
 
 lint: build
 	.venv/bin/ruff check .
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,14 @@
-"""Tests that are known to fail for a fault not yet mended: KNOWN-RED.txt at the root, a line each, as
+"""What all tests share: the list of tests that are known to fail, and how the suite is spread over workers.
+
+Tests that are known to fail for a fault not yet mended: KNOWN-RED.txt at the root, a line each, as
 `test | cause | issue`.  Just these are expected to fail, strictly: one that passes fails the run, as does a
-line that names no test or is not in this form, or one line too many."""
+line that names no test or is not in this form, or one line too many.
+
+Side by side (`-n auto --dist worksteal`), half of the cores run tests: those on sockets and real processes
+start gateways of their own and measure times, so the other half is theirs.
+"""
 
+import os
 import pathlib
 
 import pytest
@@ -9,6 +16,9 @@
 FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST = 3
 
+# Held by a worker from the first moment: its longest test alone takes a good third of the whole run.
+LONGEST_FILE = "test_fleet_search.py"
+
 
 def known_red():
     """(test, cause, issue) by line; raises pytest.UsageError with the line that is wrong."""
@@ -24,14 +34,38 @@
     return rows
 
 
+class NamesNoTest(pytest.Item):
+    """Fails a run side by side for a line that names no test: a worker's error there is lost."""
+
+    def runtest(self):
+        """Fails, with the line's test."""
+        raise pytest.UsageError(f"{FILE.name}: names no test: {self.name}")
+
+
+def pytest_configure():
+    """Wrong lines end the run before it begins, also where workers collect."""
+    known_red()
+
+
 @pytest.hookimpl(tryfirst=True)
-def pytest_collection_modifyitems(config, items):
+def pytest_collection_modifyitems(session, config, items):
+    side_by_side = hasattr(config, "workerinput")
     for test, cause, issue in known_red():
         found = [item for item in items if item.nodeid == test]
         for item in found:
             item.add_marker(pytest.mark.xfail(strict=True, reason=f"{cause} ({issue})"))
         if not found and config.args == config.getini("testpaths"):  # of the whole suite
-            raise pytest.UsageError(f"{FILE.name}: names no test: {test}")
+            if not side_by_side:
+                raise pytest.UsageError(f"{FILE.name}: names no test: {test}")
+            items.append(NamesNoTest.from_parent(session, name=test))
+    if side_by_side:  # the order in one process stays that of the files
+        items.sort(key=lambda item: item.path.name != LONGEST_FILE)
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_xdist_auto_num_workers(config):
+    """The workers of `-n auto`: half of the cores that this process may use."""
+    return max(1, len(os.sched_getaffinity(0)) // 2)
 
 
 def pytest_terminal_summary(terminalreporter):
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -32,6 +32,12 @@
 NEVER = {"policyLimits__mayDuplicate": "false"}
 
 
+@pytest.fixture(autouse=True)
+def counts_from_zero():
+    """The counters are the process's: faults that earlier tests caused are not this one's."""
+    counters.clear()
+
+
 def run(test):
     uvloop.run(asyncio.wait_for(test, 30))
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,7 @@
 RED, GREEN = "tests/test_it.py::test_red | a cause | 7", "tests/test_it.py::test_green | a cause | 7"
 
 
-def run(folder, tests, lines):
+def run(folder, tests, lines, *options):
     """The whole suite in `folder`, which is `tests` and this project's conftest; `lines` None: no list."""
     (folder / "tests").mkdir()
     (folder / "tests" / "test_it.py").write_text(tests)
@@ -20,13 +20,17 @@
     if lines is not None:
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines))
     return subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *options],
         cwd=folder,
         capture_output=True,
         text=True,
     )
 
 
+SIDE_BY_SIDE = ("-n", "2", "--dist", "worksteal")
+
+
+@pytest.mark.parametrize("options", [(), SIDE_BY_SIDE], ids=["one process", "side by side"])
 @pytest.mark.parametrize(
     "lines, passes, says",
     [
@@ -41,8 +45,8 @@
         (["tests/test_it.py::test_red | | 7"], False, "not `test | cause | issue`"),
     ],
 )
-def test_only_what_is_listed_may_fail_and_it_must(lines, passes, says, tmp_path):
-    ran = run(tmp_path, TESTS, lines)
+def test_only_what_is_listed_may_fail_and_it_must(lines, passes, says, options, tmp_path):
+    ran = run(tmp_path, TESTS, lines, *options)
     assert (ran.returncode == 0) == passes and says in ran.stdout + ran.stderr
 
 
