--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -39,7 +39,7 @@
 from kestrelbend.tier.model.orders import search_orders
 from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
 from kestrelbend.tier.model.search import search
-from kestrelbend.tier.protocol import links
+from kestrelbend.tier.protocol import peer_connection
 from kestrelbend.tier.protocol.codec import encode
 
 ALL_SEEDS = range(1, 65)
@@ -151,7 +151,7 @@
     disk_class.sync = recorded("sync", disk_class.sync)
     disk_class.rename = recorded("rename", disk_class.rename)
     disk_class.remove = recorded("remove", disk_class.remove)
-    disk_class.sync_folder = recorded("sync folder", disk_class.sync_folder)
+    disk_class.sync_directory = recorded("sync folder", disk_class.sync_directory)
     disk_class.lose_power = recorded("lose power", disk_class.lose_power)
     disk_class.wipe = recorded("wipe", disk_class.wipe)
 
@@ -172,12 +172,12 @@
 
 def _fix_order_of_links() -> None:
     """A process ends its links in the order of a set; here that is the order in which they were made."""
-    numbers: dict[int, tuple[int, links.Link]] = {}
+    numbers: dict[int, tuple[int, peer_connection.PeerConnection]] = {}
 
-    def number(link: links.Link) -> int:
+    def number(link: peer_connection.PeerConnection) -> int:
         return numbers.setdefault(id(link), (len(numbers), link))[0]
 
-    links.Link.__hash__ = number
+    peer_connection.PeerConnection.__hash__ = number
 
 
 def _record_programs(recording: Recording) -> Callable[[], None]:
