--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/removals/contact.py
@@ -4,7 +4,7 @@
 
 from ...configuration.messages import ConfigOutcome
 from ...replication.progress import NEVER
-from ...replication.read_index import _Answer
+from ...replication.read_index import ReadIndexAnswer
 from ..guards import guard
 
 
@@ -18,12 +18,16 @@
     return leader._state.commit_index
 
 
-@guard("rounds", "replication.progress:Rounds.began", "contact claimed by replies that lay in a socket")
-def began_last(rounds, number):
-    return rounds._began[-1] if rounds._began else NEVER
+@guard(
+    "rounds",
+    "replication.progress:HeartbeatRounds.started_at",
+    "contact claimed by replies that lay in a socket",
+)
+def started_last(rounds, number):
+    return rounds._started_at[-1] if rounds._started_at else NEVER
 
 
-@guard("check-quorum", "replication.leader:LeaderState.in_touch", "an owner that nobody follows")
+@guard("check-quorum", "replication.leader:LeaderState.has_quorum_contact", "an owner that nobody follows")
 def be_in_touch(leader, now):
     return True
 
@@ -65,14 +69,16 @@
     return None
 
 
-@guard("read-ticket", "replication.read_index:FollowerReads.answered", "answers to an earlier life counted")
+@guard(
+    "read-ticket", "replication.read_index:FollowerReads.record_answer", "answers to an earlier life counted"
+)
 def count_any_ticket(reads, ticket, index):
     requested_at = reads._requested_at.pop(ticket, reads._last_requested_at)
     reads.confirmed_at = max(reads.confirmed_at, requested_at)
-    reads._answers.append(_Answer(requested_at, index))
+    reads._answers.append(ReadIndexAnswer(requested_at, index))
 
 
-@guard("read-forget", "replication.read_index:FollowerReads.forget", "answers of a former owner counted")
+@guard("read-forget", "replication.read_index:FollowerReads.reset", "answers of a former owner counted")
 def forget_nothing(reads):
     return None
 
@@ -84,9 +90,9 @@
     return ready
 
 
-@guard("read-reply", "replication.replica:Replica._receive_read_reply", "answers of a former owner counted")
-def take_any_reply(replica, reply):
-    replica._reads.answered(reply.ticket, reply.index)
+@guard("read-reply", "replication.roles:ReplicaRoles.receive_read_reply", "answers of a former owner counted")
+def take_any_reply(roles, reply):
+    roles.reads.record_answer(reply.ticket, reply.index)
 
 
 @guard("other-base", "configuration.document_orders:other_base", "refusals that do not last")
@@ -106,15 +112,18 @@
     return answer
 
 
-@guard("read-request", "replication.replica:Replica._receive_read_request", "answers in another epoch's name")
-def confirm_for_any_epoch(replica, request):
-    if replica._leader_state is not None:
-        replica._leader_state.confirm_for(request.sender, request.ticket)
+@guard(
+    "read-request", "replication.roles:ReplicaRoles.receive_read_request", "answers in another epoch's name"
+)
+def confirm_for_any_term(roles, request):
+    if roles.leader_state is not None:
+        roles.leader_state.confirm_for_follower(request.sender, request.ticket)
 
 
 @guard("current-after-first-entry", "replication.replica:Replica.current_at", "an owner current too early")
 @property
 def be_current_once_confirmed(replica):
-    if replica._leader_state is None:
+    leader_state = replica._roles.leader_state
+    if leader_state is None:
         return replica._reads.current_at(replica.applied_index)
-    return replica._leader_state.confirmed_at
+    return leader_state.confirmed_at
--- a/kestrelbend/tier/fleet/removals/log.py
+++ b/kestrelbend/tier/fleet/removals/log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...replication.snapshot_transfer import _incoming
+from ...replication.snapshot_transfer import _identity_of
 from ..guards import guard
 
 
@@ -40,7 +40,7 @@
     "replication.leader:LeaderState.advance_commit",
     "committed entries replaced by a later owner",
 )
-def commit_any_epoch(leader):
+def commit_any_term(leader):
     index = leader._quorum_value(leader._match_index)
     if index <= leader._state.commit_index:
         return False
@@ -48,8 +48,10 @@
     return True
 
 
-@guard("former-owner", "replication.replica:Replica._is_of_former_leader", "a former owner's entries put in")
-def trust_former_owner(replica, message):
+@guard(
+    "former-owner", "replication.roles:ReplicaRoles._is_of_former_leader", "a former owner's entries put in"
+)
+def trust_former_leader(roles, message):
     return False
 
 
@@ -63,8 +65,10 @@
     return True
 
 
-@guard("snapshot-late", "replication.snapshot_transfer:SnapshotReceiver._is_late", "a transfer begun again")
-def take_late_pieces(receiver, piece):
+@guard(
+    "snapshot-late", "replication.snapshot_transfer:SnapshotReceiver._is_outdated", "a transfer begun again"
+)
+def take_outdated_chunks(receiver, chunk):
     return False
 
 
@@ -75,8 +79,8 @@
 
 @guard(
     "snapshot-mix",
-    "replication.snapshot_transfer:SnapshotReceiver._begin_where_new",
+    "replication.snapshot_transfer:SnapshotReceiver._start_if_different",
     "bytes of two snapshots put together",
 )
-def go_on_with_what_is_here(receiver, piece):
-    receiver._incoming = _incoming(piece)
+def go_on_with_what_is_here(receiver, chunk):
+    receiver._incoming = _identity_of(chunk)
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -199,9 +199,9 @@
     def _confirmed(self, node: Node, effects) -> None:
         super()._confirmed(node, effects)
         carrier = self.carriers[node.name]
-        for ticket in effects.confirmed:
+        for ticket in effects.confirmed_reads:
             carrier.confirming.pop(ticket)(True)
-        for ticket in effects.lost:
+        for ticket in effects.failed_reads:
             carrier.confirming.pop(ticket)(False)
 
     def _apply(self, node: Node, effects) -> None:
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -291,7 +291,7 @@
 
     def _work(self, node: Node) -> None:
         replica = node.replica
-        effects = replica.take()
+        effects = replica.drain_effects()
         if effects.leadership_changed and replica.is_leader:
             node.leader_since = node.clock
             self.rules.becomes_leader(replica)
@@ -315,7 +315,7 @@
         self._do(self.when_committed.pop(len(self.rules.history), None))
 
     def _confirmed(self, node: Node, effects: Effects) -> None:
-        for ticket in effects.confirmed:
+        for ticket in effects.confirmed_reads:
             self.rules.read(node.applied_index, node.reads.pop(ticket), f"confirmed at {node.name}")
 
     def _do(self, line: Step | None) -> None:
--- a/kestrelbend/tier/replication/disk.py
+++ b/kestrelbend/tier/replication/disk.py
@@ -33,18 +33,18 @@
         while self._issued_at and self._issued_at[0][0] <= self.completed:
             self._issued_at.popleft()
 
-    def hold(self, send: Send) -> None:
+    def defer(self, send: Send) -> None:
         """Keeps a message back until every write issued so far is done."""
         self._waiting.append((self.issued, send))
 
-    def release(self) -> list[Send]:
+    def release_ready(self) -> list[Send]:
         """The messages whose writes are done."""
         released = []
         while self._waiting and self._waiting[0][0] <= self.completed:
             released.append(self._waiting.popleft()[1])
         return released
 
-    def stalled(self, now: float, bound: float) -> bool:
+    def is_stalled(self, now: float, bound: float) -> bool:
         """Whether the oldest write under way was issued more than `bound` seconds ago."""
         return bool(self._issued_at) and now - self._issued_at[0][1] > bound
 
--- a/kestrelbend/tier/replication/effects.py
+++ b/kestrelbend/tier/replication/effects.py
@@ -9,12 +9,14 @@
 
 @attrs.define
 class Effects:
-    """Drained by `Replica.take`; `restore` goes before `applied`, and `applied` before `confirmed`."""
+    """Drained by `Replica.drain_effects`; `restore` goes before `applied`, and `applied` before
+    `confirmed_reads`.
+    """
 
     sends: list[tuple[ReplicaId, ReplicaMessage]] = attrs.field(factory=list)
     writes: list[tuple[int, DurableRecord]] = attrs.field(factory=list)
     restore: Snapshot | None = None
     applied: list[Entry] = attrs.field(factory=list)
-    confirmed: list[int] = attrs.field(factory=list)
-    lost: list[int] = attrs.field(factory=list)
+    confirmed_reads: list[int] = attrs.field(factory=list)
+    failed_reads: list[int] = attrs.field(factory=list)
     leadership_changed: bool = False
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -62,9 +62,9 @@
         """A leader spoke: no candidacy of this replica goes on."""
         self.last_contact_at = now
         self._pre_vote_backoff_until = NEVER
-        self.rest(now)
+        self.restart_timeout(now)
 
-    def rest(self, now: float) -> None:
+    def restart_timeout(self, now: float) -> None:
         """Ends any campaign and counts the time without a leader from now."""
         self._no_leader_since = now
         self.end_campaigns()
@@ -155,7 +155,7 @@
         )
 
     def _grants_pre_vote(self, request: RequestVote, now: float) -> bool:
-        if now - self.last_contact_at < self._timing.sticky or self._vote_pending:
+        if now - self.last_contact_at < self._timing.leader_stickiness or self._vote_pending:
             return False
         if request.term <= self._state.term or not self._may_vote_for(request):
             return False
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -18,53 +18,53 @@
         self._log = state.log
         self._verified_index = 0
         self._round = 0
-        self._answered: tuple[int, int] | None = None
-        self._reply_waits = False
+        self._last_reply: tuple[int, int] | None = None
+        self._reply_pending = False
 
     def append(self, message: AppendEntries) -> None:
         """Takes the entries in and answers, once they are on the disk.
 
         A heartbeat is answered without waiting for the disk, by what the disk holds already.
         """
-        if not self._follows(message):
-            self._refuse(message)
+        if not self._log_matches(message):
+            self._reject(message)
             return
-        self._merge(message)
+        self._store_entries(message)
         self._verify(message.previous_index + len(message.entries), message.round)
         self._state.commit_to(min(message.commit_index, self._verified_index))
         if message.entries:
             self._accept_when_durable()
-        elif (self._round, self._match_index) != self._answered:
+        elif (self._round, self._match_index) != self._last_reply:
             self._accept()
 
     def receive_chunk(self, message: SnapshotChunk) -> None:
-        """Takes a piece in and tells how much is here; a whole snapshot is installed.
+        """Takes a chunk in and tells how much is here; a whole snapshot is installed.
 
         An installed one is acknowledged as entries are, once it is on the disk.
         """
         state = self._state
         if message.snapshot.index <= state.commit_index:
-            self._hold_snapshot(message)
+            self._acknowledge_snapshot(message)
             return
-        snapshot = state.incoming.take(message)
-        received = message.size if snapshot is not None else state.incoming.received(message)
+        snapshot = state.snapshot_receiver.receive(message)
+        received = message.size if snapshot is not None else state.snapshot_receiver.received(message)
         reply = SnapshotReply(
             state.shard, state.identity, state.term, message.digest, received, message.round
         )
         state.send(self.leader, reply)
         if snapshot is not None:
-            state.install(snapshot)
-            self._hold_snapshot(message)
+            state.install_snapshot(snapshot)
+            self._acknowledge_snapshot(message)
 
-    def _hold_snapshot(self, message: SnapshotChunk) -> None:
+    def _acknowledge_snapshot(self, message: SnapshotChunk) -> None:
         """All up to the snapshot's index is here, by this snapshot or by committed entries."""
         self._verify(message.snapshot.index, message.round)
         self._accept_when_durable()
 
     def written(self) -> None:
         """Answers as far as the disk has come, where an answer waits for it."""
-        if self._reply_waits and (self._round, self._match_index) != self._answered:
-            self._reply_waits = self._match_index < self._verified_index
+        if self._reply_pending and (self._round, self._match_index) != self._last_reply:
+            self._reply_pending = self._match_index < self._verified_index
             self._accept()
 
     @property
@@ -75,12 +75,12 @@
         self._verified_index = max(self._verified_index, index)
         self._round = max(self._round, round_number)
 
-    def _follows(self, message: AppendEntries) -> bool:
+    def _log_matches(self, message: AppendEntries) -> bool:
         if message.previous_index <= self._state.commit_index:
             return True
         return self._log.term_at(message.previous_index) == message.previous_term
 
-    def _merge(self, message: AppendEntries) -> None:
+    def _store_entries(self, message: AppendEntries) -> None:
         for position, entry in enumerate(message.entries):
             if entry.index <= self._state.commit_index or self._log.term_at(entry.index) == entry.term:
                 continue
@@ -89,15 +89,15 @@
 
     def _accept_when_durable(self) -> None:
         if self._match_index < self._verified_index:
-            self._reply_waits = True
+            self._reply_pending = True
         else:
             self._accept()
 
     def _accept(self) -> None:
-        self._answered = (self._round, self._match_index)
+        self._last_reply = (self._round, self._match_index)
         self._reply(True, self._match_index, self._round)
 
-    def _refuse(self, message: AppendEntries) -> None:
+    def _reject(self, message: AppendEntries) -> None:
         hint = min(message.previous_index - 1, self._log.last_index)
         if self._log.term_at(message.previous_index) is not None:
             hint = self._log.first_index_of_term_at(message.previous_index) - 1
--- a/kestrelbend/tier/replication/group.py
+++ b/kestrelbend/tier/replication/group.py
@@ -21,8 +21,8 @@
 
     The number 0 is left out, as in entries that were written before placements had numbers.
     """
-    head = (f"{NUMBER_MARK}{placement_number}",) if placement_number else ()
-    return "\n".join((*head, *voters)).encode()
+    prefix = (f"{NUMBER_MARK}{placement_number}",) if placement_number else ()
+    return "\n".join((*prefix, *voters)).encode()
 
 
 def decode_group(data: bytes) -> Voters:
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -5,16 +5,26 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
+import attrs
+
 from .group import has_quorum, quorum_size
 from .messages import AppendEntries, AppendReply, Entry, EntryKind, ReplicaId, SnapshotReply
-from .progress import NEVER, Progress, Rounds
-from .read_index import OWN, PendingRead, PendingReads
+from .progress import NEVER, Progress, HeartbeatRounds
+from .read_index import LOCAL, PendingRead, PendingReads
 from .snapshot_transfer import SnapshotSender, chunk_message
 from .state import ReplicaState
 
 ENTRY_BYTES = 64  # what an entry costs beside its data, about
 
 
+@attrs.frozen
+class CommitPoint:
+    """The commit index at a moment, in seconds of the steady clock."""
+
+    at: float
+    commit_index: int
+
+
 class LeaderState:
     """The leader's side of replication in one term.
 
@@ -23,17 +33,17 @@
 
     def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
         self._announces_commits = announces_commits  # at once, not with the next entries or round
-        self.first_index = state.log.last_index + 1
-        self.began_at = now
+        self.first_index_of_term = state.log.last_index + 1
+        self.elected_at = now
         self.followers: dict[ReplicaId, Progress] = {}
         self._state = state
         self._log = state.log
         self._timing = state.timing
-        self._rounds = Rounds()
+        self._rounds = HeartbeatRounds()
         self._reads = PendingReads()
-        self._round_began_at = NEVER
-        self._round_wanted = False
-        self._milestones: deque[tuple[float, int]] = deque()  # (when, the commit index then), a round each
+        self._round_started_at = NEVER
+        self._round_requested = False
+        self._commit_history: deque[CommitPoint] = deque()  # one a round
 
     def append(self, kind: EntryKind, data: bytes) -> int:
         """Adds an entry of this term; its index."""
@@ -41,7 +51,7 @@
         self._log.append(Entry(index, self._state.term, kind, data))
         return index
 
-    def follow(self, identities: Iterable[ReplicaId]) -> None:
+    def set_followers(self, identities: Iterable[ReplicaId]) -> None:
         """Replicates to exactly these replicas from here on."""
         wanted = dict.fromkeys(identity for identity in identities if identity != self._state.identity)
         for identity in [known for known in self.followers if known not in wanted]:
@@ -52,23 +62,23 @@
 
     def begin_round(self, now: float) -> None:
         """Begins a heartbeat round; its messages go out with the next `send_due`."""
-        self._rounds.begin(now)
-        self._milestones.append((now, self._state.commit_index))
-        self._forget_milestones(now - self._timing.election_timeout)
-        self._round_began_at = now
-        self._round_wanted = False
+        self._rounds.start(now)
+        self._commit_history.append(CommitPoint(now, self._state.commit_index))
+        self._trim_commit_history(now - self._timing.election_timeout)
+        self._round_started_at = now
+        self._round_requested = False
 
     def begin_due_round(self, now: float) -> None:
         """Begins a round where the last one is a heartbeat interval old."""
-        if now - self._round_began_at >= self._timing.heartbeat:
+        if now - self._round_started_at >= self._timing.heartbeat:
             self.begin_round(now)
 
     def confirm(self, ticket: int) -> None:
         """Adds a read of what is committed now, or of this term's first entry where that is later."""
-        self._add_read(ticket, OWN)
-        self._round_wanted = True
+        self._add_read(ticket, LOCAL)
+        self._round_requested = True
 
-    def confirm_for(self, follower: ReplicaId, ticket: int) -> None:
+    def confirm_for_follower(self, follower: ReplicaId, ticket: int) -> None:
         """Adds a follower's read; it waits for the next heartbeat round, which costs no message more."""
         self._add_read(ticket, follower)
 
@@ -77,11 +87,11 @@
 
     def _read_index(self) -> int:
         """What a read must see: all that is committed now; a new leader learns that by its first entry."""
-        return max(self._state.commit_index, self.first_index)
+        return max(self._state.commit_index, self.first_index_of_term)
 
-    def waiting_reads(self) -> list[int]:
+    def pending_local_reads(self) -> list[int]:
         """The tickets of this replica's own reads that wait for their confirmation."""
-        return self._reads.own_tickets()
+        return self._reads.local_tickets()
 
     def confirmed_reads(self) -> list[PendingRead]:
         """The reads that may be answered now."""
@@ -92,48 +102,48 @@
     @property
     def confirmed_at(self) -> float:
         """When the latest round began that a majority has acknowledged; NEVER where none has."""
-        return self._rounds.began(self._majority_round())
+        return self._rounds.started_at(self._majority_round())
 
     def _majority_round(self) -> int:
         return self._quorum_value(self._acknowledged_round)
 
-    def replied(self, reply: AppendReply, now: float) -> None:
+    def receive_append_reply(self, reply: AppendReply, now: float) -> None:
         """Takes in a follower's reply of this term."""
         progress = self._record_contact(reply)
         if progress is None:
             return
         if reply.accepted:
-            progress.matched(min(reply.match_index, self._log.last_index), now)
+            progress.record_match(min(reply.match_index, self._log.last_index), now)
         self._end_needless_transfer(progress, reply)
         if reply.accepted or progress.transfer is not None:
             return
         if reply.round >= progress.fallback_round:
-            self._rounds.begin(self._round_began_at)
+            self._rounds.start(self._round_started_at)
             progress.fall_back(reply.match_index, self._rounds.current)
 
-    def snapshot_replied(self, reply: SnapshotReply, now: float) -> None:
+    def receive_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
         """Takes in how much a follower has of the snapshot that is under way to it."""
         progress = self._record_contact(reply)
         if progress is None or progress.transfer is None:
             return
-        progress.transfer.replied(reply, now)
+        progress.transfer.receive_reply(reply, now)
         if progress.transfer.is_complete:
             progress.next_index = progress.transfer.snapshot.index
-            progress.sent(progress.transfer.snapshot.index, 0, now)
+            progress.record_sent(progress.transfer.snapshot.index, 0, now)
             progress.transfer = None
 
-    def send_again(self, identity: ReplicaId) -> None:
+    def resend(self, identity: ReplicaId) -> None:
         """What is under way to this replica may be lost with its connection."""
         progress = self.followers.get(identity)
         if progress is not None:
-            progress.send_again()
+            progress.resend()
 
     def needed_after(self, now: float) -> int:
         """The index after which followers that have replied lately still need entries."""
         recent = (
             progress
             for progress in self.followers.values()
-            if now - progress.contact <= self._timing.retention
+            if now - progress.last_contact_at <= self._timing.retention
         )
         needed = (progress.needed_after for progress in recent)
         return min((index for index in needed if index >= self._log.base_index), default=self._log.last_index)
@@ -143,7 +153,7 @@
         progress = self.followers.get(reply.sender)
         if progress is None or reply.round > self._rounds.current:
             return None
-        progress.contact = max(progress.contact, self._rounds.began(reply.round))
+        progress.last_contact_at = max(progress.last_contact_at, self._rounds.started_at(reply.round))
         progress.acknowledged_round = max(progress.acknowledged_round, reply.round)
         return progress
 
@@ -161,7 +171,7 @@
         An older term's entries are committed only along with one of this term (Ongaro 2014, 3.6.2).
         """
         index = self._quorum_value(self._match_index)
-        if index <= self._state.commit_index or index < self.first_index:
+        if index <= self._state.commit_index or index < self.first_index_of_term:
             return False
         self._state.commit_to(index)
         return True
@@ -169,18 +179,18 @@
     @property
     def has_committed(self) -> bool:
         """Whether an entry of this term is committed."""
-        return self._state.commit_index >= self.first_index
+        return self._state.commit_index >= self.first_index_of_term
 
     def is_live(self, identity: ReplicaId, now: float) -> bool:
         """Whether the replica acknowledged a round begun within the election timeout."""
         if identity == self._state.identity:
             return True
         progress = self.followers.get(identity)
-        return progress is not None and now - progress.contact <= self._timing.election_timeout
+        return progress is not None and now - progress.last_contact_at <= self._timing.election_timeout
 
-    def in_touch(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the voters is live, or this term is too young to tell."""
-        if now - self.began_at <= self._timing.election_timeout:
+        if now - self.elected_at <= self._timing.election_timeout:
             return True
         return has_quorum(self._state.voters, lambda voter: self.is_live(voter, now))
 
@@ -192,33 +202,33 @@
         """
         return self._match_index(identity) >= self._committed_before(now - self._timing.election_timeout)
 
-    def holds(self, identity: ReplicaId, index: int) -> bool:
+    def has_stored(self, identity: ReplicaId, index: int) -> bool:
         """Whether the replica's disk holds the log up to `index`."""
         return self._match_index(identity) >= index
 
     def _committed_before(self, moment: float) -> int:
         """The newest commit index noted at `moment` or before; the present one where none was."""
-        self._forget_milestones(moment)
-        if not self._milestones or self._milestones[0][0] > moment:
+        self._trim_commit_history(moment)
+        if not self._commit_history or self._commit_history[0].at > moment:
             return self._state.commit_index
-        return max(self.first_index, self._milestones[0][1])
+        return max(self.first_index_of_term, self._commit_history[0].commit_index)
 
-    def _forget_milestones(self, moment: float) -> None:
+    def _trim_commit_history(self, moment: float) -> None:
         """Keeps the newest milestone of `moment` or before, and all later ones."""
-        while len(self._milestones) > 1 and self._milestones[1][0] <= moment:
-            self._milestones.popleft()
+        while len(self._commit_history) > 1 and self._commit_history[1].at <= moment:
+            self._commit_history.popleft()
 
     def send_due(self, now: float) -> None:
         """Sends the followers all that is due: heartbeats, entries, snapshots, a new commit index.
 
         A follower that has not replied for a while gets heartbeats alone, until it does.
         """
-        if self._round_wanted:
+        if self._round_requested:
             self.begin_round(now)
         for identity, progress in self.followers.items():
             if progress.sent_round < self._rounds.current:
                 self._send_append(identity, progress, (), now)
-            if now - max(progress.contact, self.began_at) > self._timing.reply_timeout:
+            if now - max(progress.last_contact_at, self.elected_at) > self._timing.reply_timeout:
                 continue
             self._send_entries(identity, progress, now)
             if self._announces_commits and self._lacks_commit(progress, now):
@@ -240,15 +250,15 @@
             entries = self._log.batch(progress.next_index, self._timing.append_bytes, ENTRY_BYTES)
             self._send_append(identity, progress, entries, now)
             size = sum(len(entry.data) + ENTRY_BYTES for entry in entries)
-            progress.sent(entries[-1].index, size, now)
+            progress.record_sent(entries[-1].index, size, now)
         if progress.transfer is not None:
             self._send_chunks(identity, progress.transfer, now)
 
     def _send_chunks(self, identity: ReplicaId, transfer: SnapshotSender, now: float) -> None:
         state = self._state
-        for piece in transfer.due(now):
+        for chunk in transfer.due_chunks(now):
             message = chunk_message(
-                transfer, piece, state.shard, state.identity, state.term, self._rounds.current
+                transfer, chunk, state.shard, state.identity, state.term, self._rounds.current
             )
             state.send(identity, message)
 
@@ -266,12 +276,14 @@
         previous = self._previous_index(progress, now)
         progress.sent_round = self._rounds.current
         progress.sent_commit_index = min(state.commit_index, previous + len(entries))
+        previous_term = self._log.term_at(previous)
+        assert previous_term is not None, "entries after one that the log doesn't hold"
         message = AppendEntries(
             shard=state.shard,
             sender=state.identity,
             term=state.term,
             previous_index=previous,
-            previous_term=self._log.term_at(previous),
+            previous_term=previous_term,
             entries=entries,
             commit_index=state.commit_index,
             round=self._rounds.current,
--- a/kestrelbend/tier/replication/leadership_transfer.py
+++ b/kestrelbend/tier/replication/leadership_transfer.py
@@ -22,19 +22,19 @@
     candidates: tuple[ReplicaId, ...]
     _requested_at: float = NEVER
 
-    def has_failed(self, now: float, state: ReplicaState) -> bool:
+    def has_timed_out(self, now: float, state: ReplicaState) -> bool:
         """Whether the leadership should have gone over by now."""
         return now - self.began_at > state.timing.transfer_timeout
 
-    def proceed(self, state: ReplicaState, leader: LeaderState, now: float) -> None:
+    def advance(self, state: ReplicaState, leader: LeaderState, now: float) -> None:
         """Asks the most caught-up live candidate to campaign, as soon as it holds the whole log."""
-        receiver = self._receiver(leader, now)
+        receiver = self._best_candidate(leader, now)
         if receiver is None or now - self._requested_at < state.timing.reply_timeout:
             return
         if leader.followers[receiver].match_index == state.log.last_index:
             self._requested_at = now
             state.send(receiver, TransferLeadership(state.shard, state.identity, state.term))
 
-    def _receiver(self, leader: LeaderState, now: float) -> ReplicaId | None:
+    def _best_candidate(self, leader: LeaderState, now: float) -> ReplicaId | None:
         live = [identity for identity in self.candidates if leader.is_live(identity, now)]
         return max(live, key=lambda identity: leader.followers[identity].match_index, default=None)
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -43,7 +43,7 @@
         self._snapshot_unwritten = False
         self._pending: list[PendingWrite] = []
         self._groups: list[NumberedGroup] = []
-        self._note_groups(self.entries)
+        self._record_groups(self.entries)
 
     @property
     def last_index(self) -> int:
@@ -124,7 +124,7 @@
         """Adds the entry that follows the last one."""
         assert entry.index == self.last_index + 1, "an entry out of order"
         self.entries.append(entry)
-        self._note_groups([entry])
+        self._record_groups([entry])
 
     def replace_from(self, entries: list[Entry]) -> None:
         """Puts `entries` in place of everything from the first of them on."""
@@ -134,9 +134,9 @@
         self._unwritten_from = min(self._unwritten_from, first)
         self._cap_durable(first - 1)
         self.entries.extend(entries)
-        self._note_groups(entries)
+        self._record_groups(entries)
 
-    def found(self, voters: Voters) -> None:
+    def bootstrap(self, voters: Voters) -> None:
         """Begins the shard's first log, with the voters that it is founded by."""
         self.snapshot = Snapshot(voters=voters)
         self._snapshot_unwritten = True
@@ -159,6 +159,7 @@
         needed_base = max(needed_after, self._base_within(index, timing.retained_bytes))
         new_base = max(self.base_index, min(tail_base, needed_base, self._unwritten_from - 1))
         new_term = self.term_at(new_base)
+        assert new_term is not None, "a base that the log doesn't hold"
         del self.entries[: new_base - self.base_index]
         self.base_index, self.base_term = new_base, new_term
 
@@ -173,7 +174,7 @@
             base -= 1
         return base
 
-    def install(self, snapshot: Snapshot, commit_index: int) -> None:
+    def install_snapshot(self, snapshot: Snapshot, commit_index: int) -> None:
         """Takes over the leader's snapshot, which reaches beyond `commit_index`."""
         if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.base_index :]
@@ -211,7 +212,7 @@
         for write in self._pending:
             write.last_index = min(write.last_index, index)
 
-    def _note_groups(self, entries: list[Entry]) -> None:
+    def _record_groups(self, entries: list[Entry]) -> None:
         for entry in entries:
             if entry.kind == EntryKind.GROUP:
                 voters = decode_group(entry.data)
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -64,7 +64,7 @@
         self._leaving = set()
         self._departed = {}
 
-    def follow_group(self, leader: LeaderState, now: float) -> None:
+    def update_followers(self, leader: LeaderState, now: float) -> None:
         """Replicates to the group, to those who are to join, and for a while to who left.
 
         Who leaves gets the entry that says so only once that is committed: one that held it earlier would
@@ -73,17 +73,17 @@
         state = self._state
         committed = state.log.voters_at(state.commit_index)
         leaving = set(committed) - set(state.voters)
-        until = now + state.timing.departure
+        until = now + state.timing.departure_grace
         self._departed.update((gone, until) for gone in self._leaving - leaving)
         self._leaving = leaving
         wanted = (*state.voters, *self.target, *self.learners, *self._departed)
-        leader.follow(identity for identity in wanted if identity not in leaving)
+        leader.set_followers(identity for identity in wanted if identity not in leaving)
 
     def begin_transfer(self, leader: LeaderState, candidates: Voters, now: float) -> None:
         """Begins a leadership transfer to one of the candidates, unless one runs."""
         if self._transfer is None and candidates:
             self._transfer = LeadershipTransfer(now, candidates)
-            self._transfer.proceed(self._state, leader, now)
+            self._transfer.advance(self._state, leader, now)
 
     def tick(self, leader: LeaderState, now: float) -> bool:
         """Goes on with what is under way; whether this replica may go on leading.
@@ -95,18 +95,18 @@
             self.begin_transfer(leader, self._state.other_voters(), now)
         if any(until < now for until in self._departed.values()):
             self._departed = {gone: until for gone, until in self._departed.items() if until >= now}
-            self.follow_group(leader, now)
+            self.update_followers(leader, now)
         if self._transfer is None:
-            self.step(leader, now)
-        elif not self._transfer.has_failed(now, self._state):
-            self._transfer.proceed(self._state, leader, now)
+            self.propose_next_group(leader, now)
+        elif not self._transfer.has_timed_out(now, self._state):
+            self._transfer.advance(self._state, leader, now)
         elif stalls:
             return False
         else:
             self._transfer = None
         return True
 
-    def step(self, leader: LeaderState, now: float) -> None:
+    def propose_next_group(self, leader: LeaderState, now: float) -> None:
         """Takes the next step towards the target, once the last one is committed."""
         state = self._state
         if not self.target or self._transfer is not None or not leader.has_committed:
@@ -117,7 +117,7 @@
         group = self._next_group(leader, now)
         if group is not None:
             leader.append(EntryKind.GROUP, encode_group(group, self._target.number))
-            self.follow_group(leader, now)
+            self.update_followers(leader, now)
         elif state.identity not in self.target and set(self.target) < set(state.voters):
             self.begin_transfer(leader, self.target, now)
 
@@ -145,6 +145,6 @@
         live = [voter for voter in state.voters if leader.is_live(voter, now)]
         if not has_quorum(state.voters, live.__contains__):
             return False
-        return all(leader.holds(voter, state.log.group_index) for voter in live) and all(
+        return all(leader.has_stored(voter, state.log.group_index) for voter in live) and all(
             leader.is_caught_up(voter, now) for voter in live
         )
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -34,7 +34,7 @@
 
     next_index: int
     match_index: int = 0
-    contact: float = NEVER
+    last_contact_at: float = NEVER
     acknowledged_round: int = 0
     sent_round: int = 0
     sent_commit_index: int = 0
@@ -51,7 +51,7 @@
             return self.transfer.snapshot.index
         return (self.outstanding[0].first_index if self.outstanding else self.next_index) - 1
 
-    def sent(self, last_index: int, size: int, now: float) -> None:
+    def record_sent(self, last_index: int, size: int, now: float) -> None:
         """Entries up to `last_index`, of `size` bytes together, are under way."""
         if not self.outstanding:
             self.advanced_at = now
@@ -59,7 +59,7 @@
         self.outstanding_bytes += size
         self.next_index = last_index + 1
 
-    def matched(self, index: int, now: float) -> None:
+    def record_match(self, index: int, now: float) -> None:
         """The follower's disk holds the log up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
@@ -76,7 +76,7 @@
         self.fallback_round = round_number
         self._clear_outstanding()
 
-    def send_again(self) -> None:
+    def resend(self) -> None:
         """What is under way is lost: begin again after what the follower has acknowledged."""
         if self.outstanding:
             self.next_index = max(self.match_index + 1, self.outstanding[0].first_index)
@@ -92,7 +92,7 @@
         """
         if not any(sent.size > timing.overtaken_bytes for sent in self.outstanding):
             return False
-        most = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_pace
+        most = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_rate
         return now - self.advanced_at <= most
 
     def _clear_outstanding(self) -> None:
@@ -100,24 +100,24 @@
         self.outstanding_bytes = 0
 
 
-class Rounds:
+class HeartbeatRounds:
     """Heartbeat rounds, numbered upwards, and when the recent ones began."""
 
     KEPT = 256
 
     def __init__(self) -> None:
         self.current = 0
-        self._began: deque[float] = deque(maxlen=self.KEPT)
+        self._started_at: deque[float] = deque(maxlen=self.KEPT)
 
-    def begin(self, now: float) -> int:
+    def start(self, now: float) -> int:
         """Begins a round and gives its number."""
         self.current += 1
-        self._began.append(now)
+        self._started_at.append(now)
         return self.current
 
-    def began(self, number: int) -> float:
+    def started_at(self, number: int) -> float:
         """When the round began; NEVER for one forgotten or not begun."""
         age = self.current - number
-        if number <= 0 or age < 0 or age >= len(self._began):
+        if number <= 0 or age < 0 or age >= len(self._started_at):
             return NEVER
-        return self._began[-1 - age]
+        return self._started_at[-1 - age]
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -17,7 +17,7 @@
 from .messages import ReplicaId
 from .progress import NEVER
 
-OWN = ""  # stands for the leader itself among those who ask
+LOCAL = ""  # stands for the leader itself among those who ask
 MAX_PENDING_PER_FOLLOWER = 8  # questions of one follower; more are dropped, as it asks again
 MAX_REMEMBERED_REQUESTS = 16  # questions and answers that a follower keeps; older ones prove nothing of use
 
@@ -29,7 +29,7 @@
     ticket: int
     round: int
     index: int
-    requester: ReplicaId = OWN
+    requester: ReplicaId = LOCAL
 
 
 class PendingReads:
@@ -40,13 +40,13 @@
 
     def add(self, read: PendingRead) -> None:
         """Adds a question; its round and index are at least those of the one before."""
-        if read.requester != OWN and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
+        if read.requester != LOCAL and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
             return
         self._waiting.append(read)
 
-    def own_tickets(self) -> list[int]:
+    def local_tickets(self) -> list[int]:
         """The tickets of the leader's own questions that wait."""
-        return [read.ticket for read in self._waiting if read.requester == OWN]
+        return [read.ticket for read in self._waiting if read.requester == LOCAL]
 
     def take_ready(self, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
         """Takes out the questions that may be answered now."""
@@ -66,8 +66,8 @@
 
 
 @attrs.frozen
-class _Answer:
-    asked_at: float
+class ReadIndexAnswer:
+    requested_at: float
     index: int
 
 
@@ -78,19 +78,19 @@
     earlier life counts in this one.
     """
 
-    def __init__(self, first_ticket: int, pause: float) -> None:
+    def __init__(self, first_ticket: int, interval: float) -> None:
         self.confirmed_at = NEVER
         self._next_ticket = first_ticket
-        self._pause = pause
+        self._interval = interval
         self._last_requested_at = NEVER
         self._requested_at: dict[int, float] = {}
-        self._answers: deque[_Answer] = deque(maxlen=MAX_REMEMBERED_REQUESTS)
+        self._answers: deque[ReadIndexAnswer] = deque(maxlen=MAX_REMEMBERED_REQUESTS)
 
     def is_due(self, now: float) -> bool:
         """Whether another question should be asked."""
-        return now - self._last_requested_at >= self._pause
+        return now - self._last_requested_at >= self._interval
 
-    def ask(self, now: float) -> int:
+    def begin_request(self, now: float) -> int:
         """Notes a question asked now; its ticket."""
         ticket = self._next_ticket
         self._next_ticket += 1
@@ -100,20 +100,20 @@
             del self._requested_at[next(iter(self._requested_at))]
         return ticket
 
-    def answered(self, ticket: int, index: int) -> None:
+    def record_answer(self, ticket: int, index: int) -> None:
         """The leader, confirmed after the question, had committed up to `index` when it came."""
-        asked_at = self._requested_at.pop(ticket, None)
-        if asked_at is None:
+        requested_at = self._requested_at.pop(ticket, None)
+        if requested_at is None:
             return
-        self.confirmed_at = max(self.confirmed_at, asked_at)
-        self._answers.append(_Answer(asked_at, index))
+        self.confirmed_at = max(self.confirmed_at, requested_at)
+        self._answers.append(ReadIndexAnswer(requested_at, index))
 
     def current_at(self, applied_index: int) -> float:
         """When the newest question was asked whose index is applied; NEVER where there is none."""
-        applied = (answer.asked_at for answer in self._answers if answer.index <= applied_index)
+        applied = (answer.requested_at for answer in self._answers if answer.index <= applied_index)
         return max(applied, default=NEVER)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """The leader or the term has changed: what was asked and answered counts no more."""
         self.confirmed_at = NEVER
         self._last_requested_at = NEVER
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""A snapshot on its way from a leader to a follower, in pieces.  Pure.
+"""A snapshot on its way from a leader to a follower, in chunks.  Pure.
 
 The sender keeps one snapshot until the follower has all of it, also where a newer one is made meanwhile, so
-that a transfer ends however fast the shard goes on.  A piece that was lost is sent again from the offset that
+that a transfer ends however fast the shard goes on.  A chunk that was lost is sent again from the offset that
 the follower names; what the follower has is never sent again, by this leader or by the next one, as long as
 the snapshot is the same.
 
@@ -48,27 +48,27 @@
 
     def __init__(self, snapshot: Snapshot, timing: Timing, now: float) -> None:
         self.snapshot = snapshot
-        self.head = attrs.evolve(snapshot, state=b"")
+        self.metadata = attrs.evolve(snapshot, state=b"")
         self.size = len(snapshot.state)
         self.digest = digest_of(snapshot.state)
         self.received = 0
         self.is_complete = False
         self._timing = timing
         self._next_offset = 0
-        self._began = False
+        self._started = False
         self._advanced_round = 0
         self._advanced_at = now
         self._round_trip = 0.0
         self._retries = 0
-        self._sent_at: deque[tuple[int, float]] = deque()  # the end of each piece under way
+        self._sent_at: deque[tuple[int, float]] = deque()  # the end of each chunk under way
 
-    def due(self, now: float) -> Iterator[Chunk]:
-        """The pieces to be sent now."""
-        if self._began and now - self._advanced_at > self._timeout():
+    def due_chunks(self, now: float) -> Iterator[Chunk]:
+        """The chunks to be sent now."""
+        if self._started and now - self._advanced_at > self._timeout():
             self._retries += 1
             self.resume()
-        if not self._began:
-            self._began = True
+        if not self._started:
+            self._started = True
             self._advanced_at = now
             yield self._next_chunk(now)
         while self._next_offset < min(self.size, self.received + self._timing.snapshot_window):
@@ -77,20 +77,20 @@
     def resume(self) -> None:
         """What is under way is lost: goes on at what the follower has."""
         self._next_offset = self.received
-        self._began = False
+        self._started = False
         self._sent_at.clear()
 
-    def replied(self, reply: SnapshotReply, now: float) -> None:
+    def receive_reply(self, reply: SnapshotReply, now: float) -> None:
         """Takes in how far the follower is.
 
         A follower that has less than before has lost it, unless the reply is an old one: only a reply to a
-        piece of a later round than the last one that told of progress takes the transfer back.
+        chunk of a later round than the last one that told of progress takes the transfer back.
         """
         if reply.digest != self.digest or not 0 <= reply.received <= self.size:
             return
         if reply.received < self.received:
             if reply.round > self._advanced_round:
-                self._go_back(reply)
+                self._rewind(reply)
             return
         self.is_complete = reply.received == self.size
         if reply.received > self.received:
@@ -111,14 +111,14 @@
         self._retries = 0
         while self._sent_at and self._sent_at[0][0] <= self.received:
             _, sent_at = self._sent_at.popleft()
-            self._measure(now - sent_at)
+            self._record_round_trip(now - sent_at)
 
-    def _go_back(self, reply: SnapshotReply) -> None:
+    def _rewind(self, reply: SnapshotReply) -> None:
         self.received = reply.received
         self._advanced_round = reply.round
         self.resume()
 
-    def _measure(self, round_trip: float) -> None:
+    def _record_round_trip(self, round_trip: float) -> None:
         if self._round_trip:
             round_trip = SMOOTHING * round_trip + (1 - SMOOTHING) * self._round_trip
         self._round_trip = round_trip
@@ -128,16 +128,17 @@
         timing = self._timing
         if not self._round_trip:
             return timing.snapshot_retry
-        patience = TIMEOUT_ROUND_TRIPS * self._round_trip
-        longest = max(patience, timing.snapshot_retry)
-        return min(max(patience * 2**self._retries, timing.reply_timeout), longest)
+        usual = TIMEOUT_ROUND_TRIPS * self._round_trip
+        backed_off = usual * float(2**self._retries)
+        longest = max(usual, timing.snapshot_retry)
+        return min(max(backed_off, timing.reply_timeout), longest)
 
 
 @attrs.frozen
-class _Incoming:
-    """Which snapshot the pieces are of, and in which term the last of them came."""
+class SnapshotIdentity:
+    """Which snapshot the chunks are of, and in which term the last of them came."""
 
-    head: Snapshot
+    metadata: Snapshot
     size: int
     digest: bytes
 
@@ -150,7 +151,7 @@
         self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self.add(state)
 
-    def __reduce__(self):
+    def __reduce__(self) -> tuple[type[HashedBytes], tuple[bytes]]:
         return HashedBytes, (bytes(self.state),)
 
     def add(self, data: bytes) -> None:
@@ -167,71 +168,73 @@
     """What a replica has of a snapshot that is not whole yet; it lasts beyond the leader that sent it."""
 
     def __init__(self) -> None:
-        self._incoming: _Incoming | None = None
+        self._incoming: SnapshotIdentity | None = None
         self._term = 0
         self._bytes = HashedBytes()
 
-    def take(self, piece: SnapshotChunk) -> Snapshot | None:
-        """Adds a piece that follows what is here; the snapshot once it is whole and its digest is right."""
-        if not 0 <= piece.size <= MAX_SNAPSHOT_BYTES or self._is_late(piece):
+    def receive(self, chunk: SnapshotChunk) -> Snapshot | None:
+        """Adds a chunk that follows what is here; the snapshot once it is whole and its digest is right."""
+        if not 0 <= chunk.size <= MAX_SNAPSHOT_BYTES or self._is_outdated(chunk):
             return None
-        self._begin_where_new(piece)
-        self._term = piece.term
+        self._start_if_different(chunk)
+        self._term = chunk.term
         have = len(self._bytes.state)
-        if piece.offset <= have:
-            self._bytes.add(piece.data[have - piece.offset :])
-        if len(self._bytes.state) < piece.size:
+        if chunk.offset <= have:
+            self._bytes.add(chunk.data[have - chunk.offset :])
+        if len(self._bytes.state) < chunk.size:
             return None
         whole = self._bytes
-        self.forget()
-        if len(whole.state) != piece.size or not whole.has_digest(piece.digest):
+        self.discard()
+        if len(whole.state) != chunk.size or not whole.has_digest(chunk.digest):
             return None
-        return attrs.evolve(piece.snapshot, state=bytes(whole.state))
+        return attrs.evolve(chunk.snapshot, state=bytes(whole.state))
 
-    def received(self, piece: SnapshotChunk) -> int:
-        """How many bytes of the piece's snapshot are here."""
-        return len(self._bytes.state) if self._incoming == _incoming(piece) else 0
+    def received(self, chunk: SnapshotChunk) -> int:
+        """How many bytes of the chunk's snapshot are here."""
+        return len(self._bytes.state) if self._incoming == _identity_of(chunk) else 0
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Lets go of what is here."""
         self._incoming = None
         self._bytes = HashedBytes()
 
-    def forget_up_to(self, index: int) -> None:
+    def discard_up_to(self, index: int) -> None:
         """Lets go of a snapshot that reaches no further than this index."""
-        if self._incoming is not None and self._incoming.head.index <= index:
-            self.forget()
+        if self._incoming is not None and self._incoming.metadata.index <= index:
+            self.discard()
 
-    def _is_late(self, piece: SnapshotChunk) -> bool:
-        """Whether the leader has gone on to a newer snapshot since it sent this piece."""
+    def _is_outdated(self, chunk: SnapshotChunk) -> bool:
+        """Whether the leader has gone on to a newer snapshot since it sent this chunk."""
         incoming = self._incoming
         return (
-            incoming is not None and piece.term <= self._term and piece.snapshot.index < incoming.head.index
+            incoming is not None
+            and chunk.term <= self._term
+            and chunk.snapshot.index < incoming.metadata.index
         )
 
-    def _begin_where_new(self, piece: SnapshotChunk) -> None:
-        incoming = _incoming(piece)
+    def _start_if_different(self, chunk: SnapshotChunk) -> None:
+        incoming = _identity_of(chunk)
         if self._incoming != incoming:
             self._incoming = incoming
             self._bytes = HashedBytes()
 
 
-def _incoming(piece: SnapshotChunk) -> _Incoming:
-    return _Incoming(piece.snapshot, piece.size, piece.digest)
+def _identity_of(chunk: SnapshotChunk) -> SnapshotIdentity:
+    return SnapshotIdentity(chunk.snapshot, chunk.size, chunk.digest)
 
 
 def chunk_message(
-    sender: SnapshotSender, piece: Chunk, shard: ShardId, replica: str, term: int, round_number: int
+    sender: SnapshotSender, chunk: Chunk, shard: ShardId, replica: str, term: int, round_number: int
 ) -> SnapshotChunk:
-    """The message that carries a piece."""
+    """The message that carries a chunk."""
     return SnapshotChunk(
         shard=shard,
         sender=replica,
         term=term,
-        snapshot=sender.head,
+        snapshot=sender.metadata,
         size=sender.size,
         digest=sender.digest,
-        offset=piece.offset,
-        data=piece.data,
+        offset=chunk.offset,
+        data=chunk.data,
         round=round_number,
     )
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -27,7 +27,7 @@
         self.log = ReplicaLog(durable)
         self.disk = DiskGate()
         self.effects = Effects()
-        self.incoming = SnapshotReceiver()
+        self.snapshot_receiver = SnapshotReceiver()
         self._after_write: list[tuple[ReplicaId, ReplicaMessage]] = []
         self._hard_state_changed = False
         self._hard_state_ticket = 0
@@ -51,7 +51,7 @@
 
     def disk_stalls(self, now: float) -> bool:
         """Whether a write takes so long that this replica should not lead."""
-        return self.disk.stalled(now, self.timing.disk_stall)
+        return self.disk.is_stalled(now, self.timing.disk_stall)
 
     def send(self, receiver: ReplicaId, message: ReplicaMessage) -> None:
         """Sends what depends on no write."""
@@ -80,14 +80,14 @@
         if index > self.commit_index:
             self.effects.applied.extend(self.log.between(self.commit_index + 1, index))
             self.commit_index = index
-            self.incoming.forget_up_to(index)
+            self.snapshot_receiver.discard_up_to(index)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Takes over a leader's snapshot, where it is ahead of what is committed here."""
         if snapshot.index > self.commit_index:
-            self.log.install(snapshot, self.commit_index)
+            self.log.install_snapshot(snapshot, self.commit_index)
             self.commit_index = snapshot.index
-            self.incoming.forget_up_to(snapshot.index)
+            self.snapshot_receiver.discard_up_to(snapshot.index)
             self.effects.restore = snapshot
             self.effects.applied.clear()
 
@@ -101,9 +101,9 @@
                 self._hard_state_changed = False
             self.effects.writes.append((ticket, self.record(entries, snapshot)))
         for send in self._after_write:
-            self.disk.hold(send)
+            self.disk.defer(send)
         self._after_write.clear()
-        self.effects.sends.extend(self.disk.release())
+        self.effects.sends.extend(self.disk.release_ready())
 
     def written(self, ticket: int) -> None:
         """The write `ticket`, and all before it, is on the disk."""
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -306,7 +306,7 @@
         self._work(node)
 
     def _work(self, node):
-        effects = node.replica.take()
+        effects = node.replica.drain_effects()
         if effects.leadership_changed and node.replica.is_leader:
             self.promises.owns(node.replica)
         for ticket, record in effects.writes:
@@ -315,7 +315,7 @@
         for receiver, message in effects.sends:
             self._send(node, receiver, message)
         self._apply(node, effects)
-        for ticket in effects.confirmed:
+        for ticket in effects.confirmed_reads:
             assert node.applied_index >= node.reads.pop(ticket), "a confirmed read is older than its call"
             node.confirmed.append(ticket)
 
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -37,7 +37,7 @@
 from tests.tier.dataplane_world import STAMP, World
 from tests.tier.replication_harness import SHARD, Cluster
 from tests.tier.test_protocol_replies import ConnectionPair
-from tests.tier.test_snapshots import pieces_of
+from tests.tier.test_snapshots import chunks_of
 
 FOUND_BY_MODEL = {  # guard: script, faults
     "vote-on-disk": ("vote_lost_with_the_power", 0),
@@ -375,10 +375,10 @@
 
 class TestSnapshots(testtools.TestCase):
     def test_a_newer_one_begins_without_the_bytes_of_an_older(self):
-        older, newer = pieces_of(b"older", index=5), pieces_of(b"newer", index=9)
+        older, newer = chunks_of(b"older", index=5), chunks_of(b"newer", index=9)
         receiver = SnapshotReceiver()
-        receiver.take(older[0])
+        receiver.receive(older[0])
         self.assertEqual(0, receiver.received(newer[0]))
-        *missing, installed = [receiver.take(piece) for piece in newer]
+        *missing, installed = [receiver.receive(piece) for piece in newer]
         self.assertEqual([None, None], missing)
         self.assertEqual(attrs.evolve(newer[0].snapshot, state=b"newer"), installed)
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -67,7 +67,7 @@
     def ask(self, now):
         """The question that the replica asks at its next tick."""
         self.replica.tick(now)
-        sends = [message for _, message in self.replica.take().sends]
+        sends = [message for _, message in self.replica.drain_effects().sends]
         return next(message for message in sends if isinstance(message, ReadIndexRequest))
 
     def answer(self, question, index, now, **changes):
@@ -282,16 +282,16 @@
         self.assertEqual(MAX_PENDING_PER_FOLLOWER + 1, len(reads.take_ready(1, 1)))
 
     def test_given_an_owner_that_never_answers_then_few_questions_are_remembered(self):
-        reads = FollowerReads(first_ticket=1, pause=0.2)
-        tickets = [reads.ask(float(number)) for number in range(100)]
-        reads.answered(tickets[0], 0)
+        reads = FollowerReads(first_ticket=1, interval=0.2)
+        tickets = [reads.begin_request(float(number)) for number in range(100)]
+        reads.record_answer(tickets[0], 0)
         self.assertEqual(NEVER, reads.confirmed_at)
-        reads.answered(tickets[-MAX_REMEMBERED_REQUESTS], 0)
+        reads.record_answer(tickets[-MAX_REMEMBERED_REQUESTS], 0)
         self.assertEqual(100.0 - MAX_REMEMBERED_REQUESTS, reads.confirmed_at)
 
     def test_given_answers_out_of_order_then_the_newest_question_counts(self):
-        reads = FollowerReads(first_ticket=1, pause=0.2)
-        first, second = reads.ask(1.0), reads.ask(2.0)
-        reads.answered(second, 9)
-        reads.answered(first, 5)
+        reads = FollowerReads(first_ticket=1, interval=0.2)
+        first, second = reads.begin_request(1.0), reads.begin_request(2.0)
+        reads.record_answer(second, 9)
+        reads.record_answer(first, 5)
         self.assertEqual((2.0, 1.0, 2.0), (reads.confirmed_at, reads.current_at(8), reads.current_at(9)))
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -136,7 +136,7 @@
 
     def work(self, name):
         replica = self.replicas[name]
-        effects = replica.take()
+        effects = replica.drain_effects()
         if effects.leadership_changed and replica.is_leader:
             self.promises.owns(replica)
         for write in effects.writes:
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -37,10 +37,10 @@
 
 def write(replica, now):
     """Ends all writes; the messages that were due before and after."""
-    effects = replica.take()
+    effects = replica.drain_effects()
     for ticket, _ in effects.writes:
         replica.written(ticket, now)
-    return effects.sends + replica.take().sends
+    return effects.sends + replica.drain_effects().sends
 
 
 class LogPromises(testtools.TestCase):
@@ -57,7 +57,7 @@
 
     def test_entries_under_a_foreign_snapshot_are_not_durable_until_it_is_written(self):
         log = ReplicaLog(DurableState(entries=[entry(1, 1), entry(2, 1)]))
-        log.install(Snapshot(3, 2, GROUP, b"state"), commit_index=1)
+        log.install_snapshot(Snapshot(3, 2, GROUP, b"state"), commit_index=1)
         self.assertEqual(1, log.durable_index)
         log.begin_write(1)
         log.end_write(1)
@@ -177,11 +177,11 @@
     def test_a_read_waits_for_an_entry_of_the_epoch(self):
         replica = self.leader()
         ticket = replica.confirm(0.6)
-        replica.take()
+        replica.drain_effects()
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 2), 0.6)
-        self.assertEqual([], replica.take().confirmed)
+        self.assertEqual([], replica.drain_effects().confirmed_reads)
         replica.receive(AppendReply(SHARD, "b", 3, True, 3, 2), 0.6)
-        self.assertEqual([ticket], replica.take().confirmed)
+        self.assertEqual([ticket], replica.drain_effects().confirmed_reads)
 
     def test_late_and_foreign_messages_change_nothing(self):
         replica = self.leader()
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -11,7 +11,7 @@
 from kestrelbend.tier.storage import DiskJournal
 from tests.tier.memory_disk import MemoryDisk, PowerLoss
 from tests.tier.replication_harness import Cluster
-from tests.tier.test_snapshots import SMALL_PIECES, cluster_with_a_member_away, is_current
+from tests.tier.test_snapshots import SMALL_CHUNKS, cluster_with_a_member_away, is_current
 
 GROUP = ("a", "b", "c")
 TIMING = Timing(tail_entries=2)
@@ -63,7 +63,7 @@
         if term is None or self.chance.random() < 0.5:
             self.term += 1
             term = self.term
-        self.log.install(Snapshot(index, term, GROUP, b"state %d" % index), self.commit)
+        self.log.install_snapshot(Snapshot(index, term, GROUP, b"state %d" % index), self.commit)
         self.commit = index
 
     def write(self):
@@ -200,7 +200,7 @@
 
     def test_a_restarted_member_that_is_alone_with_an_older_one_leads_with_all_that_was_acknowledged(self):
         for seed in range(12):
-            cluster = Cluster("abc", timing=SMALL_PIECES, seed=seed)
+            cluster = Cluster("abc", timing=SMALL_CHUNKS, seed=seed)
             cluster.run(1.0)
             cluster.lose_power("c")
             for number in range(60):
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -8,7 +8,9 @@
 from kestrelbend.tier.budgets.state_machine import BudgetStateMachine
 from kestrelbend.tier.protocol.codec import decode, encode
 from kestrelbend.tier.replication import Timing
-from kestrelbend.tier.replication.host import COMPACT_ENTRIES, DEFERRED_RECORD_BYTES, ShardHost
+from kestrelbend.tier.replication.host import ShardHost
+from kestrelbend.tier.replication.hosted import COMPACT_ENTRIES
+from kestrelbend.tier.replication.replica_disk import DEFERRED_RECORD_BYTES
 from kestrelbend.tier.storage.records import DeferredRecord, bytes_of
 
 SHARD = "budget-0"
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -11,13 +11,13 @@
 from tests.tier.replication_harness import Cluster
 
 NARROW = 15_000_000 / 8  # bytes a second
-PIECE = 1000
-SMALL_PIECES = Timing(chunk_bytes=PIECE, snapshot_window=2 * PIECE, retention=0.5, tail_entries=0)
+CHUNK = 1000
+SMALL_CHUNKS = Timing(chunk_bytes=CHUNK, snapshot_window=2 * CHUNK, retention=0.5, tail_entries=0)
 COMMAND = b"x" * 100
 LARGE = b"z" * (4 << 20)
 
 
-def cluster_with_a_member_away(changes=100, command=COMMAND, timing=SMALL_PIECES, names="abc", **options):
+def cluster_with_a_member_away(changes=100, command=COMMAND, timing=SMALL_CHUNKS, names="abc", **options):
     """The first owns, the last one was away for all changes; the others hold a snapshot of them."""
     cluster = Cluster(names, timing=timing, **options)
     cluster.run(1.0)
@@ -47,10 +47,10 @@
         cluster = cluster_with_a_member_away()
         cluster.start("c")
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 2.0))
-        pieces = pieces_sent(cluster)
-        self.assertGreater(len(pieces), 10)
-        self.assertTrue(all(len(piece.data) <= PIECE for piece in pieces))
-        self.assertEqual(pieces[0].size, sum(len(piece.data) for piece in pieces))
+        chunks = pieces_sent(cluster)
+        self.assertGreater(len(chunks), 10)
+        self.assertTrue(all(len(chunk.data) <= CHUNK for chunk in chunks))
+        self.assertEqual(chunks[0].size, sum(len(chunk.data) for chunk in chunks))
 
     def test_pieces_lost_doubled_and_out_of_order_cost_their_own_bytes_alone(self):
         for seed in range(20):
@@ -58,9 +58,9 @@
             cluster.links.loss, cluster.links.double, cluster.links.spread = 0.1, 0.1, 0.02
             cluster.start("c")
             self.assertTrue(cluster.run_until(lambda world=cluster: is_current(world), 20.0), seed)
-            pieces = pieces_sent(cluster)
-            sent = sum(len(piece.data) for piece in pieces)
-            self.assertLess(sent, 3 * pieces[0].size, seed)
+            chunks = pieces_sent(cluster)
+            sent = sum(len(chunk.data) for chunk in chunks)
+            self.assertLess(sent, 3 * chunks[0].size, seed)
 
     def test_the_snapshot_being_sent_is_finished_though_newer_ones_are_made(self):
         cluster = cluster_with_a_member_away()
@@ -71,7 +71,7 @@
             cluster.run(0.04)
             cluster.compact("a")
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 2.0))
-        self.assertEqual(1, len({piece.snapshot.index for piece in pieces_sent(cluster)}))
+        self.assertEqual(1, len({chunk.snapshot.index for chunk in pieces_sent(cluster)}))
 
     def test_a_cut_in_the_middle_resumes_at_what_the_member_has(self):
         cluster = cluster_with_a_member_away()
@@ -82,9 +82,9 @@
         cluster.run(2.0)
         cluster.join()
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
-        pieces = pieces_sent(cluster)
-        sent = sum(len(piece.data) for piece in pieces)
-        self.assertLess(sent, pieces[0].size + 8 * PIECE)
+        chunks = pieces_sent(cluster)
+        sent = sum(len(chunk.data) for chunk in chunks)
+        self.assertLess(sent, chunks[0].size + 8 * CHUNK)
 
     def test_the_next_owner_goes_on_where_its_snapshot_is_the_same(self):
         cluster = cluster_with_a_member_away()
@@ -94,10 +94,10 @@
         cluster.transfer()
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
         self.assertEqual("b", cluster.leader().name)
-        pieces = pieces_sent(cluster)
-        by_the_second = [piece for piece in pieces if piece.sender == "b#1"]
+        chunks = pieces_sent(cluster)
+        by_the_second = [chunk for chunk in chunks if chunk.sender == "b#1"]
         self.assertGreater(len(by_the_second), 2)
-        self.assertLess(sum(len(piece.data) for piece in pieces), pieces[0].size + 8 * PIECE)
+        self.assertLess(sum(len(chunk.data) for chunk in chunks), chunks[0].size + 8 * CHUNK)
 
     def test_the_next_owner_begins_anew_where_its_snapshot_is_another(self):
         cluster = cluster_with_a_member_away()
@@ -109,7 +109,7 @@
         cluster.compact("b")
         cluster.transfer()
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 4.0))
-        self.assertEqual(2, len({piece.snapshot.index for piece in pieces_sent(cluster)}))
+        self.assertEqual(2, len({chunk.snapshot.index for chunk in pieces_sent(cluster)}))
 
     def test_a_member_killed_at_every_message_of_its_catching_up_ends_up_current(self):
         prepared = thousand_changes_with_a_member_away()
@@ -232,60 +232,60 @@
 
 class ReceiverPromises(testtools.TestCase):
     def test_bytes_that_are_not_the_owners_are_refused_and_asked_for_again(self):
-        pieces = pieces_of(b"right")
+        chunks = chunks_of(b"right")
         receiver = SnapshotReceiver()
-        wrong = [attrs.evolve(piece, data=piece.data.upper()) for piece in pieces]
-        self.assertEqual([None] * len(wrong), [receiver.take(piece) for piece in wrong])
-        self.assertEqual(0, receiver.received(pieces[0]))
-        self.assertEqual(b"right", [receiver.take(piece) for piece in pieces][-1].state)
+        wrong = [attrs.evolve(chunk, data=chunk.data.upper()) for chunk in chunks]
+        self.assertEqual([None] * len(wrong), [receiver.receive(chunk) for chunk in wrong])
+        self.assertEqual(0, receiver.received(chunks[0]))
+        self.assertEqual(b"right", [receiver.receive(chunk) for chunk in chunks][-1].state)
 
     def test_more_bytes_than_were_told_are_refused(self):
-        piece = pieces_of(b"right", chunk_bytes=10)[0]
+        chunk = chunks_of(b"right", chunk_bytes=10)[0]
         receiver = SnapshotReceiver()
-        self.assertIsNone(receiver.take(attrs.evolve(piece, data=b"right and more")))
-        self.assertEqual(0, receiver.received(piece))
+        self.assertIsNone(receiver.receive(attrs.evolve(chunk, data=b"right and more")))
+        self.assertEqual(0, receiver.received(chunk))
 
     def test_a_late_piece_of_an_older_snapshot_does_not_end_the_newer_one(self):
-        older, newer = pieces_of(b"older", index=5), pieces_of(b"newer", index=9)
+        older, newer = chunks_of(b"older", index=5), chunks_of(b"newer", index=9)
         receiver = SnapshotReceiver()
-        receiver.take(newer[0])
-        receiver.take(older[0])
+        receiver.receive(newer[0])
+        receiver.receive(older[0])
         self.assertEqual(2, receiver.received(newer[0]))
 
     def test_an_empty_state_is_one_piece(self):
-        (piece,) = pieces_of(b"")
-        self.assertEqual(Snapshot(7, 1, ("a", "b")), SnapshotReceiver().take(piece))
+        (chunk,) = chunks_of(b"")
+        self.assertEqual(Snapshot(7, 1, ("a", "b")), SnapshotReceiver().receive(chunk))
 
 
 class SenderPromises(testtools.TestCase):
     def test_a_follower_that_has_lost_its_part_is_followed_back(self):
         sender = sender_of(b"0123456789")
         sent(sender, 0.0)
-        sender.replied(reply(sender, 4, round_number=1), 0.01)
+        sender.receive_reply(reply(sender, 4, round_number=1), 0.01)
         sent(sender, 0.01)
-        sender.replied(reply(sender, 0, round_number=1), 0.02)
+        sender.receive_reply(reply(sender, 0, round_number=1), 0.02)
         self.assertEqual(4, sender.received)
-        sender.replied(reply(sender, 0, round_number=2), 0.03)
-        self.assertEqual([0, 2], [piece.offset for piece in sent(sender, 0.03)])
+        sender.receive_reply(reply(sender, 0, round_number=2), 0.03)
+        self.assertEqual([0, 2], [chunk.offset for chunk in sent(sender, 0.03)])
 
     def test_a_retry_waits_for_the_pace_of_the_bytes(self):
         sender = sender_of(b"0123456789")
         sent(sender, 0.0)
-        sender.replied(reply(sender, 2), 0.5)
+        sender.receive_reply(reply(sender, 2), 0.5)
         sent(sender, 0.5)
         self.assertEqual([], sent(sender, 2.4))
-        self.assertEqual([2, 4], [piece.offset for piece in sent(sender, 2.6)])
+        self.assertEqual([2, 4], [chunk.offset for chunk in sent(sender, 2.6)])
 
     def test_no_more_than_the_window_is_under_way(self):
         sender = sender_of(b"0123456789")
-        self.assertEqual([0, 2], [piece.offset for piece in sent(sender, 0.0)])
-        sender.replied(reply(sender, 2), 0.01)
-        self.assertEqual([4], [piece.offset for piece in sent(sender, 0.01)])
+        self.assertEqual([0, 2], [chunk.offset for chunk in sent(sender, 0.0)])
+        sender.receive_reply(reply(sender, 2), 0.01)
+        self.assertEqual([4], [chunk.offset for chunk in sent(sender, 0.01)])
 
     def test_a_reply_to_other_bytes_counts_for_nothing(self):
         sender = sender_of(b"0123456789")
         sent(sender, 0.0)
-        sender.replied(attrs.evolve(reply(sender, 10), digest=b"other"), 0.01)
+        sender.receive_reply(attrs.evolve(reply(sender, 10), digest=b"other"), 0.01)
         self.assertFalse(sender.is_complete)
 
 
@@ -298,30 +298,30 @@
 
 
 def sent(sender, now):
-    return list(sender.due(now))
+    return list(sender.due_chunks(now))
 
 
 def reply(sender, received, round_number=1):
     return SnapshotReply("s", "b", 1, sender.digest, received, round_number)
 
 
-def pieces_of(state, index=7, chunk_bytes=2):
+def chunks_of(state, index=7, chunk_bytes=2):
     """All pieces of a snapshot, as messages of one owner."""
     sender = sender_of(state, index, chunk_bytes)
     messages = []
     while not sender.is_complete:
-        for piece in sent(sender, 0.0):
+        for chunk in sent(sender, 0.0):
             messages.append(
                 SnapshotChunk(
-                    "s", "a", 1, sender.head, sender.size, sender.digest, piece.offset, piece.data, 1
+                    "s", "a", 1, sender.metadata, sender.size, sender.digest, chunk.offset, chunk.data, 1
                 )
             )
-        sender.replied(reply(sender, messages[-1].offset + len(messages[-1].data)), 0.0)
+        sender.receive_reply(reply(sender, messages[-1].offset + len(messages[-1].data)), 0.0)
     return messages
 
 
 def thousand_changes_with_a_member_away():
-    tiny_pieces = attrs.evolve(SMALL_PIECES, chunk_bytes=PIECE // 4, snapshot_window=PIECE // 2)
+    tiny_pieces = attrs.evolve(SMALL_CHUNKS, chunk_bytes=CHUNK // 4, snapshot_window=CHUNK // 2)
     return cluster_with_a_member_away(changes=1000, command=b"x" * 10, timing=tiny_pieces)
 
 
