--- a/kestrelbend/tier/control/directory_stream.py
+++ b/kestrelbend/tier/control/directory_stream.py
@@ -1,7 +1,8 @@
-"""The directory that this control node tells all who subscribe to it: members, placements, owners.
+"""The directory that this control node streams to its subscribers: members, placements, owners.
 
-Invariant: a member leaves the directory only once this node has been in contact for longer than the member's
-silence.  A node that is cut off hears nobody, and who knows only it must still find the others afterwards.
+Invariant: a member leaves the directory only once this node has been in contact for longer than the member
+has been unresponsive.  A node that is cut off hears nobody, and who knows only it must still find the others
+afterwards.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 
 
 class DirectoryStream:
-    """The subscribers, and the directory that each of them was told last."""
+    """The subscribers, and the directory that each of them was sent last; times are in seconds."""
 
     def __init__(self, members: MemberTable) -> None:
         self._members = members
-        self._told_to: dict[PeerConnection, Directory | None] = {}
+        self._last_sent: dict[PeerConnection, Directory | None] = {}
         self._newest: Directory | None = None
         self._listed: dict[str, Member] = {}  # by address
 
-    def subscribe(self, link: PeerConnection) -> None:
+    def subscribe(self, connection: PeerConnection) -> None:
         """A process wants the directory, and each later one."""
-        self._told_to[link] = None
+        self._last_sent[connection] = None
         self.send()
 
-    def lost(self, link: PeerConnection) -> None:
-        """A connection ended."""
-        self._told_to.pop(link, None)
+    def lost(self, connection: PeerConnection) -> None:
+        """A connection ended, or its process wants no directory any more."""
+        self._last_sent.pop(connection, None)
 
     def refresh(
         self, configuration: ConfigurationService, in_contact_s: float, now: float
@@ -49,11 +50,11 @@
         if self._newest is None:
             return
         encoded = None
-        for link, told in list(self._told_to.items()):
-            if told is not self._newest:
+        for connection, last_sent in list(self._last_sent.items()):
+            if last_sent is not self._newest:
                 encoded = encoded or encode(self._newest)
-                link.send_encoded(encoded)
-                self._told_to[link] = self._newest
+                connection.send_encoded(encoded)
+                self._last_sent[connection] = self._newest
 
     def _list_members(self, in_contact_s: float, now: float) -> None:
         live = {member.address: member for member in self._members.members(now)}
@@ -73,5 +74,5 @@
 
 
 def without_progress(report: ShardReport) -> ShardReport:
-    """A report as the directory tells it: what changes with each command is left out."""
+    """A report as the directory has it: what changes with each command is left out."""
     return attrs.evolve(report.without_indexes(), stable=False)
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -1,10 +1,18 @@
 """How control nodes tell each other who reports to them: changes alone, in their connection's order.
 
-Who was told of and is neither quiet nor gone counts as heard at each summary, so a calm tier costs a few
-bytes a heartbeat interval.  A new connection begins with everything.
+A member that was published earlier, and is neither unresponsive nor departed, counts as heard at each
+summary, so a calm tier costs a few bytes with each heartbeat interval.  A new connection begins with a
+complete summary.
 
-Invariant: nothing is told of a process but what its own heartbeats to this node said, so that no word goes
-round between control nodes after its process has ended.
+Of one member, at the node that it reports to:
+
+    unpublished --heartbeat--> published --`UNRESPONSIVE_S` without one--> published as unresponsive
+                                  ^  |                                            |
+                    heartbeat, or |  +---`LIVE_S` without one---> departed <------+
+                    a change in it
+
+Invariant: nothing is published of a process but what its own heartbeats to this node said, so that nothing
+goes round between control nodes after its process has ended.
 """
 
 from __future__ import annotations
@@ -18,42 +26,49 @@
 from ..protocol.codec import encode
 from ..protocol.peer_connection import PeerConnection
 
-QUIET_S = 0.3  # without a heartbeat, from which on the silence is told: more than between two
-PROGRESS_S = 5.0  # between two tellings of nothing but how far a member's replicas have come
+UNRESPONSIVE_S = 0.3  # without a heartbeat, from which on its age is published: more than between two
+PROGRESS_S = 5.0  # between two publications of nothing but how far a member's replicas have come
+MS_PER_S = 1000
 
 
 @attrs.frozen
-class _Told:
-    """What was told of a member last; `lasting` leaves out what changes with each heartbeat."""
+class _Published:
+    """What was published of a member last; `lasting` leaves out what changes with each heartbeat."""
 
     heartbeat: Heartbeat
     lasting: Heartbeat
     at: float
 
+    def differs(self, heartbeat: Heartbeat, lasting: Heartbeat, now: float) -> bool:
+        """Whether a later heartbeat, and what lasts of it, is to be published now."""
+        if lasting != self.lasting:
+            return True
+        return now - self.at >= PROGRESS_S and heartbeat.shards != self.heartbeat.shards
+
 
 class MemberSummaries:
-    """Sends this node's summaries, and takes those of the others into the table."""
+    """Sends this node's summaries, and takes those of the others into the table; times are in seconds."""
 
     def __init__(self, sender: str, members: MemberTable) -> None:
         self._sender = sender
         self._members = members
-        self._told: dict[str, _Told] = {}
-        self._begun: set[PeerConnection] = set()  # connections that hold all that was told
+        self._published: dict[str, _Published] = {}  # by address
+        self._up_to_date: set[PeerConnection] = set()  # connections that hold all that was published
         self._reported: dict[str, dict[str, int]] = {}  # by sender: incarnations by address
 
-    def send(self, links: Iterable[PeerConnection], now: float) -> None:
+    def send(self, connections: Iterable[PeerConnection], now: float) -> None:
         """Brings the other control nodes up to date; one encoding serves all that are."""
-        changes = self._changes(now)
-        for link in links:
-            if link in self._begun:
-                link.send_encoded(changes)
+        changes = encode(self._changes(now))
+        for connection in connections:
+            if connection in self._up_to_date:
+                connection.send_encoded(changes)
             else:
-                self._begun.add(link)
-                link.send(self._whole(now))
+                self._up_to_date.add(connection)
+                connection.send(self._complete(now))
 
-    def lost(self, link: PeerConnection) -> None:
+    def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
-        self._begun.discard(link)
+        self._up_to_date.discard(connection)
 
     def take(self, summary: MemberSummary, now: float) -> None:
         """Takes in another node's summary."""
@@ -62,50 +77,58 @@
         reported = self._reported.setdefault(summary.sender, {})
         for heartbeat in summary.heartbeats:
             reported[heartbeat.member.address] = heartbeat.member.incarnation
-        silences = {
-            unresponsive.address: unresponsive.heartbeat_age_ms / 1000
-            for unresponsive in summary.unresponsive
-        }
+        ages = {late.address: late.heartbeat_age_ms / MS_PER_S for late in summary.unresponsive}
         for heartbeat in summary.heartbeats:
-            silence = silences.get(heartbeat.member.address, 0.0)
-            self._members.told(heartbeat, now - silence)
+            age = ages.get(heartbeat.member.address, 0.0)
+            self._members.record_relayed(heartbeat, now - age)
         for address in summary.departed:
             reported.pop(address, None)
         for address, incarnation in reported.items():
-            self._members.still_there(address, incarnation, now - silences.get(address, 0.0))
+            self._members.confirm_live(address, incarnation, now - ages.get(address, 0.0))
 
-    def _changes(self, now: float) -> bytes:
-        heartbeats = []
+    def _changes(self, now: float) -> MemberSummary:
+        """What is to be published since the last summary; it counts as published from here on."""
         live = self._members.reporting_here(now)
-        for address, heartbeat in live.items():
-            if self._is_due(address, heartbeat, now):
-                self._told[address] = _Told(heartbeat, lasting(heartbeat), now)
-                heartbeats.append(heartbeat)
-        departed = tuple(address for address in self._told if address not in live)
+        heartbeats = [heartbeat for heartbeat in live.values() if self._publish_if_due(heartbeat, now)]
+        departed = tuple(address for address in self._published if address not in live)
         for address in departed:
-            del self._told[address]
-        return encode(MemberSummary(self._sender, False, tuple(heartbeats), self._quiet(now), departed))
+            del self._published[address]
+        return MemberSummary(
+            sender=self._sender,
+            complete=False,
+            heartbeats=tuple(heartbeats),
+            unresponsive=self._unresponsive(now),
+            departed=departed,
+        )
 
-    def _whole(self, now: float) -> MemberSummary:
-        heartbeats = tuple(told.heartbeat for told in self._told.values())
-        return MemberSummary(self._sender, True, heartbeats, self._quiet(now), ())
+    def _complete(self, now: float) -> MemberSummary:
+        return MemberSummary(
+            sender=self._sender,
+            complete=True,
+            heartbeats=tuple(published.heartbeat for published in self._published.values()),
+            unresponsive=self._unresponsive(now),
+            departed=(),
+        )
 
-    def _quiet(self, now: float) -> tuple[UnresponsiveMember, ...]:
-        silences = ((address, self._members.silence_here(address, now)) for address in self._told)
+    def _unresponsive(self, now: float) -> tuple[UnresponsiveMember, ...]:
+        ages = ((address, self._members.heartbeat_age_here(address, now)) for address in self._published)
         return tuple(
-            UnresponsiveMember(address, round(silence * 1000))
-            for address, silence in silences
-            if silence > QUIET_S
+            UnresponsiveMember(address, round(age * MS_PER_S))
+            for address, age in ages
+            if age > UNRESPONSIVE_S
         )
 
-    def _is_due(self, address: str, heartbeat: Heartbeat, now: float) -> bool:
-        told = self._told.get(address)
-        if told is None or lasting(heartbeat) != told.lasting:
-            return True
-        return now - told.at >= PROGRESS_S and heartbeat.shards != told.heartbeat.shards
+    def _publish_if_due(self, heartbeat: Heartbeat, now: float) -> bool:
+        address = heartbeat.member.address
+        lasting = without_progress(heartbeat)
+        published = self._published.get(address)
+        if published is not None and not published.differs(heartbeat, lasting, now):
+            return False
+        self._published[address] = _Published(heartbeat, lasting, now)
+        return True
 
 
-def lasting(heartbeat: Heartbeat) -> Heartbeat:
+def without_progress(heartbeat: Heartbeat) -> Heartbeat:
     """A heartbeat without what changes all the time: its number, and how far replicas have come."""
     shards = tuple(report.without_indexes() for report in heartbeat.shards)
     return attrs.evolve(heartbeat, sequence=0, shards=shards)
--- a/kestrelbend/tier/control/placing.py
+++ b/kestrelbend/tier/control/shard_placer.py
@@ -1,19 +1,29 @@
 """Who should hold which shard: decided by the owner of the configuration's shard, kept as entries of it.
 
+One pass of the placer, at each heartbeat:
+
+    not the owner ------------------------------> nothing
+    owner ---> learners and voters of the configuration's own group
+          ---> after `FIRST_HEARTBEATS_S`, and while no earlier orders are being committed:
+               unknown disks, then due placements, then what is proved to be emptied
+
 Invariant: a placement of a budget shard is proposed by nobody but the owner, and counts once it is committed;
-every disk that it names is noted before.  The budgets are founded on a whole group or not at all.
+every disk that it names is recorded before.  The budgets are founded on a complete group or not at all.
+All times are this node's steady clock, in seconds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Coroutine
+from typing import Any
 
 from ..configuration.messages import ConfigOrder, OrderKind
 from ..configuration.placements import encode_placement
 from ..configuration.shard_service import NOT_OWNER, ConfigurationService
 from ..membership.messages import ShardPlacement
 from ..membership.placement import (
-    SPARE_S,
+    PREFERRED,
+    SPARE_TIMEOUT_S,
     budget_shards,
     candidates,
     found_budget_shards,
@@ -24,9 +34,12 @@
 from ..membership.table import MemberTable
 from .store_facts import due_emptied, unknown_disks
 
-LEAVING_S = SPARE_S + 0.1  # a process that leaves counts as silent for this long
+LEAVING_ABSENCE_S = SPARE_TIMEOUT_S + 0.1  # a process that leaves counts as absent for at least this long
 FOUNDING_WAIT_S = 2.5  # for stores to come before budgets are founded on what is there
-FIRST_LOOK_S = 0.5  # for heartbeats to come in, from the beginning of an ownership
+FIRST_HEARTBEATS_S = 0.5  # for heartbeats to come in, from the beginning of an ownership
+
+Spawn = Callable[[Coroutine[Any, Any, None]], object]
+"""Runs a coroutine beside the others."""
 
 
 class ShardPlacer:
@@ -37,7 +50,7 @@
         configuration: ConfigurationService,
         members: MemberTable,
         tolerated_nodes: int,
-        spawn: Callable[[Coroutine], object],
+        spawn: Spawn,
     ) -> None:
         self._configuration = configuration
         self._members = members
@@ -45,15 +58,15 @@
         self._spawn = spawn
         self._owner_since = 0.0
         self._owned_epoch: int | None = None
-        self._proposing = False
+        self._proposing = False  # orders of an earlier pass are being committed
 
-    def place(self, now: float) -> None:
+    def run(self, now: float) -> None:
         """Takes the steps that are due now."""
-        self._note_ownership(now)
+        self._record_ownership(now)
         if self._owned_epoch is None:
             return
         self._place_configuration(now)
-        if self._proposing or self.owned_for(now) < FIRST_LOOK_S:
+        if self._proposing or self.owned_for(now) < FIRST_HEARTBEATS_S:
             return
         orders = self._due_orders(now)
         if orders:
@@ -66,7 +79,7 @@
         is_same = replica.is_leader and replica.term == self._owned_epoch
         return now - self._owner_since if is_same else 0.0
 
-    def _note_ownership(self, now: float) -> None:
+    def _record_ownership(self, now: float) -> None:
         replica = self._configuration.replica
         epoch = replica.term if replica.is_leader else None
         if epoch != self._owned_epoch:
@@ -81,35 +94,36 @@
         return disks + placements + due_emptied(state, self._members.reports())
 
     def _place_configuration(self, now: float) -> None:
+        """Sets the learners of the configuration's own group, and the voters that it moves towards."""
         replica = self._configuration.replica
         stores = self._configuration.state.stores
         learners = candidates(self._members.staying(now), (), stores_first=False)
-        replica.set_learners([candidate.replica for candidate in learners])
+        replica.set_learners(tuple(candidate.replica for candidate in learners))
         available = candidates(self._members.staying(now), stores.retiring, stores_first=False)
         voters = next_voters(
             tuple(replica.voters),
             self._size,
             available,
-            lambda voter: self._silence(voter, now),
+            lambda voter: self._absence(voter, now),
             [voter for voter in replica.voters if stores.must_be_emptied(voter)],
         )
         replica.set_target(voters, term=replica.term)
 
-    def _silence(self, replica_id: str, now: float) -> float:
+    def _absence(self, replica_id: str, now: float) -> float:
         """For how long a replica has been away.
 
         One that was never heard of here may still be starting, as may this process; one that leaves may come
         back, but a spare need not wait for that.
         """
-        silence = min(self._members.silence(replica_id, now), self.owned_for(now))
-        return max(silence, LEAVING_S) if self._members.is_leaving(replica_id) else silence
+        absence = min(self._members.heartbeat_age(replica_id, now), self.owned_for(now))
+        return max(absence, LEAVING_ABSENCE_S) if self._members.is_leaving(replica_id) else absence
 
     def _due_placements(self, now: float) -> list[ShardPlacement]:
         state = self._configuration.state
         available = candidates(self._members.staying(now), state.retiring, stores_first=True)
         placed_shards = {placed.shard for placed in state.placements}
         if not placed_shards.issuperset(budget_shards()):
-            stores = [candidate for candidate in available if candidate.preference == 0]
+            stores = [candidate for candidate in available if candidate.preference == PREFERRED]
             if len(stores) < self._size and self.owned_for(now) < FOUNDING_WAIT_S:
                 return []
             return found_budget_shards(placed_shards, self._size, available)
@@ -120,7 +134,7 @@
             self._members,
             state.retiring,
             now,
-            lambda replica_id: self._silence(replica_id, now),
+            lambda replica_id: self._absence(replica_id, now),
         )
 
     @staticmethod
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -1,7 +1,7 @@
-"""What the owner of the configuration's shard has to note about disks: which there are, and what is empty.
+"""What the owner of the configuration's shard has to record about disks: which there are, and what is empty.
 
-Invariant: a disk is noted before a shard is placed on it, so that its node can be told from a replica's name;
-a shard is noted as gone from a node only by its own owner's word of a committed group.
+Invariant: a disk is recorded before a shard is placed on it, so that its node follows from a replica's name;
+a shard is recorded as departed from a node only by its own owner's report of a committed group.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def unknown_disks(state: ConfigurationState, members: Iterable[Member]) -> list[ConfigOrder]:
-    """The orders that note the members' disks where that wasn't done."""
+    """The orders that record the members' disks where that wasn't done."""
     disks = [
         KnownDisk(member.node, member.replica, member.serves_storage) for member in members if member.replica
     ]
@@ -25,10 +25,11 @@
 
 
 def due_emptied(state: ConfigurationState, reports: dict[str, ShardReport]) -> list[ConfigOrder]:
-    """The orders that note what is gone from nodes that are to be emptied."""
+    """The orders that record which shards have departed from nodes that are to be emptied."""
+    shards = [CONFIGURATION_SHARD, *(placed.shard for placed in state.placements)]
     orders = []
     for node in state.retiring:
-        for shard in (CONFIGURATION_SHARD, *(placed.shard for placed in state.placements)):
+        for shard in shards:
             report = reports.get(shard)
             if report is None or state.stores.is_emptied(node, shard):
                 continue
@@ -39,7 +40,7 @@
 
 
 def emptied_by(node: str, report: ShardReport) -> Emptied | None:
-    """What a report proves of a shard's group: nothing unless its owner tells it and the group is stable."""
+    """What a report proves of a shard's group: nothing unless it is its owner's and the group is stable."""
     if report.replica != report.owner or not report.stable or not report.committed_voters:
         return None
     return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
--- a/kestrelbend/tier/fleet/removals/groups.py
+++ b/kestrelbend/tier/fleet/removals/groups.py
@@ -76,11 +76,11 @@
     return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
 
 
-@guard("heard-all", "control.retirement:Retirement.refusal", "refusals by an owner that knows little yet")
+@guard("heard-all", "control.retirement:Retirement.rejection", "refusals by an owner that knows little yet")
 def refuse_at_once(retirement, order):
     if order.kind != OrderKind.RETIRE:
         return None
-    return retirement._refusal(order.body.decode(), retirement._now())
+    return retirement.rejection_now(order.body.decode(), retirement._now())
 
 
 @guard("done-without", "replication.group:_with_one_less", "the last whole copies taken out")
--- a/kestrelbend/tier/membership/directory.py
+++ b/kestrelbend/tier/membership/directory.py
@@ -1,24 +1,27 @@
 """What a process knows of the tier, merged from the directories of several control nodes.
 
-Invariant: placements come from the highest version of the configuration's shard seen in this life, and the
-report kept for a shard is that of its highest epoch.
+Invariant: placements come from the highest version of the configuration's shard seen in this incarnation,
+and the report kept for a shard is that of its highest epoch.  Hazard: after a restart the first directory
+may name an older placement than the one before; a shard's log fences those (`ShardPlacement.number`).
 """
 
 from __future__ import annotations
 
 from .messages import Directory, Member, ShardPlacement, ShardReport
 
+UNKNOWN_VERSION = -1
+
 
 class DirectoryView:
     """The merged view; `take` feeds it."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._by_sender: dict[str, Directory] = {}
-        self._members: dict[str, Member] = {}
-        self.version = -1
+        self._members: dict[str, Member] = {}  # by address
+        self.version = UNKNOWN_VERSION  # of the configuration's shard that `placements` come from
         self.placements: dict[str, ShardPlacement] = {}
         self.reports: dict[str, ShardReport] = {}
-        self.retiring: tuple[str, ...] = ()
+        self.retiring: tuple[str, ...] = ()  # nodes to be emptied
 
     def take(self, sender: str, directory: Directory) -> None:
         """Takes a control node's directory in place of its last one."""
@@ -32,13 +35,13 @@
         self._merge_members()
 
     def take_report(self, report: ShardReport) -> None:
-        """Takes word of a shard's owner from anybody."""
+        """Takes a report on a shard's owner from anybody."""
         known = self.reports.get(report.shard)
-        if known is None or (report.epoch, bool(report.owner)) >= (known.epoch, bool(known.owner)):
+        if known is None or _recency(report) >= _recency(known):
             self.reports[report.shard] = report
 
     def forget(self, sender: str) -> None:
-        """The connection to a control node ended; its last word counts as long as there is no other."""
+        """The connection to a control node ended; its last directory counts while there is no other."""
         if len(self._by_sender) > 1:
             self._by_sender.pop(sender, None)
             self._merge_members()
@@ -54,7 +57,7 @@
 
     @property
     def members(self) -> list[Member]:
-        """Everybody that some control node holds for live."""
+        """Everybody that some control node takes for live."""
         return list(self._members.values())
 
     def owner_of(self, shard: str) -> str:
@@ -69,3 +72,8 @@
             return report.voters
         placed = self.placements.get(shard)
         return placed.voters if placed is not None else ()
+
+
+def _recency(report: ShardReport) -> tuple[int, bool]:
+    """Of one epoch a report that knows the owner counts more."""
+    return (report.epoch, bool(report.owner))
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -1,4 +1,7 @@
-"""Who is part of the tier, as nodes tell their monitors and monitors tell each other."""
+"""What processes say of themselves and of each other: heartbeats, summaries, directories, subscriptions.
+
+Fields travel by their position (see `protocol.wire_names`): new ones are added at the end alone.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
     shard: str
     replica: str
-    epoch: int
+    epoch: int  # the number that fences the shard's owner
     owner: str  # replica id of the owner it knows, or ""
     voters: tuple[str, ...]
     applied_index: int
@@ -46,17 +49,17 @@
     """From a process to its monitors: it runs, what it holds, what it has acknowledged."""
 
     member: Member
-    sequence: int
-    config_version: int
+    sequence: int  # rises by one with each heartbeat of an incarnation
+    config_version: int  # that it serves by
     leaving: bool
     shards: tuple[ShardReport, ...]
 
 
 @attrs.frozen
 class HeartbeatAck:
-    """A control node's answer; `stable`: it has been in contact for so long that it knows who is there."""
+    """A control node's reply; `stable`: it has been in contact for so long that it knows who is there."""
 
-    sequence: int
+    sequence: int  # of the heartbeat
     stable: bool
 
 
@@ -101,7 +104,7 @@
 class Directory:
     """What control nodes stream to all: where everybody is, who owns and who should hold which shard."""
 
-    version: int
+    version: int  # of the configuration's shard: its applied index at the sender
     members: tuple[Member, ...]
     placements: tuple[ShardPlacement, ...]
     owners: tuple[ShardReport, ...]
@@ -110,7 +113,7 @@
 
 @attrs.frozen
 class Subscribe:
-    """Asks a control node for its streams; the last word on a connection counts.
+    """Requests a control node's streams; the last one on a connection counts.
 
     `complete`: configuration, backends and directory.  Otherwise a gateway gets notices alone: the numbers of
     new versions, and the backends that leave.
@@ -123,7 +126,7 @@
 
 @attrs.frozen
 class ConfigUpdate:
-    """A committed version of the configuration; `current` says that its owner was in touch just now."""
+    """A committed version of the configuration; `current` says that the sender was current just now."""
 
     version: int
     current: bool
@@ -139,23 +142,23 @@
 
 @attrs.frozen
 class ConfigFetch:
-    """A gateway that serves by `version` and was told of a newer one asks for it."""
+    """A gateway that serves by `version` and was notified of a newer one requests that."""
 
     version: int
 
 
 @attrs.frozen
 class ContactRequest:
-    """A gateway asks a control node or a store whether it is in contact; the word repeats the ticket."""
+    """A gateway asks a control node or a store whether it is in contact; the reply repeats the ticket."""
 
     ticket: int
 
 
 @attrs.frozen
 class ContactReply:
-    """The answer to a `ContactRequest`, true at some moment after the request was sent.
+    """The reply to a `ContactRequest`, true at some moment after the request was sent.
 
-    It is an answer and not a stream: a gateway whose own packets are lost would go on hearing a stream.
+    It is a reply and not a stream: a gateway whose own packets are lost would go on hearing a stream.
     """
 
     ticket: int
--- a/kestrelbend/tier/membership/placement.py
+++ b/kestrelbend/tier/membership/placement.py
@@ -2,8 +2,10 @@
 
 A replica stays where it is while it is live or was so lately.  One is replaced when its process stayed away,
 when its node came back with an emptied disk (another identity), or when its node is to be emptied.  A spare
-of the preferred class takes a place soon, as it was added for that; another one only after a long silence.
-A group never shrinks below what is live: where nobody can take a place, the lost replica keeps it.
+of the preferred class replaces it soon, as it was added for that; another one only after a long absence.
+
+Invariant: a group never shrinks below what is live: where nobody can replace a lost replica, it stays a
+voter.
 """
 
 from __future__ import annotations
@@ -15,16 +17,21 @@
 from ..budgets.shards import shard_names
 from .messages import Member, ShardPlacement
 
-SPARE_S = 1.5  # a silent replica is replaced after this where a spare of the preferred class is there
-LOST_S = 5.0  # and by another one after this
-BUDGET_SHARDS = 6
+SPARE_TIMEOUT_S = 1.5  # of absence, until a spare of the preferred class replaces a replica
+LOST_TIMEOUT_S = 5.0  # and until another one does
+BUDGET_SHARDS = 6  # never changes, see `budget_shards`
 FIRST_NUMBER = 1  # of a shard's placements; see `ShardPlacement`
 CONFIGURATION_SHARD = "configuration"
+PREFERRED = 0  # the preference of a candidate that is taken first
+LESSER = 1
+
+AbsenceOf = Callable[[str], float]
+"""For how many seconds a replica has been away; 0 for one that is live."""
 
 
 @attrs.frozen
 class Candidate:
-    """A live disk that could hold replicas; `preference` 0 is taken first."""
+    """A live disk that could hold replicas; the lower `preference` is taken first."""
 
     replica: str
     address: str
@@ -44,7 +51,10 @@
 
 
 def candidates(members: Iterable[Member], retiring: Iterable[str], stores_first: bool) -> list[Candidate]:
-    """The live disks that may hold a shard's replicas."""
+    """The live disks that may hold a shard's replicas, those to be taken first in front.
+
+    `stores_first`: stores are preferred to control nodes; else control nodes alone may hold them.
+    """
     emptied = set(retiring)
     found = []
     for member in members:
@@ -52,7 +62,7 @@
             continue
         if not stores_first and not member.serves_control:
             continue
-        preference = 0 if member.serves_storage == stores_first else 1
+        preference = PREFERRED if member.serves_storage == stores_first else LESSER
         found.append(Candidate(member.replica, member.address, member.node, member.zone, preference))
     return sorted(found, key=lambda candidate: (candidate.preference, candidate.address))
 
@@ -61,27 +71,13 @@
     current: tuple[str, ...],
     size: int,
     available: list[Candidate],
-    silence: Callable[[str], float],
+    absence_of: AbsenceOf,
     retiring_replicas: Iterable[str] = (),
 ) -> tuple[str, ...]:
     """The voters wanted from now on, in the order of ownership; `current` unless somebody must go."""
-    leaving = set(retiring_replicas)
     by_replica = {candidate.replica: candidate for candidate in available}
-    by_address = {candidate.address: candidate for candidate in available}
     voters = list(current)
-    for place, replica in enumerate(voters):
-        if replica in by_replica:
-            continue
-        reborn = by_address.get(address_of(replica))
-        if reborn is not None and reborn.replica not in voters:
-            voters[place] = reborn.replica  # the same machine with an emptied disk
-            continue
-        substitute = _best(available, voters, by_replica, place)
-        if substitute is None:
-            continue
-        patience = SPARE_S if substitute.preference == 0 else LOST_S
-        if replica in leaving or silence(replica) > patience:
-            voters[place] = substitute.replica
+    _replace_lost(voters, available, by_replica, absence_of, set(retiring_replicas))
     while len(voters) < size:
         added = _best(available, voters, by_replica, len(voters))
         if added is None:
@@ -93,17 +89,43 @@
     return tuple(voters)
 
 
+def _replace_lost(
+    voters: list[str],
+    available: list[Candidate],
+    by_replica: dict[str, Candidate],
+    absence_of: AbsenceOf,
+    retiring: set[str],
+) -> None:
+    """Replaces the voters that are not available, as far as that is due and somebody can."""
+    by_address = {candidate.address: candidate for candidate in available}
+    for index, replica in enumerate(voters):
+        if replica in by_replica:
+            continue
+        reborn = by_address.get(address_of(replica))
+        if reborn is not None and reborn.replica not in voters:
+            voters[index] = reborn.replica  # the same machine with an emptied disk
+            continue
+        substitute = _best(available, voters, by_replica, index)
+        if substitute is None:
+            continue
+        timeout = SPARE_TIMEOUT_S if substitute.preference == PREFERRED else LOST_TIMEOUT_S
+        if replica in retiring or absence_of(replica) > timeout:
+            voters[index] = substitute.replica
+
+
 def _superfluous(voters: list[str], by_replica: dict[str, Candidate]) -> str:
     """The voter that a group which is too large needs least: one that is away, or else the last."""
     return next((voter for voter in voters if voter not in by_replica), voters[-1])
 
 
-def _best(available, voters, by_replica, place) -> Candidate | None:
-    """The candidate to take a place: preferred class, a zone of its own, then spread by the place."""
+def _best(
+    available: list[Candidate], voters: list[str], by_replica: dict[str, Candidate], index: int
+) -> Candidate | None:
+    """The candidate to be the voter at `index`: preferred class, a zone of its own, then by address."""
     zones = {
         by_replica[replica].zone
-        for index, replica in enumerate(voters)
-        if index != place and replica in by_replica
+        for other, replica in enumerate(voters)
+        if other != index and replica in by_replica
     }
     free = [candidate for candidate in available if candidate.replica not in voters]
     if not free:
@@ -114,12 +136,14 @@
 def _prefer(voters: list[str], available: list[Candidate], by_replica: dict[str, Candidate]) -> None:
     """Replaces one voter of a lesser class where one of the preferred class is free."""
     free = [
-        candidate for candidate in available if candidate.preference == 0 and candidate.replica not in voters
+        candidate
+        for candidate in available
+        if candidate.preference == PREFERRED and candidate.replica not in voters
     ]
-    for place, replica in enumerate(voters):
-        held = by_replica.get(replica)
-        if free and held is not None and held.preference > 0:
-            voters[place] = free[0].replica
+    for index, replica in enumerate(voters):
+        known = by_replica.get(replica)
+        if free and known is not None and known.preference > PREFERRED:
+            voters[index] = free[0].replica
             return
 
 
@@ -131,16 +155,20 @@
 def found_budget_shards(placed: Iterable[str], size: int, available: list[Candidate]) -> list[ShardPlacement]:
     """The first placement of the budget shards not placed yet, their owners spread over the replicas.
 
-    None as long as there are fewer disks than a whole group has: what fewer held could not bear the losses.
+    None as long as there are fewer disks than a complete group has: fewer could not bear the losses.
     """
     if len(available) < size:
         return []
     known = set(placed)
-    chosen = next_voters((), size, available, lambda replica: 0.0)
+    chosen = next_voters((), size, available, _nobody_is_absent)
     placements = []
-    for number, shard in enumerate(budget_shards()):
-        turn = number % len(chosen)
-        voters = chosen[turn:] + chosen[:turn]
+    for index, shard in enumerate(budget_shards()):
+        first = index % len(chosen)
+        voters = chosen[first:] + chosen[:first]
         if shard not in known:
             placements.append(ShardPlacement(shard, voters, voters, FIRST_NUMBER))
     return placements
+
+
+def _nobody_is_absent(replica: str) -> float:
+    return 0.0
--- a/kestrelbend/tier/membership/status.py
+++ b/kestrelbend/tier/membership/status.py
@@ -1,8 +1,8 @@
-"""What a control process knows of the whole tier, as the operator's API tells it (`GET /api/Status`).
+"""What a control process knows of the tier, as the operator's API returns it (`GET /api/Status`).
 
-Invariant: everything here is told from heartbeats and applied commands that this process already holds;
-asking changes nothing and waits for nobody.  Figures of other processes are as old as their last heartbeat
-(`SilentS`).
+Invariant: everything here comes from heartbeats and applied commands that this process already holds; a
+request changes nothing and waits for nobody.  Figures of other processes are as old as their last heartbeat
+(`SilentS`, seconds).  The keys of the objects are part of the API.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 import attrs
 
 from ..discovery.messages import Backend, BackendState
-from .messages import Heartbeat, Member, ShardPlacement, ShardReport
-from .table import LIVE_S, MemberTable
+from .messages import Member, ShardPlacement, ShardReport
+from .table import LIVE_S, HeartbeatAge, MemberTable
+
+AGE_DIGITS = 2  # decimals of `SilentS`
 
 STATE_NAMES = {BackendState.READY: "Ready", BackendState.DRAINING: "Draining", BackendState.DEPARTED: "Gone"}
 
@@ -24,33 +26,34 @@
     """What the configuration's shard says of the others."""
 
     placements: tuple[ShardPlacement, ...]
-    retiring: tuple[str, ...]
+    retiring: tuple[str, ...]  # nodes to be emptied
 
 
 def status(
-    asked: Member,
-    in_touch: bool,
+    answering: Member,
+    in_contact: bool,
     config_version: int,
     table: MemberTable,
     wanted: ShardsWanted,
     backends: Iterable[Backend],
     now: float,
 ) -> dict[str, Any]:
-    """The whole answer; `in_touch`: whether `asked` hears from the configuration's owner or a majority."""
-    heard = [(heartbeat, round(silence, 2)) for heartbeat, silence in table.silences(now)]
+    """The complete answer of the process `answering`; `in_contact`: with the configuration's owner."""
+    ages = [attrs.evolve(age, seconds=round(age.seconds, AGE_DIGITS)) for age in table.heartbeat_ages(now)]
     return {
-        "Node": asked.node,
-        "Address": asked.address,
-        "InTouch": in_touch,
+        "Node": answering.node,
+        "Address": answering.address,
+        "InTouch": in_contact,
         "ConfigVersion": config_version,
-        "Processes": [_process(heartbeat, silence) for heartbeat, silence in heard],
-        "Shards": _shards(heard, table.reports(), wanted.placements),
+        "Processes": [_process(age) for age in ages],
+        "Shards": _shards(ages, table.reports(), wanted.placements),
         "Retiring": list(wanted.retiring),
         "Backends": _backends(backends),
     }
 
 
-def _process(heartbeat: Heartbeat, silence: float) -> dict[str, Any]:
+def _process(age: HeartbeatAge) -> dict[str, Any]:
+    heartbeat = age.heartbeat
     member = heartbeat.member
     return {
         "Node": member.node,
@@ -59,26 +62,25 @@
         "Address": member.address,
         "Replica": member.replica,
         "Incarnation": member.incarnation,
-        "SilentS": silence,
-        "Live": silence <= LIVE_S,
+        "SilentS": age.seconds,
+        "Live": age.seconds <= LIVE_S,
         "Leaving": heartbeat.leaving,
         "ConfigVersion": heartbeat.config_version,
     }
 
 
 def _shards(
-    heard: list[tuple[Heartbeat, float]],
+    ages: list[HeartbeatAge],
     best: dict[str, ShardReport],
     placements: tuple[ShardPlacement, ...],
 ) -> list[dict[str, Any]]:
     wanted = {placed.shard: list(placed.voters) for placed in placements}
-    return [
-        _shard(name, best.get(name), wanted.get(name), heard) for name in sorted(best.keys() | wanted.keys())
-    ]
+    names = sorted(best.keys() | wanted.keys())
+    return [_shard(name, best.get(name), wanted.get(name), ages) for name in names]
 
 
 def _shard(
-    name: str, best: ShardReport | None, wanted: list[str] | None, heard: list[tuple[Heartbeat, float]]
+    name: str, best: ShardReport | None, wanted: list[str] | None, ages: list[HeartbeatAge]
 ) -> dict[str, Any]:
     """One shard by its best report; `Wanted` is None for the configuration's own, which nobody places."""
     commit_index = best.commit_index if best else 0
@@ -90,23 +92,23 @@
         "Wanted": wanted,
         "CommitIndex": commit_index,
         "Replicas": [
-            _replica(report, silence, commit_index)
-            for heartbeat, silence in heard
-            for report in heartbeat.shards
+            _replica(report, age.seconds, commit_index)
+            for age in ages
+            for report in age.heartbeat.shards
             if report.shard == name
         ],
     }
 
 
-def _replica(report: ShardReport, silence: float, commit_index: int) -> dict[str, Any]:
+def _replica(report: ShardReport, age_s: float, commit_index: int) -> dict[str, Any]:
     """`Lag`: committed commands that the replica had not applied at its last heartbeat."""
     return {
         "Replica": report.replica,
         "Epoch": report.epoch,
         "AppliedIndex": report.applied_index,
         "Lag": max(0, commit_index - report.applied_index),
-        "SilentS": silence,
-        "Live": silence <= LIVE_S,
+        "SilentS": age_s,
+        "Live": age_s <= LIVE_S,
     }
 
 
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -24,7 +24,7 @@
 from ..control.backend_reports import BackendReports
 from ..control.directory_stream import DirectoryStream
 from ..control.member_summaries import MemberSummaries
-from ..control.placing import ShardPlacer
+from ..control.shard_placer import ShardPlacer
 from ..control.retirement import Retirement
 from ..dataplane.server import Listener
 from ..discovery.exchange import BackendExchange
@@ -154,7 +154,7 @@
     def on_message(self, connection, message, sequence):
         """What others say to a control node."""
         if isinstance(message, Heartbeat):
-            self.members.heard(message, self.now())
+            self.members.record_heartbeat(message, self.now())
             connection.send(HeartbeatAck(message.sequence, self._is_stable()))
         elif isinstance(message, MemberSummary):
             self._summaries.take(message, self.now())
@@ -212,7 +212,7 @@
 
     def report(self, now):
         """Control nodes report to each other by their summaries."""
-        self.members.heard(self.heartbeat(), now)
+        self.members.record_heartbeat(self.heartbeat(), now)
         self._summaries.send(self._peer_connections(), now)
 
     def on_tick(self, now):
@@ -225,7 +225,7 @@
         self.members.forget_old(now)
         self._refresh_directory(now)
         self.directory_stream.send()
-        self._placer.place(now)
+        self._placer.run(now)
         self.backend_reports.publish_pending_changes()
         heartbeat_interval_s = self.settings.heartbeat_ms / 1000
         self.backend_reports.expire_unresponsive(self._contact.seconds(now), heartbeat_interval_s)
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -33,7 +33,7 @@
         """The addresses that the directory names after heartbeats from some processes."""
         self.sequence += 1
         for address in heard:
-            self.members.heard(heartbeat(address, self.sequence), now)
+            self.members.record_heartbeat(heartbeat(address, self.sequence), now)
         self.contact.observe(in_contact, now)
         directory = self.stream.refresh(CONFIGURATION, self.contact.seconds(now), now)
         self.named = self.named if directory is None else [member.address for member in directory.members]
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -6,7 +6,7 @@
 import random
 
 
-from kestrelbend.tier.control.retirement import SHORT_TROUBLE_S
+from kestrelbend.tier.control.retirement import SHORT_FAULT_S
 from kestrelbend.tier.fleet.fleet import GRACE_S, Size
 from kestrelbend.tier.fleet.http import Reply
 from kestrelbend.tier.fleet.loop import run
@@ -174,9 +174,9 @@
             world.fleet.kill(silent)
             begun = world.fleet.now()
             told = {}
-            while world.fleet.now() < begun + SHORT_TROUBLE_S + 3.0 and 409 not in told:
+            while world.fleet.now() < begun + SHORT_FAULT_S + 3.0 and 409 not in told:
                 asked = f"/api/Retire.Start/{store.name}"
-                if world.fleet.now() > begun + SHORT_TROUBLE_S + 1.0:
+                if world.fleet.now() > begun + SHORT_FAULT_S + 1.0:
                     reply = await call(world, world.fleet.core()[0], "POST", asked, START)
                     told.setdefault(reply.status, world.fleet.now() - begun)
                 await asyncio.sleep(1.0)
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -317,8 +317,8 @@
     def test_a_young_owner_refuses_no_retirement(self):
         order = ConfigOrder(OrderKind.RETIRE, 0, b"nobody")
         for owned_for in (0.0, HEARD_ALL_S - 0.1):
-            self.assertEqual(NOT_OWNER, retirement_of_an_owner_for(owned_for).refusal(order))
-        self.assertEqual(NOT_FOUND, retirement_of_an_owner_for(HEARD_ALL_S).refusal(order).status)
+            self.assertEqual(NOT_OWNER, retirement_of_an_owner_for(owned_for).rejection(order))
+        self.assertEqual(NOT_FOUND, retirement_of_an_owner_for(HEARD_ALL_S).rejection(order).status)
 
 
 def retirement_of_an_owner_for(seconds):
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -73,7 +73,7 @@
             for name in reporting:
                 applied = changes.get("applied", self.sequence)
                 sent = heartbeat(GATEWAY, self.sequence, changes.get("incarnation", 1), applied)
-                self.nodes[name].table.heard(sent, self.now)
+                self.nodes[name].table.record_heartbeat(sent, self.now)
             for node in self.nodes.values():
                 node.summaries.send(node.connections.values(), self.now)
 
@@ -133,4 +133,4 @@
     def test_given_a_node_that_stood_still_then_its_members_silence_is_told_truly(self):
         self.run_for(5.0, ["c1"])
         self.run_for(3 * HEARTBEAT_S)
-        self.assertTrue(self.nodes["c3"].table.silences(self.now)[0][1] >= 2 * HEARTBEAT_S)
+        self.assertTrue(self.nodes["c3"].table.heartbeat_ages(self.now)[0].seconds >= 2 * HEARTBEAT_S)
--- a/tests/tier/test_membership_placement.py
+++ b/tests/tier/test_membership_placement.py
@@ -2,7 +2,13 @@
 
 import testtools
 
-from kestrelbend.tier.membership.placement import LOST_S, SPARE_S, Candidate, found_budget_shards, next_voters
+from kestrelbend.tier.membership.placement import (
+    LOST_TIMEOUT_S,
+    SPARE_TIMEOUT_S,
+    Candidate,
+    found_budget_shards,
+    next_voters,
+)
 
 
 def candidate(name, zone="a", preference=0):
@@ -16,13 +22,13 @@
 class TestNextVoters(testtools.TestCase):
     def test_a_silent_replica_gives_way_to_a_spare_of_its_class_soon(self):
         there = [candidate("b"), candidate("c"), candidate("spare")]
-        voters = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: SPARE_S + 0.1)
+        voters = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: SPARE_TIMEOUT_S + 0.1)
         self.assertEqual(replicas("spare", "b", "c"), voters)
 
     def test_and_to_one_of_another_class_only_after_a_long_silence(self):
         there = [candidate("b"), candidate("c"), candidate("control", preference=1)]
-        soon = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_S - 0.1)
-        late = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_S + 0.1)
+        soon = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_TIMEOUT_S - 0.1)
+        late = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_TIMEOUT_S + 0.1)
         self.assertEqual(replicas("a", "b", "c"), soon)
         self.assertEqual(replicas("control", "b", "c"), late)
 
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -46,8 +46,8 @@
         self.retiring = ()
         self.backends = [backend("i", BackendState.READY)]
         for number, applied in ((1, 5000), (2, 4990), (3, 5000)):
-            self.table.heard(heartbeat(number, applied), NOW)
-        self.table.heard(heartbeat(4, 0, role="gateway", version=7), NOW)
+            self.table.record_heartbeat(heartbeat(number, applied), NOW)
+        self.table.record_heartbeat(heartbeat(4, 0, role="gateway", version=7), NOW)
 
     def status(self, now=NOW):
         wanted = ShardsWanted(self.placements, self.retiring)
@@ -96,14 +96,16 @@
 
     def test_given_a_silent_owner_then_it_is_remarked_with_how_long(self):
         for number in (2, 3):
-            self.table.heard(Heartbeat(member(number), 2, 0, False, heartbeat(number, 5000).shards), NOW + 9)
+            self.table.record_heartbeat(
+                Heartbeat(member(number), 2, 0, False, heartbeat(number, 5000).shards), NOW + 9
+            )
         said = self.printed(self.status(NOW + 9))[1]
         self.assertIn("budget-0: no live owner", said)
         self.assertIn("store on store-1: silent for 9.0 s", said)
 
     def test_given_a_later_epoch_then_its_owner_and_its_commands_count(self):
         later = ShardReport("budget-0", VOTERS[2], 5, VOTERS[2], VOTERS, 7000, 7000)
-        self.table.heard(Heartbeat(member(3), 2, 0, False, (later,)), NOW)
+        self.table.record_heartbeat(Heartbeat(member(3), 2, 0, False, (later,)), NOW)
         shard = self.status()["Shards"][0]
         self.assertEqual((5, VOTERS[2], 7000), (shard["Epoch"], shard["Owner"], shard["CommitIndex"]))
         self.assertIn("voter on store-2 lags by 2010 commands", self.printed(self.status())[1])
@@ -117,7 +119,7 @@
         self.assertIn("store-3: being emptied, still holds budget-0", said)
 
     def test_given_an_old_version_or_no_ready_backend_then_they_are_remarked(self):
-        self.table.heard(Heartbeat(member(4, "gateway"), 2, 6, False, ()), NOW)
+        self.table.record_heartbeat(Heartbeat(member(4, "gateway"), 2, 6, False, ()), NOW)
         self.backends = [backend("i", BackendState.DEPARTED), backend("ii", BackendState.DRAINING)]
         said = self.printed(self.status())[1]
         self.assertIn("gateway on gateway-4: still serves by version 6", said)
