--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -229,14 +229,14 @@
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         port = runner.addresses[0][1]
-        from kestrelbend.config.installation import Installation
-        from kestrelbend.config.reading import parsed
+        from kestrelbend.gateway_settings.installation import Installation
+        from kestrelbend.gateway_settings.toml_files import parse_toml
         from kestrelbend.fronts.grpc.authorisers import Authorisers
         from kestrelbend.net.configuration import Told
         from kestrelbend.net.gateway import start
 
         http = free_port()
-        stated = parsed(GATEWAY.format(http=http, discovery=port, timeout="3s"), Installation)
+        stated = parse_toml(GATEWAY.format(http=http, discovery=port, timeout="3s"), Installation)
         told = Told("bench", ("127.0.0.1", http), f"127.0.0.1:{port}", None, 7, 4000, None, stated.settings())
         owner, serving = await start(told)
         owner.authorisers = Authorisers(
--- a/kestrelbend/benchlink/host.py
+++ b/kestrelbend/benchlink/host.py
@@ -7,7 +7,7 @@
 
 from .. import interface as i
 from ..hosting import Host
-from ..config.platform import Malformed, settings
+from ..gateway_settings.platform import Malformed, settings
 from . import codec
 
 
--- a/kestrelbend/command/checking.py
+++ b/kestrelbend/command/checking.py
@@ -71,14 +71,14 @@
 
 def check_installation(path: Path) -> None:
     """What a gateway outside the platform is told."""
-    from kestrelbend.config.installation import Installation
+    from kestrelbend.gateway_settings.installation import Installation
 
     read(path, Installation)
 
 
 def check_platform(path: Path) -> None:
     """What the platform tells a gateway."""
-    from kestrelbend.config.platform import Malformed
+    from kestrelbend.gateway_settings.platform import Malformed
     from kestrelbend.net.configuration import read as read_platform
 
     try:
@@ -103,12 +103,12 @@
 
 def check_experiment(path: Path) -> None:
     """Scenarios, seeds and variants."""
-    from kestrelbend.config.reading import Wrong
+    from kestrelbend.gateway_settings.toml_files import InvalidFile
     from kestrelbend.lab import experiment
 
     try:
         experiment.load(path)
-    except Wrong as faults:
+    except InvalidFile as faults:
         raise wrong(faults) from None
 
 
--- a/kestrelbend/command/lab_runs.py
+++ b/kestrelbend/command/lab_runs.py
@@ -151,7 +151,7 @@
     ]
 
     def handle(self) -> int:
-        from kestrelbend.config.reading import Wrong
+        from kestrelbend.gateway_settings.toml_files import InvalidFile
         from kestrelbend.lab import experiment
 
         path = self.existing_path()
@@ -161,7 +161,7 @@
         cores = self.whole_option("cores")
         try:
             plan = experiment.load(path)
-        except Wrong as faults:
+        except InvalidFile as faults:
             raise wrong(faults) from None
         with progress(self.io, plan.name) as advance:
             broken = experiment.run(plan, out, cores, advance)
--- a/kestrelbend/command/reading.py
+++ b/kestrelbend/command/reading.py
@@ -10,9 +10,9 @@
 
 def read(path: Path, model: type) -> Any:
     """The model that a TOML file states; ends the command with all faults of one that cannot be used."""
-    from kestrelbend.config.reading import Wrong, toml
+    from kestrelbend.gateway_settings.toml_files import InvalidFile, read_toml
 
     try:
-        return toml(str(path), model)
-    except Wrong as faults:
+        return read_toml(str(path), model)
+    except InvalidFile as faults:
         raise wrong(faults) from None
--- a/kestrelbend/fronts/asking.py
+++ b/kestrelbend/fronts/asking.py
@@ -17,7 +17,7 @@
 from ..choice import ERROR_SICK as SICK
 from ..choice import RETRY_FLOOR as FLOOR
 from ..choice import RETRY_SHARE as SHARE
-from ..config.units import Address
+from ..gateway_settings.units import Address
 
 HALVE_AT = 256  # calls of late
 REMEMBERED = 10_000  # verdicts kept
--- a/kestrelbend/config/installation.py
+++ b/kestrelbend/gateway_settings/installation.py
@@ -8,8 +8,8 @@
 
 from ..fronts.asking import Authoriser
 from ..fronts.attributes import Checks
-from .model import MS, Positive, S, Some, Terms
-from .units import Address, Micros, Octets
+from .model import MS, PositiveFloat, S, PositiveInt, Terms
+from .units import Address, Microseconds, ByteSize
 
 
 class Logs(Struct):
@@ -18,8 +18,8 @@
 
 
 class Limits(Struct):
-    sockets: Some = 1024  # descriptors that the process may hold
-    memory: Octets = Octets(0)  # 0: not told
+    sockets: PositiveInt = 1024  # descriptors that the process may hold
+    memory: ByteSize = ByteSize(0)  # 0: not told
 
 
 class Members(Struct):
@@ -29,8 +29,8 @@
     seen_at: Address | None = None  # where others reach it, if that is another address
     peers: list[Address] = field(default_factory=list)  # some of the others, or all with this one
     keys: dict[str, str] = field(default_factory=dict)  # by number, 1 to 255: 16 bytes, hexadecimal
-    period: Micros = Micros(300 * MS)  # between pings
-    most_per_s: Positive = 40.0  # datagrams sent; never more
+    period: Microseconds = Microseconds(300 * MS)  # between pings
+    most_per_s: PositiveFloat = 40.0  # datagrams sent; never more
     share_probes: bool = True  # cold backends are probed by one gateway for all
 
     def faults(self):
@@ -54,10 +54,10 @@
         if self.most_per_s < 4:
             yield "most_per_s", "less than 4 leaves no room for pings and their answers"
 
-    def told(self, name):
+    def resolved(self, name):
         """What `net.peers` is made of."""
         listen = self.listen.pair
-        return MembersTold(
+        return MembershipSettings(
             name,
             listen,
             self.seen_at.pair if self.seen_at else listen,
@@ -69,7 +69,7 @@
         )
 
 
-class MembersTold(Struct):
+class MembershipSettings(Struct):
     name: str
     listen: tuple[str, int]
     seen_at: tuple[str, int]
--- a/kestrelbend/config/model.py
+++ b/kestrelbend/gateway_settings/model.py
@@ -11,12 +11,12 @@
 from msgspec import Meta, Struct, field
 
 from .. import interface as i
-from .units import Micros, Share
+from .units import Microseconds, Fraction
 
-Some = Annotated[int, Meta(ge=1)]
-Count = Annotated[int, Meta(ge=0)]
-Amount = Annotated[float, Meta(ge=0)]
-Positive = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
 MS, S = 1000, 1_000_000
 EFFECTS = {
     "idempotent": i.Effect.IDEMPOTENT,
@@ -32,12 +32,12 @@
     name: str
     effect: Literal["idempotent", "tokened", "non-idempotent"] = "non-idempotent"
     scope: Literal["all", "zone", "group"] = "group"  # tokened: which backends drop its repeats
-    memory: Micros = Micros(0)  # tokened: how long they know a token
-    objective: Micros = Micros(1 * S)  # the latency objective
-    timeout: Micros = Micros(0)  # the integration timeout
-    late_worth: Share = Share(0)  # worth of an answer between the two
+    memory: Microseconds = Microseconds(0)  # tokened: how long they know a token
+    objective: Microseconds = Microseconds(1 * S)  # the latency objective
+    timeout: Microseconds = Microseconds(0)  # the integration timeout
+    late_worth: Fraction = Fraction(0)  # worth of an answer between the two
     streamed: bool = False
-    worth: Amount = 1.0  # billed value, before the plan's price
+    worth: NonNegativeFloat = 1.0  # billed value, before the plan's price
 
     def module(self):
         return i.Operation(
@@ -57,16 +57,16 @@
     """A plan: quotas that hold for each of its customers over all gateways together."""
 
     name: str
-    rate: Amount = 0.0  # units a second; 0: no quota on the rate
-    burst: Amount = 0.0  # units that may be used at once
-    most_out: Count = 0  # deliveries out at once; 0: no cap
-    price: Amount = 1.0
+    rate: NonNegativeFloat = 0.0  # units a second; 0: no quota on the rate
+    burst: NonNegativeFloat = 0.0  # units that may be used at once
+    most_out: NonNegativeInt = 0  # deliveries out at once; 0: no cap
+    price: NonNegativeFloat = 1.0
     # parts of its value that an invocation beyond the quota earns and costs
-    over_worth: Amount = 0.0
-    over_cost: Amount = 0.0
-    ceiling_rate: Amount = 0.0  # units a second that are never passed; 0: no hard ceiling
-    ceiling_burst: Amount = 0.0
-    ceiling_slack: Amount = 0.0
+    over_worth: NonNegativeFloat = 0.0
+    over_cost: NonNegativeFloat = 0.0
+    ceiling_rate: NonNegativeFloat = 0.0  # units a second that are never passed; 0: no hard ceiling
+    ceiling_burst: NonNegativeFloat = 0.0
+    ceiling_slack: NonNegativeFloat = 0.0
 
     def module(self, number=0):
         return i.Plan(**{name: getattr(self, name) for name in Plan.__struct_fields__}, number=number)
@@ -75,13 +75,13 @@
 class Fleet(Struct):
     """The gateways that keep the quotas together."""
 
-    gateways: Some = 1
-    number: Count = 0  # of this one, from 0
+    gateways: PositiveInt = 1
+    number: NonNegativeInt = 0  # of this one, from 0
     zone: str = ""
     discovery: Literal["pushed", "asked"] = "pushed"  # asked: changes come only to who asks for them
-    ask_within: Micros = Micros(10 * S)
-    tick: Micros = Micros(1 * MS)  # the finest step of its clock
-    answer_slack: Micros = Micros(0)  # after a client's time, within which an answer still counts
+    ask_within: Microseconds = Microseconds(10 * S)
+    tick: Microseconds = Microseconds(1 * MS)  # the finest step of its clock
+    answer_slack: Microseconds = Microseconds(0)  # after a client's time, within which an answer still counts
 
 
 class Backends(Struct):
@@ -90,16 +90,16 @@
     probing: bool = False
     cancelling: bool = False
     second_copies: bool = False  # two deliveries of one invocation at once
-    most_deliveries: Some = 1  # of one invocation
-    most_open: Count = 0  # invocations open at a gateway; 0: no such limit
-    idle_close: Micros = Micros(0)  # after which its machine closes an idle connection
-    connect_timeout: Micros = Micros(250 * MS)
-    cold: Micros = Micros(0)  # warm so long after a start
-    cold_from: Share = Share(1)  # the part of its capacity that it starts with, at least
-    drain_grace: Micros = Micros(0)  # rule 3
+    most_deliveries: PositiveInt = 1  # of one invocation
+    most_open: NonNegativeInt = 0  # invocations open at a gateway; 0: no such limit
+    idle_close: Microseconds = Microseconds(0)  # after which its machine closes an idle connection
+    connect_timeout: Microseconds = Microseconds(250 * MS)
+    cold: Microseconds = Microseconds(0)  # warm so long after a start
+    cold_from: Fraction = Fraction(1)  # the part of its capacity that it starts with, at least
+    drain_grace: Microseconds = Microseconds(0)  # rule 3
     # rule 4: sent fall_multiple of its capacity for so long, it falls over
-    fall: Micros = Micros(0)
-    fall_multiple: Positive = 1.0
+    fall: Microseconds = Microseconds(0)
+    fall_multiple: PositiveFloat = 1.0
 
     def faults(self):
         if self.reports == "probe" and not self.probing:
@@ -110,15 +110,15 @@
     """The counter service, where there is one."""
 
     allowed: bool = False
-    timeout: Micros = Micros(50 * MS)
+    timeout: Microseconds = Microseconds(50 * MS)
 
 
 class Use(Struct):
     """How use is told of."""
 
-    most_units: Amount = 0.0  # of one invocation; 0: no limit
-    metering: Micros = Micros(0)  # period of the use told in answers; 0: none is told
-    longest_retry_after: Micros = Micros(0)
+    most_units: NonNegativeFloat = 0.0  # of one invocation; 0: no limit
+    metering: Microseconds = Microseconds(0)  # period of the use told in answers; 0: none is told
+    longest_retry_after: Microseconds = Microseconds(0)
     retry_after: bool = True  # whether a refusal may say when to come back
 
 
--- a/kestrelbend/config/platform.py
+++ b/kestrelbend/gateway_settings/platform.py
@@ -10,8 +10,8 @@
 import math
 
 from .model import Terms
-from .reading import convert, dotted
-from .units import Micros, Share
+from .toml_files import convert, dotted
+from .units import Microseconds, Fraction
 
 EFFECTS = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
 SCOPES = {"all": "all", "zone": "zone", "cell": "group"}
@@ -58,11 +58,11 @@
 
 
 def span(text):
-    return Micros(micros(text))
+    return Microseconds(micros(text))
 
 
 def share(text):
-    return Share(number(text))
+    return Fraction(number(text))
 
 
 def yes(text):
--- a/kestrelbend/config/reading.py
+++ b/kestrelbend/gateway_settings/toml_files.py
@@ -26,7 +26,7 @@
         return f"line {self.line}: " * bool(self.line) + f"{dotted(self.path)}: {self.text}"
 
 
-class Wrong(Exception):
+class InvalidFile(Exception):
     """A file that cannot be used; `faults` in the order of their lines."""
 
     def __init__(self, name, faults):
@@ -41,30 +41,30 @@
     return text or "the file"
 
 
-def toml(path, model):
-    """The model that a TOML file states; raises Wrong with all its faults."""
+def read_toml(path, model):
+    """The model that a TOML file states; raises `InvalidFile` with all its faults."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as trouble:
-        raise Wrong(path, [Fault((), str(trouble))]) from None
-    return parsed(text, model, path)
+        raise InvalidFile(path, [Fault((), str(trouble))]) from None
+    return parse_toml(text, model, path)
 
 
-def parsed(text, model, name="configuration"):
+def parse_toml(text, model, name="configuration"):
     import tomllib  # not at the top: a gateway told by JSON starts without them
 
-    from . import places
+    from . import toml_lines
 
     try:
         given = tomllib.loads(text)
     except tomllib.TOMLDecodeError as trouble:
-        raise Wrong(name, [Fault((), f"not TOML: {trouble}")]) from None
-    found = places.lines(text)
+        raise InvalidFile(name, [Fault((), f"not TOML: {trouble}")]) from None
+    found = toml_lines.key_lines(text)
     made, faults = convert(model, given)
     if faults:
-        placed = [Fault(f.path, f.text, places.line_of(found, f.path)) for f in faults]
-        raise Wrong(name, sorted(placed, key=lambda f: (f.line, str(f.path))))
+        placed = [Fault(f.path, f.text, toml_lines.line_of(found, f.path)) for f in faults]
+        raise InvalidFile(name, sorted(placed, key=lambda f: (f.line, str(f.path))))
     return made
 
 
--- a/kestrelbend/config/places.py
+++ b/kestrelbend/gateway_settings/toml_lines.py
@@ -24,7 +24,7 @@
     return [next(p for p in match if p) if any(match) else "" for match in PART.findall(text)]
 
 
-def lines(text):
+def key_lines(text):
     """By path (a tuple of keys and, within arrays of tables, numbers), the line it is on, from 1.  Values
     that go over several lines do not hide the keys behind them; keys of inline tables stand on their table's
     line."""
--- a/kestrelbend/config/units.py
+++ b/kestrelbend/gateway_settings/units.py
@@ -23,15 +23,15 @@
 QUANTITY = re.compile(r"\s*([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)\s*\Z")
 
 
-class Micros(int):
+class Microseconds(int):
     """A time span in whole microseconds, stated as "250ms", "1.2s", "3m"."""
 
 
-class Octets(int):
+class ByteSize(int):
     """A size in bytes, stated as "64MiB" or as a plain number."""
 
 
-class Share(float):
+class Fraction(float):
     """A part of a whole, 0 to 1, stated as 0.2 or as "20%"."""
 
 
@@ -56,20 +56,20 @@
 
 def micros(value):
     """A span as text with its unit; 0 needs none."""
-    if isinstance(value, Micros):
+    if isinstance(value, Microseconds):
         return value
     if isinstance(value, str):
-        return Micros(quantity(value, TIMES, '"250ms"'))
+        return Microseconds(quantity(value, TIMES, '"250ms"'))
     if value == 0 and not isinstance(value, bool):
-        return Micros(0)
+        return Microseconds(0)
     raise ValueError(f'a time needs its unit, as in "250ms"; got {value!r}')
 
 
 def octets(value):
     if isinstance(value, str):
-        return Octets(quantity(value, SIZES, '"64MiB"'))
+        return ByteSize(quantity(value, SIZES, '"64MiB"'))
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
-        return Octets(value)
+        return ByteSize(value)
     raise ValueError(f'a size is a number of bytes or text as in "64MiB"; got {value!r}')
 
 
@@ -81,7 +81,7 @@
             raise ValueError(f'a share is 0 to 1 or text as in "20%"; got {value!r}') from None
     if isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value):
         if 0 <= value <= 1:
-            return Share(value)
+            return Fraction(value)
         raise ValueError(f"a share lies between 0 and 1 (or 0% and 100%); got {value:g}")
     raise ValueError(f'a share is 0 to 1 or text as in "20%"; got {value!r}')
 
@@ -93,4 +93,4 @@
     return Address(value)
 
 
-READERS = {Micros: micros, Octets: octets, Share: share, Address: address}
+READERS = {Microseconds: micros, ByteSize: octets, Fraction: share, Address: address}
--- a/kestrelbend/lab/experiment.py
+++ b/kestrelbend/lab/experiment.py
@@ -20,7 +20,7 @@
 import numpy
 from msgspec import Meta, Struct
 
-from ..config import reading
+from ..gateway_settings import toml_files
 from . import results
 from .scenario import Scenario
 
@@ -30,7 +30,7 @@
 PLAIN = "as it is"
 
 
-class Unusable(reading.Wrong):
+class Unusable(toml_files.InvalidFile):
     """An experiment whose files cannot be used; its text is all that is wrong, a line each."""
 
     def __init__(self, lines):
@@ -88,9 +88,9 @@
 
 
 def load(path):
-    """All runs that an experiment file asks for; raises `reading.Wrong` with everything that is wrong with
-    it and with the files it names."""
-    given, folder = reading.toml(str(path), Experiment), Path(path).resolve().parent
+    """All runs that an experiment file asks for; raises `toml_files.InvalidFile` with everything that is
+    wrong with it and with the files it names."""
+    given, folder = toml_files.read_toml(str(path), Experiment), Path(path).resolve().parent
     said, jobs = [], []
     for at, variant in enumerate(given.variants):
         if variant.checkout:
@@ -105,7 +105,7 @@
             for size in given.sizes or [[]]:
                 try:
                     digest = results.digest(stated(file, variant, size))
-                except reading.Wrong as wrong:
+                except toml_files.InvalidFile as wrong:
                     text = str(wrong)
                     said += [text] if text not in said else []
                     continue
@@ -118,7 +118,7 @@
 def stated(path, variant, size):
     """The scenario with what a variant and a size change in it, checked again as a whole."""
     if not variant.set and not size:
-        return reading.toml(path, Scenario)
+        return toml_files.read_toml(path, Scenario)
     import tomllib
 
     with open(path, "rb") as file:
@@ -140,7 +140,7 @@
         for part in way:
             table = table[int(part)] if isinstance(table, list) else table.setdefault(part, {})
         table[last] = value
-    made, faults = reading.convert(Scenario, given)
+    made, faults = toml_files.convert(Scenario, given)
     if faults:
         raise Unusable(f"{path}, variant {variant.name!r}: {fault}" for fault in faults)
     return made
--- a/kestrelbend/lab/load.py
+++ b/kestrelbend/lab/load.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Meta, Struct
 
-from ..config.units import Micros
+from ..gateway_settings.units import Microseconds
 from .streams import Drawn, Streams
 
 Positive = Annotated[float, Meta(gt=0)]
@@ -37,7 +37,7 @@
 
 class Poisson(Phase, tag="poisson", forbid_unknown_fields=True):
     rate: Positive  # a second
-    lasts: Micros
+    lasts: Microseconds
 
     def times(self, chance):
         at = 0.0
@@ -54,7 +54,7 @@
     first: Positive
     last: Positive
     steps: Some
-    lasts: Micros  # all of them
+    lasts: Microseconds  # all of them
 
     def times(self, chance):
         each = self.lasts / self.steps
@@ -71,8 +71,8 @@
     """So many at one instant, again and again, on top of a Poisson stream."""
 
     size: Some
-    every: Micros
-    lasts: Micros
+    every: Microseconds
+    lasts: Microseconds
     rate: Amount = 0.0
 
     def faults(self):
@@ -125,7 +125,7 @@
     name: str
     phases: list[Poisson | Steps | Bursts | Trace]
     requests: list[Kind] = msgspec.field(default_factory=lambda: [Kind()])
-    timeout: Micros = Micros(3 * S)
+    timeout: Microseconds = Microseconds(3 * S)
     connections: Some = 400
     seed: int = 1
 
--- a/kestrelbend/lab/loopback.py
+++ b/kestrelbend/lab/loopback.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from ..choice import Gateway
-from ..config.platform import flatten, settings
+from ..gateway_settings.platform import flatten, settings
 from . import failures
 from .clock import LATE, LoopClock, NotOnSockets
 from .network import Party
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from ..config.platform import flatten, settings
+from ..gateway_settings.platform import flatten, settings
 from ..duties import probes_shared
 from ..hosting import Host
 from ..interface import Invocation, Result, State
--- a/kestrelbend/lab/scenario.py
+++ b/kestrelbend/lab/scenario.py
@@ -1,7 +1,7 @@
 """What a scenario file states: a fleet, its back end, its customers, and a schedule of failures.
 
 The same file drives simulated time and loopback sockets.  Times have units; a fault in the file is said with
-its line and key (`kestrelbend.config.reading`).
+its line and key (`kestrelbend.gateway_settings.toml_files`).
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..config.units import Micros, Share
+from ..gateway_settings.units import Microseconds, Fraction
 
 Count = Annotated[int, Meta(ge=0)]
 Some = Annotated[int, Meta(ge=1)]
 Positive = Annotated[float, Meta(gt=0)]
 Amount = Annotated[float, Meta(ge=0)]
 Units = Annotated[list[Some], Meta(min_length=2, max_length=2)]  # from, to
-Shares = Annotated[list[Share], Meta(min_length=2, max_length=2)]
+Shares = Annotated[list[Fraction], Meta(min_length=2, max_length=2)]
 MS = 1000
 S = 1_000_000
 
@@ -33,9 +33,11 @@
 
     gateways: Annotated[int, Meta(ge=1, le=500)] = 4
     zones: list[str] = default(["a", "b"])
-    cpu: Micros = Micros(0)  # of one event at a gateway; 0: none is reckoned with
-    starts_in: Micros = Micros(400 * MS)  # from the start of a gateway to its serving
-    front_notices: Micros = Micros(2 * S)  # from the death of a gateway to the front's leaving it out
+    cpu: Microseconds = Microseconds(0)  # of one event at a gateway; 0: none is reckoned with
+    starts_in: Microseconds = Microseconds(400 * MS)  # from the start of a gateway to its serving
+    front_notices: Microseconds = Microseconds(
+        2 * S
+    )  # from the death of a gateway to the front's leaving it out
     descriptors: Some = 1024
 
     def faults(self):
@@ -46,21 +48,21 @@
 class Backends(Struct, forbid_unknown_fields=True):
     count: Annotated[int, Meta(ge=1, le=500)] = 8
     cores: Some = 2
-    work: Micros = Micros(120 * MS)  # core time of an invocation, at mean
+    work: Microseconds = Microseconds(120 * MS)  # core time of an invocation, at mean
     work_spread: Amount = 0.5  # of its logarithm
     # invocations at work and waiting; others are turned away unseen
     holds: Some = 32
     connections: Some = 400  # open at once; others are refused
-    handshake: Micros = Micros(1 * MS)  # core time of a new connection
-    cold: Micros = Micros(10 * S)  # after a start, until warm
-    cold_from: Share = Share(0.25)  # the part of its capacity that it comes up with
+    handshake: Microseconds = Microseconds(1 * MS)  # core time of a new connection
+    cold: Microseconds = Microseconds(10 * S)  # after a start, until warm
+    cold_from: Fraction = Fraction(0.25)  # the part of its capacity that it comes up with
     # sent more than fall_multiple of its capacity for so long when
-    fall: Micros = Micros(2 * S)
+    fall: Microseconds = Microseconds(2 * S)
     fall_multiple: Positive = 2.5  # cold, it falls over and stays down
     reports: Literal["none", "probe", "answers"] = "none"
-    reports_every: Micros = Micros(500 * MS)
-    probe: Micros = Micros(500)  # core time of a probe
-    idle_close: Micros = Micros(30 * S)
+    reports_every: Microseconds = Microseconds(500 * MS)
+    probe: Microseconds = Microseconds(500)  # core time of a probe
+    idle_close: Microseconds = Microseconds(30 * S)
     stops_cancelled: bool = False  # whether running work ends when nobody waits for it
     # sizes, dealt out in turn
     weights: list[Positive] = default([1.0])
@@ -68,36 +70,36 @@
 
 class CounterService(Struct, forbid_unknown_fields=True):
     parts: Some = 2
-    call: Micros = Micros(800)  # that a part needs for a call
+    call: Microseconds = Microseconds(800)  # that a part needs for a call
     line: Some = 64  # calls that wait at a part; others are turned away
-    timeout: Micros = Micros(30 * MS)  # as the gateways are told
+    timeout: Microseconds = Microseconds(30 * MS)  # as the gateways are told
     price: Amount = 0.02  # of one call for each first try
 
 
 class Discovery(Struct, forbid_unknown_fields=True):
-    delay: Micros = Micros(1 * S)  # of a change, at mean
-    delay_spread: Share = Share(0.5)
-    lost: Share = Share(0)  # changes that come only with the next one
+    delay: Microseconds = Microseconds(1 * S)  # of a change, at mean
+    delay_spread: Fraction = Fraction(0.5)
+    lost: Fraction = Fraction(0)  # changes that come only with the next one
 
 
 class Network(Struct, forbid_unknown_fields=True):
     """One way, between machines of one zone and of two."""
 
-    within: Micros = Micros(300)
-    across: Micros = Micros(1 * MS)
-    jitter: Share = Share(0.3)
-    connect_timeout: Micros = Micros(250 * MS)
-    drain_grace: Micros = Micros(1 * S)
+    within: Microseconds = Microseconds(300)
+    across: Microseconds = Microseconds(1 * MS)
+    jitter: Fraction = Fraction(0.3)
+    connect_timeout: Microseconds = Microseconds(250 * MS)
+    drain_grace: Microseconds = Microseconds(1 * S)
 
 
 class Operation(Struct, forbid_unknown_fields=True):
     name: str
     effect: Literal["idempotent", "tokened", "non-idempotent"] = "idempotent"
     scope: Literal["all", "zone", "group"] = "all"
-    memory: Micros = Micros(5 * S)
-    objective: Micros = Micros(1200 * MS)
-    timeout: Micros = Micros(3 * S)
-    late_worth: Share = Share(0)
+    memory: Microseconds = Microseconds(5 * S)
+    objective: Microseconds = Microseconds(1200 * MS)
+    timeout: Microseconds = Microseconds(3 * S)
+    late_worth: Fraction = Fraction(0)
     part: Positive = 1.0  # of the traffic, beside the others'
 
 
@@ -109,14 +111,14 @@
     burst: Amount = 8.0
     most_out: Count = 0
     price: Positive = 1.0
-    over_worth: Share = Share(0)
+    over_worth: Fraction = Fraction(0)
     over_cost: Amount = 0.6
     ceiling_rate: Amount = 0.0
     ceiling_burst: Amount = 0.0
     ceiling_slack: Amount = 0.0
     customers: Some = 20
     asks: Amount = 0.5  # units a second of a usual customer, in parts of the rate
-    eager: Share = Share(0.1)  # customers that ask for more than their quota, and how much
+    eager: Fraction = Fraction(0.1)  # customers that ask for more than their quota, and how much
     eager_asks: Amount = 2.5
     units: Units = default([1, 1])
     spread: Count = 0  # gateways that its customers come in through; 0: all
@@ -139,11 +141,11 @@
 class Clients(Struct, forbid_unknown_fields=True):
     marks_retries: bool = True
     retries: Count = 2
-    wait: Micros = Micros(200 * MS)  # before a retry, at mean
-    heeds_retry_after: Share = Share(0.7)  # clients that wait as long as they are told
-    patience: Shares = default([Share(0.5), Share(1.0)])
-    leaves: Share = Share(0)  # clients that leave before their time is up
-    moves_every: Micros = Micros(8 * S)  # between changes of a customer's busiest gateways
+    wait: Microseconds = Microseconds(200 * MS)  # before a retry, at mean
+    heeds_retry_after: Fraction = Fraction(0.7)  # clients that wait as long as they are told
+    patience: Shares = default([Fraction(0.5), Fraction(1.0)])
+    leaves: Fraction = Fraction(0)  # clients that leave before their time is up
+    moves_every: Microseconds = Microseconds(8 * S)  # between changes of a customer's busiest gateways
 
     def faults(self):
         if self.patience[0] > self.patience[1] or not self.patience[0]:
@@ -153,10 +155,10 @@
 class Members(Struct, forbid_unknown_fields=True):
     """Gateways meet one another by datagrams."""
 
-    period: Micros = Micros(300 * MS)
+    period: Microseconds = Microseconds(300 * MS)
     most_per_s: Positive = 40.0
     share_probes: bool = True
-    loss: Share = Share(0)  # of datagrams
+    loss: Fraction = Fraction(0)  # of datagrams
 
 
 class Prices(Struct, forbid_unknown_fields=True):
@@ -171,7 +173,7 @@
 
 
 class Failure(Struct, tag_field="kind", forbid_unknown_fields=True, kw_only=True):
-    at: Micros
+    at: Microseconds
     MOMENT: ClassVar[bool] = True  # it happens at once; else it lasts
 
     def ends(self):
@@ -182,7 +184,7 @@
 
 
 class Lasting(Failure, forbid_unknown_fields=True, kw_only=True):
-    lasts: Micros
+    lasts: Microseconds
     MOMENT: ClassVar[bool] = False
 
     def ends(self):
@@ -196,21 +198,21 @@
 class Kill(Failure, tag="kill", forbid_unknown_fields=True, kw_only=True):
     """Gateways die at once and start again."""
 
-    share: Share = Share(1)
-    down: Micros = Micros(1 * S)  # until each is started again
+    share: Fraction = Fraction(1)
+    down: Microseconds = Microseconds(1 * S)  # until each is started again
 
 
 class Roll(Lasting, tag="roll", forbid_unknown_fields=True, kw_only=True):
     """Gateways are restarted with SIGTERM, so many at a time."""
 
-    share: Share = Share(1)
+    share: Fraction = Fraction(1)
     steps: Some = 10
 
 
 class Pause(Lasting, tag="pause", forbid_unknown_fields=True, kw_only=True):
     """Gateways stand still and go on."""
 
-    share: Share = Share(0.25)
+    share: Fraction = Fraction(0.25)
 
 
 class ZoneLoss(Lasting, tag="zone-loss", forbid_unknown_fields=True, kw_only=True):
@@ -223,7 +225,7 @@
 class Lost(Lasting, tag="lost-backends", forbid_unknown_fields=True, kw_only=True):
     """Some backends vanish without a word; they return cold."""
 
-    share: Share = Share(0.125)
+    share: Fraction = Fraction(0.125)
 
 
 class Cut(Lasting, tag="cut", forbid_unknown_fields=True, kw_only=True):
@@ -238,48 +240,48 @@
 class LostAnswers(Lasting, tag="lost-answers", forbid_unknown_fields=True, kw_only=True):
     """Some backends do the work and part of their answers never arrive."""
 
-    share: Share = Share(0.5)
-    part: Share = Share(0.2)
+    share: Fraction = Fraction(0.5)
+    part: Fraction = Fraction(0.2)
     how: Literal["silence", "reset"] = "silence"
 
 
 class Resets(Lasting, tag="resets", forbid_unknown_fields=True, kw_only=True):
     """Connections break under requests, before or after the work."""
 
-    part: Share = Share(0.1)
+    part: Fraction = Fraction(0.1)
 
 
 class Spoilt(Lasting, tag="spoilt", forbid_unknown_fields=True, kw_only=True):
     """Answers that cannot be read, from any backend."""
 
-    part: Share = Share(0.1)
+    part: Fraction = Fraction(0.1)
 
 
 class Slow(Lasting, tag="slow", forbid_unknown_fields=True, kw_only=True):
-    share: Share = Share(0.2)
+    share: Fraction = Fraction(0.2)
     factor: Positive = 5.0
 
 
 class Failing(Lasting, tag="failing", forbid_unknown_fields=True, kw_only=True):
     """Some backends quickly answer with errors."""
 
-    share: Share = Share(0.2)
-    part: Share = Share(1)
-    takes: Micros = Micros(5 * MS)
+    share: Fraction = Fraction(0.2)
+    part: Fraction = Fraction(1)
+    takes: Microseconds = Microseconds(5 * MS)
 
 
 class Release(Lasting, tag="release", forbid_unknown_fields=True, kw_only=True):
     """Backends drain, are down for a moment and come back cold, some at a time."""
 
-    share: Share = Share(1)
+    share: Fraction = Fraction(1)
     steps: Some = 5
-    down: Micros = Micros(2 * S)
-    drain: Micros = Micros(1 * S)
+    down: Microseconds = Microseconds(2 * S)
+    drain: Microseconds = Microseconds(1 * S)
     renewed: bool = False  # they come back under new ids
 
 
 class LateLists(Lasting, tag="late-lists", forbid_unknown_fields=True, kw_only=True):
-    delay: Micros
+    delay: Microseconds
 
 
 class CounterTrouble(Lasting, tag="counter", forbid_unknown_fields=True, kw_only=True):
@@ -293,8 +295,8 @@
 class Clocks(Failure, tag="clocks", forbid_unknown_fields=True, kw_only=True):
     """The clocks of some machines step; a gateway takes it on at its next start."""
 
-    share: Share = Share(0.5)
-    by: Micros
+    share: Fraction = Fraction(0.5)
+    by: Microseconds
 
 
 class Storm(Lasting, tag="storm", forbid_unknown_fields=True, kw_only=True):
@@ -322,7 +324,7 @@
 class Shift(Failure, tag="shift", forbid_unknown_fields=True, kw_only=True):
     """Some customers move to others of their gateways at one stroke."""
 
-    share: Share = Share(0.5)
+    share: Fraction = Fraction(0.5)
 
 
 AnyFailure = (
@@ -351,7 +353,7 @@
 
 class Scenario(Struct, forbid_unknown_fields=True):
     name: str
-    lasts: Micros = Micros(30 * S)
+    lasts: Microseconds = Microseconds(30 * S)
     seed: int = 1
     load: Positive = 1.0  # times what the plans' customers ask for
     deliveries: Some = 3  # at most for one invocation
--- a/kestrelbend/net/configuration.py
+++ b/kestrelbend/net/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Callable
 
-from ..config.platform import Malformed, flatten, settings
+from ..gateway_settings.platform import Malformed, flatten, settings
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
     settings: dict[str, Any]
     again: Callable[[], Told] | None = None  # reads anew what may have been replaced since
     logs: tuple[str, str] = ("key-value", "info")
-    members: Any = None  # config.installation.MembersTold, where gateways may speak
+    members: Any = None  # gateway_settings.installation.MembershipSettings, where gateways may speak
     news: Any = None  # NewsTold, where gateways tell each other of use
     checks: Any = None  # fronts.attributes.Checks
     authorisers: Any = ()  # fronts.asking.Authoriser
@@ -111,8 +111,8 @@
     path, limits = env.get("KESTRELBEND_MEMBERS"), given["settings"].get("policyLimits", {})
     if not path or not limits.get("peers") or not given.get("peer_listen") or not given.get("peers"):
         return None
-    from ..config.installation import Members
-    from ..config.reading import Wrong, convert
+    from ..gateway_settings.installation import Members
+    from ..gateway_settings.toml_files import InvalidFile, convert
     import tomllib
 
     try:
@@ -126,20 +126,20 @@
         }
         made, faults = convert(Members, stated)
         if faults:
-            raise Wrong(path, faults)
-    except (OSError, ValueError, IndexError, Wrong) as trouble:
+            raise InvalidFile(path, faults)
+    except (OSError, ValueError, IndexError, InvalidFile) as trouble:
         raise Malformed(f"KESTRELBEND_MEMBERS: {trouble}") from None
-    return made.told(env.get("ROUTER_NAME") or given["name"])
+    return made.resolved(env.get("ROUTER_NAME") or given["name"])
 
 
 def read_file(path):
     """An installation's own file (TOML); raises Malformed with all that is wrong with it."""
-    from ..config.installation import Installation
-    from ..config.reading import Wrong, toml
+    from ..gateway_settings.installation import Installation
+    from ..gateway_settings.toml_files import InvalidFile, read_toml
 
     try:
-        stated = toml(path, Installation)
-    except Wrong as wrong:
+        stated = read_toml(path, Installation)
+    except InvalidFile as wrong:
         raise Malformed(str(wrong)) from None
     return Told(
         name=stated.name,
@@ -152,7 +152,7 @@
         settings=stated.settings(),
         again=lambda: read_file(path),
         logs=(stated.logs.form, stated.logs.level),
-        members=stated.members.told(stated.name) if stated.members else None,
+        members=stated.members.resolved(stated.name) if stated.members else None,
         checks=stated.checks,
         authorisers=stated.authorisers,
     )
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from ..config.platform import Malformed
+from ..gateway_settings.platform import Malformed
 from ..duties import probes_shared
 from ..interface import State
 from . import configuration, lines, tally
--- a/kestrelbend/net/headers.py
+++ b/kestrelbend/net/headers.py
@@ -5,7 +5,7 @@
 import json
 import math
 
-from ..config.platform import LOADS
+from ..gateway_settings.platform import LOADS
 from .requests import bounded
 from .tally import counters
 
--- a/kestrelbend/net/roster.py
+++ b/kestrelbend/net/roster.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from ..interface import State
-from ..config.platform import Malformed
+from ..gateway_settings.platform import Malformed
 from .configuration import address
 from .tally import counters
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from kestrelbend.config import platform as terms
+from kestrelbend.gateway_settings import platform as terms
 from kestrelbend.benchlink import codec
 from kestrelbend.benchlink.host import Instance
 from kestrelbend.interface import Result
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -16,8 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.config import reading
-from kestrelbend.config.installation import Installation
+from kestrelbend.gateway_settings import toml_files
+from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.fronts import asking, attributes
 from kestrelbend.fronts.asking import Asking, Authoriser
 from kestrelbend.fronts.attributes import Bad, Checks, Rules, Source, Told
@@ -471,19 +471,19 @@
 
 def test_what_is_wrong_with_the_fronts_is_said_with_its_place():
     text = EXAMPLE.read_text() + FRONTS
-    stated = reading.parsed(text, Installation)
+    stated = toml_files.parse_toml(text, Installation)
     assert stated.checks.rules.plan[0].name == "starter" and stated.authorisers[0].budget == 0.2
     wrong = (
         text.replace('pattern = "^/([a-z]+)"', 'pattern = "^/[a-z"')
         .replace('target = "127.0.0.1:9002"', 'target = "nowhere"\nbudget = 3.0')
         .replace("settle = 0.2", "setle = 0.2")
     )
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(wrong, Installation)
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(wrong, Installation)
     said = str(caught.value)
     assert "did you mean 'settle'" in said and "not a regular expression" in said and "'nowhere'" in said
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(
             text.replace('["transfer"]', '["transfr"]').replace(
                 'name = "partner"', 'name = "partner"\nbudget = 3.0'
             ),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,8 +14,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kestrelbend.config import platform, reading, units
-from kestrelbend.config.installation import Installation
+from kestrelbend.gateway_settings import platform, toml_files, units
+from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.net import configuration
 from kestrelbend.net.accept_queue import place
 from tests.helpers import World
@@ -25,13 +25,13 @@
 
 
 def faults(text):
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(text, Installation, "gateway.toml")
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(text, Installation, "gateway.toml")
     return str(caught.value).splitlines()
 
 
 def test_the_example_says_the_same_as_the_platforms_words():
-    stated = reading.toml(str(EXAMPLE), Installation)
+    stated = toml_files.read_toml(str(EXAMPLE), Installation)
     given = {
         "instances": 3,
         "index": 0,
@@ -145,7 +145,7 @@
     )
 )
 def test_whatever_is_given_either_is_taken_or_its_faults_are_said(given):
-    made, wrong = reading.convert(Installation, given)
+    made, wrong = toml_files.convert(Installation, given)
     assert (made is None) or not wrong
     assert made is not None or all(fault.text for fault in wrong)
 
@@ -232,7 +232,7 @@
     assert told["may_advise"] is True and told["operations"][0].worth == 1.0 and told["meter_period"] == 0
     text = EXAMPLE.read_text()
     new = text.replace("[use]", '[use]\nretry_after = false\nmetering = "2s"', 1)
-    there = reading.parsed(new, Installation)
+    there = toml_files.parse_toml(new, Installation)
     assert there.settings()["may_advise"] is False and there.settings()["meter_period"] == 2_000_000
     assert any("retry_after" in fault for fault in faults(text.replace("[use]", "[use]\nretry_after = 3", 1)))
 
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from kestrelbend.config import reading
+from kestrelbend.gateway_settings import toml_files
 from kestrelbend.interface import Result, State
 from kestrelbend.lab import plant
 from kestrelbend.lab.emulate import run
@@ -165,8 +165,8 @@
 def stated(name):
     if name in FAILURES:
         more = FAILURES[name] and f"[[failures]]\n{FAILURES[name]}\n"
-        return reading.parsed(MIXED + more, Scenario, f"{name}.toml")
-    scenario = reading.toml(str(REPO / "examples" / f"{name}.toml"), Scenario)
+        return toml_files.parse_toml(MIXED + more, Scenario, f"{name}.toml")
+    scenario = toml_files.read_toml(str(REPO / "examples" / f"{name}.toml"), Scenario)
     scenario.lasts = min(scenario.lasts, LONGEST)
     return scenario
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,7 +5,7 @@
 import pytest
 
 from kestrelbend import choice
-from kestrelbend.config import reading
+from kestrelbend.gateway_settings import toml_files
 from kestrelbend.interface import State
 from kestrelbend.lab import plant
 from kestrelbend.lab.clock import SimClock, Stuck
@@ -50,7 +50,7 @@
 
 
 def scenario(more="", text=SMALL, **changes):
-    made = reading.parsed(text + more, Scenario, "small.toml")
+    made = toml_files.parse_toml(text + more, Scenario, "small.toml")
     for path, value in changes.items():
         *way, last = path.split("__")
         thing = made
@@ -71,8 +71,8 @@
     text += failure(kind="zone-loss", at=3, lasts="1s", zone="c")
     text = text.replace("gateways = 4", "gateways = 501").replace('work = "60ms"', 'wrok = "60ms"')
     text = text.replace("units = [1, 3]", "units = [3, 1]\nodd = '''\n[[failures]]\nat = 3\n'''")
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(text, Scenario, "small.toml")
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(text, Scenario, "small.toml")
     said = str(caught.value).splitlines()
     lines = text.splitlines()
     for fault, what, line in zip(
@@ -92,8 +92,8 @@
         assert what in fault and lines[number - 1] == line
     text = SMALL + failure(kind="flood", at="1s", lasts="1s", plan="gold")
     text += failure(kind="cut", at="9s", lasts="1s", one="zone:c", other="gateways")
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(text, Scenario, "small.toml")
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(text, Scenario, "small.toml")
     said = str(caught.value)
     assert "no customer is on a plan 'gold'" in said and "after the end" in said and "unknown side" in said
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -15,7 +15,7 @@
 
 from kestrelbend.__main__ import TIER_ROLES, serve
 from kestrelbend.command.application import run
-from kestrelbend.config import reading
+from kestrelbend.gateway_settings import toml_files
 from kestrelbend.lab import emulate, experiment, load, loopback, results
 from kestrelbend.lab.clock import NotOnSockets
 from tests.test_lab import FAILURES, SMALL, failure, scenario
@@ -309,11 +309,11 @@
 
 
 def test_a_plan_of_load_is_the_same_for_a_seed_and_its_streams_do_not_move_each_other(tmp_path):
-    plan = reading.parsed(LOAD, load.Load, "load.toml")
+    plan = toml_files.parse_toml(LOAD, load.Load, "load.toml")
     first, _ = load.plan(plan)
     assert first == load.plan(plan)[0] and first != load.plan(plan, 9)[0]
     assert 150 < len(first) < 250 and [r.at for r in first] == sorted(r.at for r in first)
-    longer = reading.parsed(
+    longer = toml_files.parse_toml(
         LOAD + '[[phases]]\nkind = "steps"\nfirst = 10\nlast = 30\nsteps = 3\n'
         'lasts = "3s"\n[[phases]]\nkind = "bursts"\nsize = 7\nevery = "500ms"\n'
         'lasts = "1s"\n',
@@ -324,7 +324,7 @@
     assert more[: len(first)] == first and len(more) == len(first) + 10 + 20 + 30 + 14
     # A recorded trace is replayed at its times; lines that cannot be read are counted.
     (tmp_path / "trace.jsonl").write_text(load.trace_lines(more) + "{half a li\n")
-    trace = reading.parsed(
+    trace = toml_files.parse_toml(
         'name = "again"\n[[phases]]\nkind = "trace"\nfile = "trace.jsonl"\nspeed = 2\n',
         load.Load,
         "load.toml",
@@ -346,7 +346,7 @@
     )
     code, said = called("lab", "load", "http://127.0.0.1:9", path)
     assert code == 2 and "none" in said
-    tool = load.Tool("x", reading.parsed(LOAD, load.Load, "load.toml"))
+    tool = load.Tool("x", toml_files.parse_toml(LOAD, load.Load, "load.toml"))
     tool.late, tool.statuses = 10, {"200": 100}
     assert "void" in tool.figures(tool.load, 1, 1.0, 0)["figures"]
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from kestrelbend.config import reading
-from kestrelbend.config.installation import Installation
+from kestrelbend.gateway_settings import toml_files
+from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.duties import leases, probing
 from kestrelbend.duties.deal import Deal
 from kestrelbend.lab.gossip import KEYS, Fleet
@@ -604,20 +604,20 @@
 
 def test_a_wrong_key_or_peer_is_named():
     text = EXAMPLE.read_text()
-    stated = reading.parsed(text + MEMBERS, Installation)
-    assert stated.members.told("x").peers[1] == ("127.0.0.3", 7946)
+    stated = toml_files.parse_toml(text + MEMBERS, Installation)
+    assert stated.members.resolved("x").peers[1] == ("127.0.0.3", 7946)
     wrong = (
         MEMBERS.replace("0e0f", "0e0g")
         .replace('"127.0.0.3:7946"', '"host.example:7946", "nowhere"')
         .replace('listen = "127.0.0.1:7946"', 'listen = "127.0.0.1:7946"\nperiod = "1ms"')
     )
-    with pytest.raises(reading.Wrong) as caught:
-        reading.parsed(text + wrong.replace(', "nowhere"', ""), Installation)
+    with pytest.raises(toml_files.InvalidFile) as caught:
+        toml_files.parse_toml(text + wrong.replace(', "nowhere"', ""), Installation)
     said = str(caught.value)
     assert "members.keys.1" in said and "members.peers[1]" in said and "host.example" in said
     assert "members.period" in said
-    with pytest.raises(reading.Wrong, match="nowhere"):
-        reading.parsed(text + wrong, Installation)
+    with pytest.raises(toml_files.InvalidFile, match="nowhere"):
+        toml_files.parse_toml(text + wrong, Installation)
 
 
 def test_on_the_platform_it_takes_a_file_and_the_settings_leave(tmp_path):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict
 
-from kestrelbend.config import model
-from kestrelbend.config import platform as terms
+from kestrelbend.gateway_settings import model
+from kestrelbend.gateway_settings import platform as terms
 from kestrelbend.hosting import Task
 from kestrelbend.interface import Delivery, Invocation, Result, State
 from kestrelbend.net import accept_queue, clients, configuration, connections, lines
