--- a/Makefile
+++ b/Makefile
@@ -20,6 +20,7 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	tools/typecheck.sh
 
 check: lint test
 
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -6,13 +6,16 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import random
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 import attrs
 
 from ..budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from .fleet import Fleet
-from .loop import Execution
+from .loop import Execution, VirtualLoop
 from .machines import Process
 
 STRIDE = 8
@@ -109,8 +112,8 @@
         self.tries.append(turn)
         reserve = Reserve(self.name, session, turn.reservation, number, most, self.budget, True)
         life = gateway.execution
-        coroutine = self._serve(gateway.instance, turn, reserve)
-        self._fleet.loop.call_soon(_begin, self._fleet.loop, coroutine, context=life.context)
+        serve = functools.partial(self._serve, gateway.instance, turn, reserve)
+        self._fleet.loop.call_soon(_begin, self._fleet.loop, serve, context=life.context)
         ends = self._fleet.now() + DEADLINE_S
         while not life.ended and not turn.over.is_set() and self._fleet.now() < ends:
             self._programs.check_silent(gateway, turn)
@@ -169,8 +172,9 @@
         pass
 
 
-def _begin(loop, coroutine) -> None:
-    loop.create_task(coroutine)
+def _begin(loop: VirtualLoop, serve: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Runs in the gateway's process; a process that ends before it does leaves no coroutine unawaited."""
+    loop.create_task(serve())
 
 
 class Programs:
