--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -17,18 +17,17 @@
 import logbook
 
 from . import ports
-from .admission import Admission
+from .admission_control import AdmissionControl
 from .attempt import Attempter, Progress
 from .choice import Chooser
 from .client import Client, OwnAnswer
+from .concurrency_limit import ConcurrencyLimits
 from .connections import Connections
 from .exchange import REQUEST_ID, Exchange
 from .forward import Forwarder
-from .gate import Gate
 from .health import Health
 from .hedge import Hedger
 from .life import Life
-from .limit import Limits
 from .pace import Pace
 from .reading import (
     TIME_OVER_RETRY_S,
@@ -43,6 +42,7 @@
 from .send import Sender
 from .split import Split
 from .turn import Turns, turn_of
+from .waiting_queue import WaitingQueues
 
 log = logbook.Logger("dataplane")
 Send = Callable[[dict], Awaitable[None]]
@@ -64,7 +64,7 @@
     health: Health
     pace: Pace
     reported: ReportedLoad
-    gate: Gate
+    admission: AdmissionControl
     forwarder: Forwarder
     turns: Turns
     split: Split
@@ -163,13 +163,13 @@
             return _own_failure(client, progress)
 
     async def _carry(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
-        refusal = await self.gate.enter(exchange)
+        refusal = await self.admission.admit(exchange)
         if refusal is not None:
             return refusal
         try:
             return await self._check_budget(exchange, client, progress)
         finally:
-            self.gate.leave(exchange)
+            self.admission.release(exchange)
 
     async def _check_budget(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
         turn = turn_of(exchange)
@@ -177,7 +177,7 @@
             return await self.forwarder.forward(exchange, client, progress)
         live = self.backends.of(exchange.service.name)
         now = asyncio.get_running_loop().time()
-        spare_capacity = not self.gate.limited(exchange.service.name) and any(
+        spare_capacity = not self.admission.is_limited(exchange.service.name) and any(
             self.chooser.has_room(backend, exchange.service, now) for backend in live
         )
         return await self.turns.carry(
@@ -275,11 +275,11 @@
     health, pace, reported = Health(), Pace(), ReportedLoad()
     connections = Connections(network, gateways)
     chooser = Chooser(zone, health, pace, connections, reported, rng)
-    admission = Admission()
-    gate = Gate(Limits(), admission, backends, gateways, rng)
+    waiting = WaitingQueues()
+    admission = AdmissionControl(ConcurrencyLimits(), waiting, backends, gateways, rng)
     sender = Sender(backends, connections)
-    attempter = Attempter(sender, health, pace, gate, reported, chooser.in_flight)
-    forwarder = Forwarder(backends, attempter, chooser, Hedger(pace), admission, gate)
+    attempter = Attempter(sender, health, pace, admission, reported, chooser.in_flight)
+    forwarder = Forwarder(backends, attempter, chooser, Hedger(pace), waiting, admission)
     return DataPlane(
         routing=routing,
         backends=backends,
@@ -288,7 +288,7 @@
         health=health,
         pace=pace,
         reported=reported,
-        gate=gate,
+        admission=admission,
         forwarder=forwarder,
         turns=Turns(budget),
         split=Split(backends, rng),
--- a/kestrelbend/tier/dataplane/attempt.py
+++ b/kestrelbend/tier/dataplane/attempt.py
@@ -12,11 +12,11 @@
 import attrs
 
 from ..discovery.messages import Backend
+from .admission_control import AdmissionControl
 from .connections import Connection
 from .errors import DataPlaneError
 from .events import EventSplitter
 from .exchange import SERVER_LOAD, Exchange, Failure
-from .gate import Gate
 from .health import Health
 from .pace import Pace
 from .reported_load import ReportedLoad
@@ -77,14 +77,14 @@
         sender: Sender,
         health: Health,
         pace: Pace,
-        gate: Gate,
+        admission: AdmissionControl,
         reported: ReportedLoad,
         in_flight: Mapping[str, int],
     ) -> None:
         self._sender = sender
         self._reported = reported
         self._in_flight = in_flight  # this gateway's requests at each backend
-        self._gate = gate
+        self._admission = admission
         self._health = health
         self._pace = pace
 
@@ -144,7 +144,7 @@
                 self._health.failed(identity, now)
                 return
             self._health.answered(identity, now)
-            self._gate.answered(exchange, now - begun)
+            self._admission.record_answer(exchange, now - begun)
             self._pace.note(exchange.route.name, identity, now - begun, now)
         elif outcome is Failure.NOT_EXECUTED:
             self._health.turned_away(identity, now)
--- a/kestrelbend/tier/dataplane/forward.py
+++ b/kestrelbend/tier/dataplane/forward.py
@@ -14,15 +14,15 @@
 
 from ..discovery.messages import Backend
 from . import ports
-from .admission import Admission, Rank
+from .admission_control import AdmissionControl
 from .attempt import Attempter, Opened, Progress
 from .choice import Chooser
 from .client import Client, OwnAnswer
 from .errors import DataPlaneError
 from .exchange import LAST_EVENT_ID, PROGRAM, Exchange, Failure
-from .gate import Gate
 from .hedge import Hedger
 from .send import MISDIRECTED, Sending
+from .waiting_queue import Rank, WaitingQueues
 
 SENDS_AT_MOST = 64
 RUNS_AT_MOST = 3  # attempts of one repeatable request that may have run
@@ -61,19 +61,19 @@
         attempter: Attempter,
         chooser: Chooser,
         hedger: Hedger,
-        admission: Admission,
-        gate: Gate,
+        waiting: WaitingQueues,
+        admission: AdmissionControl,
     ) -> None:
         self._backends = backends
         self._attempter = attempter
         self._chooser = chooser
         self._hedger = hedger
+        self._waiting = waiting
         self._admission = admission
-        self._gate = gate
 
     async def forward(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
         """The own answer to give; None when the client has its answer, or must see its connection break."""
-        course = _course(exchange, self._gate.rank(exchange))
+        course = _course(exchange, self._admission.rank(exchange))
         while not client.gone:
             backend = self._pick(exchange, course)
             if backend is None:
@@ -110,9 +110,9 @@
         """Whether the backends that were full may be tried again."""
         if not course.full or course.sends >= SENDS_AT_MOST:
             return False
-        self._gate.full(exchange)
+        self._admission.record_saturation(exchange)
         until = exchange.deadline if client.started else course.hold_until
-        if not await self._admission.wait(exchange.service.name, course.rank, until):
+        if not await self._waiting.wait(exchange.service.name, course.rank, until):
             return False
         course.full.clear()
         return True
@@ -218,7 +218,7 @@
         live = self._backends.of(exchange.service.name)
         if exchange.named_instance is not None and not _named(exchange, live):
             return OwnAnswer(MISDIRECTED, "the expected instance is not there", MISDIRECTED_RETRY_S)
-        return self._gate.refusal()
+        return self._admission.rejection()
 
 
 async def _next_part(opened: Opened) -> tuple[bytes | None, int]:
--- a/tests/tier/test_dataplane_overload.py
+++ b/tests/tier/test_dataplane_overload.py
@@ -7,12 +7,12 @@
 
 import testtools
 
-from kestrelbend.tier.dataplane.limit import Limits
+from kestrelbend.tier.dataplane.concurrency_limit import ConcurrencyLimits
 from tests.tier.dataplane_world import World, events, turn
 
-CALM_S = 0.05
-OBJECTIVE_S = 0.2
-FAIR = 8.0
+BASELINE_S = 0.05
+TARGET_S = 0.2
+FAIR_SHARE = 8.0
 
 
 class LimitOfAService(testtools.TestCase):
@@ -20,35 +20,35 @@
 
     def setUp(self):
         super().setUp()
-        self.limits = Limits()
+        self.limits = ConcurrencyLimits()
         self.now = 100.0
 
     def answers(self, count, seconds, route="r"):
         for _ in range(count):
             self.now += 0.02
-            self.limits.answered("s", route, seconds, OBJECTIVE_S, lambda: FAIR, self.now)
+            self.limits.record_answer("s", route, seconds, TARGET_S, lambda: FAIR_SHARE, self.now)
 
     def in_flight(self, count):
         for _ in range(count):
             self.limits.begin("s")
 
     def test_in_calm_times_there_is_none(self):
-        self.answers(50, CALM_S)
+        self.answers(50, BASELINE_S)
         self.in_flight(500)
         self.assertTrue(self.limits.admits("s", 0.5))
-        self.assertFalse(self.limits.limited("s"))
+        self.assertFalse(self.limits.is_limited("s"))
 
     def test_answers_that_are_slow_but_far_from_their_objective_mean_nothing(self):
         self.answers(50, 0.01)
         self.answers(50, 0.06)
-        self.assertFalse(self.limits.limited("s"))
+        self.assertFalse(self.limits.is_limited("s"))
 
     def test_a_service_that_is_always_near_its_objective_has_none(self):
-        self.answers(200, OBJECTIVE_S * 0.9)
-        self.assertFalse(self.limits.limited("s"))
+        self.answers(200, TARGET_S * 0.9)
+        self.assertFalse(self.limits.is_limited("s"))
 
     def test_answers_that_tell_of_a_queue_lower_it_to_its_floor_at_most(self):
-        self.answers(50, CALM_S)
+        self.answers(50, BASELINE_S)
         self.in_flight(40)
         self.answers(300, 1.0)
         self.assertFalse(self.limits.admits("s", 1.0))
@@ -59,15 +59,15 @@
         self.assertFalse(self.limits.admits("s", 1.0), "six of eight is the floor")
 
     def test_it_rises_while_it_holds_requests_back_and_is_dropped_in_the_end(self):
-        self.answers(50, CALM_S)
+        self.answers(50, BASELINE_S)
         self.in_flight(40)
         self.answers(300, 1.0)
         before = self.now
         while not self.limits.admits("s", 1.0):
-            self.answers(1, CALM_S)
+            self.answers(1, BASELINE_S)
         self.assertTrue(1 < self.now - before < 20, self.now - before)
-        self.answers(1000, CALM_S)
-        self.assertFalse(self.limits.limited("s"))
+        self.answers(1000, BASELINE_S)
+        self.assertFalse(self.limits.is_limited("s"))
 
 
 class Overload(testtools.TestCase):
@@ -108,7 +108,7 @@
         self.assertTrue(len(served) > 60, f"{len(served)} of about 160 that there is room for")
         self.assertTrue(all("retry-after" in got.fields for got in refused))
         runs = sum(len(scripted.asked) for scripted in self.world.scripted.values())
-        self.assertEqual(runs, sum(settle.used_tokens > 0 for settle in self.world.budget.settled))
+        self.assertEqual(runs, sum(settlement.used_tokens > 0 for settlement in self.world.budget.settled))
 
     def test_a_program_that_was_served_goes_before_new_ones(self):
         async def known():
