--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -19,44 +19,86 @@
 class Route(Protocol):
     """One route of the operator's configuration."""
 
-    name: str
-    kind: str
-    timeout_ms: float
-    slo_ms: float
-    priority: int
-    retries: int
-    sticky: bool
-    resumable: bool
-    retain_s: int
-    inter_token_target_ms: float
-    targets: tuple[tuple[str, int], ...]
+    @property
+    def name(self) -> str: ...
+
+    @property
+    def kind(self) -> str: ...
+
+    @property
+    def timeout_ms(self) -> float: ...
+
+    @property
+    def slo_ms(self) -> float: ...
+
+    @property
+    def priority(self) -> int: ...
+
+    @property
+    def retries(self) -> int: ...
+
+    @property
+    def sticky(self) -> bool: ...
+
+    @property
+    def resumable(self) -> bool: ...
+
+    @property
+    def retain_s(self) -> int: ...
+
+    @property
+    def inter_token_target_ms(self) -> float: ...
+
+    @property
+    def targets(self) -> tuple[tuple[str, int], ...]: ...
 
 
 class Service(Protocol):
     """One service of the operator's configuration."""
 
-    name: str
-    max_conns: int
-    slots: int
-    stride: int
-    is_model: bool
+    @property
+    def name(self) -> str: ...
+
+    @property
+    def max_conns(self) -> int: ...
+
+    @property
+    def slots(self) -> int: ...
+
+    @property
+    def stride(self) -> int: ...
+
+    @property
+    def is_model(self) -> bool: ...
 
 
 class Limits(Protocol):
     """What the operator allows a client to send, and how long it may take."""
 
-    max_header_bytes: int
-    max_body_bytes: int
-    header_timeout_ms: float
-    idle_timeout_ms: float
+    @property
+    def max_header_bytes(self) -> int: ...
+
+    @property
+    def max_body_bytes(self) -> int: ...
+
+    @property
+    def header_timeout_ms(self) -> float: ...
+
+    @property
+    def idle_timeout_ms(self) -> float: ...
 
 
 class RoutingTable(Protocol):
     """One version of the routes; it never changes, a new version is a new table."""
 
-    version: int
-    services: Mapping[str, Service]
-    limits: Limits
+    @property
+    def version(self) -> int: ...
+
+    @property
+    def services(self) -> Mapping[str, Service]: ...
+
+    @property
+    def limits(self) -> Limits: ...
 
     def route(self, host: str, path: str) -> Route | None: ...
 
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -112,7 +112,7 @@
         self.tries.append(turn)
         reserve = Reserve(self.name, session, turn.reservation, number, most, self.budget, True)
         life = gateway.execution
-        serve = functools.partial(self._serve, gateway.instance, turn, reserve)
+        serve = functools.partial(self._serve, gateway.instance.budgets, turn, reserve)
         self._fleet.loop.call_soon(_begin, self._fleet.loop, serve, context=life.context)
         ends = self._fleet.now() + DEADLINE_S
         while not life.ended and not turn.over.is_set() and self._fleet.now() < ends:
@@ -121,14 +121,14 @@
         turn.given_up = turn.ended_whole_at is None and not turn.refused
         return turn
 
-    async def _serve(self, gateway, turn: Turn, reserve: Reserve) -> None:
+    async def _serve(self, budgets, turn: Turn, reserve: Reserve) -> None:
         """What the gateway does with the turn; runs as a part of its process."""
-        reserve = attrs.evolve(reserve, reservation=gateway.reservation_name(turn.reservation))
+        reserve = attrs.evolve(reserve, reservation=budgets.reservation_name(turn.reservation))
         turn.reservation = reserve.reservation
-        if gateway.spent_locally(self.name, turn.most, self.budget):
+        if budgets.spent_locally(self.name, turn.most, self.budget):
             verdict = Verdict.SPENT
         else:
-            outcome = await gateway.reserve("model", reserve)
+            outcome = await budgets.reserve("model", reserve)
             verdict = Verdict(outcome.verdict)
         turn.answered_at = self._fleet.now()
         turn.verdict = verdict
@@ -152,7 +152,7 @@
             turn.ended_whole_at = self._fleet.now()
             turn.over.set()
         end = TurnEnd.COMPLETE if whole else TurnEnd.BROKEN_OFF
-        gateway.settle("model", Settlement(self.name, turn.reservation, turn.handed, int(end)))
+        budgets.settle("model", Settlement(self.name, turn.reservation, turn.handed, int(end)))
 
     def _check_refusal(self, turn: Turn) -> None:
         now = self._fleet.now()
--- a/kestrelbend/tier/fleet/removals/gateways.py
+++ b/kestrelbend/tier/fleet/removals/gateways.py
@@ -11,7 +11,7 @@
 _take = PeerConnection._take
 
 
-@guard("version-order", "roles.gateway:RoutingState.take", "a gateway that goes back")
+@guard("version-order", "roles.routing_state:RoutingState.take", "a gateway that goes back")
 def take_any_version(holder, version, body):
     holder._table = RoutingTable.from_document(version, read_accepted(body).values)
 
--- a/kestrelbend/tier/replication/interfaces.py
+++ b/kestrelbend/tier/replication/interfaces.py
@@ -40,7 +40,9 @@
 class Journal(Protocol):
     """The process's disk, see `storage.journal`."""
 
-    wants_checkpoint: bool
+    @property
+    def wants_checkpoint(self) -> bool:
+        """Whether the records have grown so large that a checkpoint should replace them."""
 
     def append(self, ticket: int, record: Record) -> None:
         """Takes a record to be written; its ticket comes back once it is durable."""
--- a/kestrelbend/tier/roles/local_shards.py
+++ b/kestrelbend/tier/roles/local_shards.py
@@ -16,7 +16,8 @@
 from ..membership.placement import CONFIGURATION_SHARD, address_of
 from ..membership.owner_contact import ConfirmedReplica, in_contact, is_current
 from ..protocol.codec import decode, encode
-from ..replication.host import ShardHost, StateMachine
+from ..replication.host import ShardHost
+from ..replication.interfaces import StateMachine
 from ..replication.messages import ReplicaId, ShardId
 from ..replication.replica import Replica
 from ..replication.timing import Timing
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -38,7 +38,7 @@
 from ..membership.placement import address_of
 from ..protocol.peer_connection import PeerConnection
 from ..protocol.peer_connections import PeerConnections
-from ..replication.host import StateMachine
+from ..replication.interfaces import StateMachine
 from ..replication.messages import ReplicaId, ReplicaMessage, ShardId
 from .addresses import internal_address, seed_addresses
 from .background_tasks import BackgroundTasks
@@ -147,6 +147,10 @@
     def on_message(self, connection: PeerConnection, message: Any, sequence: int) -> None:
         """A message that is the role's own."""
 
+    async def until_served_enough(self) -> None:
+        """Returns when the role's listeners are to close."""
+        await self.served_enough.wait()
+
     async def start(self) -> None:
         """Starts what the role serves."""
 
--- a/kestrelbend/tier/roles/store.py
+++ b/kestrelbend/tier/roles/store.py
@@ -11,7 +11,7 @@
 from ..budgets.messages import BudgetRequest
 from ..budgets.shard_service import BudgetShards
 from ..protocol.peer_connection import PeerConnection
-from ..replication.host import StateMachine
+from ..replication.interfaces import StateMachine
 from ..replication.messages import ShardId
 from .addresses import STORE_PORT
 from .environment import Environment
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -85,7 +85,7 @@
         return story
 
     def note_replies(self, world, gateway, taken):
-        send = gateway.budget_client._send
+        send = gateway.budgets.client._send
 
         async def noting(address, request):
             asked_at = world.fleet.now()
@@ -95,9 +95,9 @@
                 taken.append(Taken(asked_at, address, reply.shard, reply.owner, reply.epoch, names))
             return reply
 
-        for queue in gateway.budget_client._queues.values():
+        for queue in gateway.budgets.client._queues.values():
             queue._send = noting
-        gateway.budget_client._send = noting
+        gateway.budgets.client._send = noting
 
     async def turns(self, world, gateways, seconds):
         """A turn of a program of the shard every 100 ms, at each gateway in turn."""
@@ -106,12 +106,12 @@
 
         async def turn(gateway, program):
             instance = gateway.instance
-            command = Reserve(program, "s", instance.reservation_name(""), 1, MOST, 1000, True)
-            outcome = await instance.reserve("model", command)
+            command = Reserve(program, "s", instance.budgets.reservation_name(""), 1, MOST, 1000, True)
+            outcome = await instance.budgets.reserve("model", command)
             verdicts.append(Verdict(outcome.verdict))
             if outcome.verdict == Verdict.ADMITTED:
                 end = int(TurnEnd.COMPLETE)
-                instance.settle("model", Settlement(program, command.reservation, MOST, end))
+                instance.budgets.settle("model", Settlement(program, command.reservation, MOST, end))
 
         loop = world.fleet.loop
         for number in range(int(seconds / 0.1)):
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -71,11 +71,11 @@
     async def _turn(self, gateway, number: int) -> None:
         program, name = f"observed-{number}", f"observed-turn-{number}"
         requested_at = self.world.fleet.now()
-        outcome = await gateway.reserve("model", Reserve(program, "s", name, 1, MOST, 1000, True))
+        outcome = await gateway.budgets.reserve("model", Reserve(program, "s", name, 1, MOST, 1000, True))
         verdict = Verdict(outcome.verdict)
         self.answers.append(Answer(requested_at, self.world.fleet.now() - requested_at, verdict))
         if verdict is Verdict.ADMITTED:
-            gateway.settle("model", Settlement(program, name, MOST, int(TurnEnd.COMPLETE)))
+            gateway.budgets.settle("model", Settlement(program, name, MOST, int(TurnEnd.COMPLETE)))
 
 
 def _begin(loop, coroutine) -> None:
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -32,7 +32,7 @@
 from kestrelbend.tier.model.search import search
 from kestrelbend.tier.replication.messages import ReadIndexReply, ReadIndexRequest
 from kestrelbend.tier.replication.snapshot_transfer import SnapshotReceiver
-from kestrelbend.tier.roles.gateway import RoutingState
+from kestrelbend.tier.roles.routing_state import RoutingState
 from tests.tier import virtual_time
 from tests.tier.dataplane_world import STAMP, World
 from tests.tier.replication_harness import SHARD, Cluster
@@ -283,11 +283,11 @@
 
 class TestVersions(testtools.TestCase):
     def test_an_older_version_is_not_put_in_force(self):
-        holder = RoutingState()
+        routing = RoutingState()
         for version in (2, 1):
             document = {"Ver": version, "Routes": [], "Services": []}
-            holder.take(version, json.dumps(document).encode())
-        self.assertEqual(2, holder.version)
+            routing.take(version, json.dumps(document).encode())
+        self.assertEqual(2, routing.version)
 
 
 class TestCheckedEntries(testtools.TestCase):
--- a/tests/tier/test_standing.py
+++ b/tests/tier/test_standing.py
@@ -70,7 +70,7 @@
             self._fleet.broken(f"{process.name} is current by version {configuration.state.version}")
 
     def _look_at_gateway(self, process):
-        if not process.instance._current or process.execution in self._confirmed:
+        if not process.instance.configuration.is_current or process.execution in self._confirmed:
             return
         self._confirmed.add(process.execution)
         required = self._world.operator.required_version(self._fleet.now() - CONTACT_S - TOLD_S)
