--- a/kestrelbend/gateway_settings/installation.py
+++ b/kestrelbend/gateway_settings/installation.py
@@ -2,22 +2,36 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from typing import Literal
 
 from msgspec import Struct, field
 
 from ..fronts.asking import Authoriser
 from ..fronts.attributes import Checks
-from .model import MS, PositiveFloat, S, PositiveInt, Terms
+from .model import MS, Plan, PositiveFloat, PositiveInt, S, Terms
 from .units import Address, Microseconds, ByteSize
 
+MIN_PERIOD = 50 * MS
+MAX_PERIOD = 60 * S
+MIN_DATAGRAMS_PER_S = 4
+MIN_KEY_BYTES = 16
+MAX_KEY_NUMBER = 255
+
+KeyFault = tuple[str | tuple[str | int, ...], str]
+"""A key, or its path below the struct, and what is wrong with it."""
+
 
 class Logs(Struct):
+    """What is logged, and how a line is written."""
+
     form: Literal["key-value", "json"] = "key-value"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Limits(Struct):
+    """What the process may take of its machine."""
+
     sockets: PositiveInt = 1024  # descriptors that the process may hold
     memory: ByteSize = ByteSize(0)  # 0: not told
 
@@ -33,54 +47,63 @@
     most_per_s: PositiveFloat = 40.0  # datagrams sent; never more
     share_probes: bool = True  # cold backends are probed by one gateway for all
 
-    def faults(self):
+    def faults(self) -> Iterator[KeyFault]:
+        """(key, text) for what is wrong with the fields together."""
         if not self.keys:
             yield "keys", "at least one is needed: gateways that share none do not know each other"
         for number, text in self.keys.items():
-            try:
-                usable = number.isdecimal() and 0 < int(number) < 256 and len(bytes.fromhex(text)) >= 16
-            except ValueError:
-                usable = False
-            if not usable:
+            if not _is_key(number, text):
                 yield ("keys", number), "expected a number, 1 to 255, and 32 hexadecimal digits or more"
-        for at, address in enumerate(self.peers):
-            if not ipv4(address):
-                yield ("peers", at), f"expected an IPv4 address and port, got {str(address)!r}"
-        for key in ("listen", "seen_at"):
-            if getattr(self, key) is not None and not ipv4(getattr(self, key)):
-                yield key, f"expected an IPv4 address and port, got {str(getattr(self, key))!r}"
-        if not 50 * MS <= self.period <= 60 * S:
+        for position, peer in enumerate(self.peers):
+            if not is_ipv4(peer):
+                yield ("peers", position), f"expected an IPv4 address and port, got {str(peer)!r}"
+        for key, address in (("listen", self.listen), ("seen_at", self.seen_at)):
+            if address is not None and not is_ipv4(address):
+                yield key, f"expected an IPv4 address and port, got {str(address)!r}"
+        if not MIN_PERIOD <= self.period <= MAX_PERIOD:
             yield "period", "lies between 50ms and 1m"
-        if self.most_per_s < 4:
+        if self.most_per_s < MIN_DATAGRAMS_PER_S:
             yield "most_per_s", "less than 4 leaves no room for pings and their answers"
 
-    def resolved(self, name):
-        """What `net.peers` is made of."""
+    def resolved(self, name: str) -> MembershipSettings:
+        """What `net.peers` is made of, for the gateway of this name."""
         listen = self.listen.pair
         return MembershipSettings(
-            name,
-            listen,
-            self.seen_at.pair if self.seen_at else listen,
-            [address.pair for address in self.peers],
-            {int(number): bytes.fromhex(text) for number, text in self.keys.items()},
-            int(self.period),
-            float(self.most_per_s),
-            self.share_probes,
+            name=name,
+            listen=listen,
+            seen_at=self.seen_at.pair if self.seen_at else listen,
+            peers=[address.pair for address in self.peers],
+            keys={int(number): bytes.fromhex(text) for number, text in self.keys.items()},
+            period=int(self.period),
+            most_per_s=float(self.most_per_s),
+            share_probes=self.share_probes,
         )
 
 
 class MembershipSettings(Struct):
+    """A gateway's membership with every address and key read."""
+
     name: str
     listen: tuple[str, int]
     seen_at: tuple[str, int]
     peers: list[tuple[str, int]]
     keys: dict[int, bytes]
-    period: int
-    most_per_s: float
+    period: int  # microseconds
+    most_per_s: float  # datagrams sent
     share_probes: bool
 
 
-def ipv4(address):
+def _is_key(number: str, text: str) -> bool:
+    """Whether a key's number and its hexadecimal text can be used."""
+    try:
+        is_number = number.isdecimal() and 0 < int(number) <= MAX_KEY_NUMBER
+        return is_number and len(bytes.fromhex(text)) >= MIN_KEY_BYTES
+    except ValueError:
+        return False
+
+
+def is_ipv4(address: str) -> bool:
+    """Whether the host of host:port is an IPv4 address."""
     parts = address.rpartition(":")[0].split(".")
     return len(parts) == 4 and all(part.isdecimal() and int(part) < 256 for part in parts)
 
@@ -99,46 +122,70 @@
     checks: Checks | None = None  # answering external authorisation over gRPC
     authorisers: list[Authoriser] = field(default_factory=list)  # asked before the first delivery
 
-    def faults(self):
+    def faults(self) -> Iterator[KeyFault]:
+        """(key, text) for what is wrong with the fields together."""
         try:
             int(self.seed, 16)
         except ValueError:
             yield "seed", f"not a hexadecimal number: {self.seed!r}"
-        for what in ("operations", "plans"):
-            names = [each.name for each in getattr(self, what)]
-            if not names:
-                yield what, "at least one is needed"
-            for at, name in enumerate(names):
-                if name in names[:at]:
-                    yield (what, at, "name"), f"{name!r} is named twice"
-        for at, op in enumerate(self.operations):
-            if op.timeout < op.objective:
-                yield ("operations", at, "timeout"), "is shorter than the objective"
-        for at, plan in enumerate(self.plans):
-            if not plan.rate and not plan.most_out:
-                yield ("plans", at), "needs a rate, or most_out, or both"
-            if plan.rate and plan.burst <= 0:
-                yield ("plans", at, "burst"), "with a rate, some units have to be usable at once"
-            if plan.ceiling_rate and plan.ceiling_burst <= 0:
-                yield ("plans", at, "ceiling_burst"), "with a ceiling, some units have to be usable at once"
-        known = {"operations": {op.name for op in self.operations}, "plans": {p.name for p in self.plans}}
-        for at, each in enumerate(self.authorisers):
-            if each.name in [other.name for other in self.authorisers[:at]]:
-                yield ("authorisers", at, "name"), f"{each.name!r} is named twice"
-            for what, names in known.items():
-                for name in getattr(each, what):
-                    if name not in names:
-                        yield ("authorisers", at, what), f"none is named {name!r}"
-        for at, op in enumerate(self.operations):
-            budget = sum(a.budget for a in self.authorisers if not a.operations or op.name in a.operations)
-            if budget * S > op.objective / 2:
-                yield (
-                    ("operations", at, "objective"),
-                    (f"its authorisers may take {budget:g} s of it together, more than half"),
-                )
+        yield from _list_faults("operations", [operation.name for operation in self.operations])
+        yield from _list_faults("plans", [plan.name for plan in self.plans])
+        for position, operation in enumerate(self.operations):
+            if operation.timeout < operation.objective:
+                yield ("operations", position, "timeout"), "is shorter than the objective"
+        for position, plan in enumerate(self.plans):
+            yield from _plan_faults(position, plan)
+        yield from self._authoriser_faults()
+        yield from self._objective_faults()
         if self.fleet.number >= self.fleet.gateways:
             yield ("fleet", "number"), f"there are {self.fleet.gateways} gateways, numbered from 0"
         if self.counter.allowed and self.counter_at is None:
             yield "counter_at", "the counter may be used, but nothing says where it is"
         if not self.backends.idle_close:
             yield ("backends", "idle_close"), "has to be told: connections are closed before it"
+
+    def _authoriser_faults(self) -> Iterator[KeyFault]:
+        """Authorisers have names of their own, and name operations and plans that there are."""
+        operations = {operation.name for operation in self.operations}
+        plans = {plan.name for plan in self.plans}
+        names: list[str] = []
+        for position, authoriser in enumerate(self.authorisers):
+            if authoriser.name in names:
+                yield ("authorisers", position, "name"), f"{authoriser.name!r} is named twice"
+            names.append(authoriser.name)
+            for name in authoriser.operations:
+                if name not in operations:
+                    yield ("authorisers", position, "operations"), f"none is named {name!r}"
+            for name in authoriser.plans:
+                if name not in plans:
+                    yield ("authorisers", position, "plans"), f"none is named {name!r}"
+
+    def _objective_faults(self) -> Iterator[KeyFault]:
+        """An operation's authorisers together take no more than half of its latency objective."""
+        for position, operation in enumerate(self.operations):
+            asked = [
+                each for each in self.authorisers if not each.operations or operation.name in each.operations
+            ]
+            budget_s = sum(authoriser.budget for authoriser in asked)
+            if budget_s * S > operation.objective / 2:
+                text = f"its authorisers may take {budget_s:g} s of it together, more than half"
+                yield ("operations", position, "objective"), text
+
+
+def _list_faults(key: str, names: list[str]) -> Iterator[KeyFault]:
+    """A list has an item at least, and no two of one name."""
+    if not names:
+        yield key, "at least one is needed"
+    for position, name in enumerate(names):
+        if name in names[:position]:
+            yield (key, position, "name"), f"{name!r} is named twice"
+
+
+def _plan_faults(position: int, plan: Plan) -> Iterator[KeyFault]:
+    """A plan limits something, and each of its rates lets some units through at once."""
+    if not plan.rate and not plan.most_out:
+        yield ("plans", position), "needs a rate, or most_out, or both"
+    if plan.rate and plan.burst <= 0:
+        yield ("plans", position, "burst"), "with a rate, some units have to be usable at once"
+    if plan.ceiling_rate and plan.ceiling_burst <= 0:
+        yield ("plans", position, "ceiling_burst"), "with a ceiling, some units have to be usable at once"
--- a/kestrelbend/gateway_settings/model.py
+++ b/kestrelbend/gateway_settings/model.py
@@ -1,4 +1,4 @@
-"""What a gateway is told, checked once: the terms that its decisions rest on, and where everything is.
+"""The settings of a gateway, checked once: the terms that its decisions rest on, and where everything is.
 
 There is one model.  A TOML file states it in these words; the platform's JSON and the simulator's wire state
 it in theirs, which `platform` turns into these.
@@ -6,24 +6,26 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from collections.abc import Iterator
+from typing import Annotated, Any, Literal
 
 from msgspec import Meta, Struct, field
 
-from .. import interface as i
+from .. import interface
 from .units import Microseconds, Fraction
 
 PositiveInt = Annotated[int, Meta(ge=1)]
 NonNegativeInt = Annotated[int, Meta(ge=0)]
 NonNegativeFloat = Annotated[float, Meta(ge=0)]
 PositiveFloat = Annotated[float, Meta(gt=0)]
-MS, S = 1000, 1_000_000
+MS = 1000  # microseconds
+S = 1_000_000  # microseconds
 EFFECTS = {
-    "idempotent": i.Effect.IDEMPOTENT,
-    "tokened": i.Effect.TOKENED,
-    "non-idempotent": i.Effect.NON_IDEMPOTENT,
+    "idempotent": interface.Effect.IDEMPOTENT,
+    "tokened": interface.Effect.TOKENED,
+    "non-idempotent": interface.Effect.NON_IDEMPOTENT,
 }
-SCOPES = {"all": i.Scope.ALL, "zone": i.Scope.ZONE, "group": i.Scope.GROUP}
+SCOPES = {"all": interface.Scope.ALL, "zone": interface.Scope.ZONE, "group": interface.Scope.GROUP}
 
 
 class Operation(Struct):
@@ -39,8 +41,9 @@
     streamed: bool = False
     worth: NonNegativeFloat = 1.0  # billed value, before the plan's price
 
-    def module(self):
-        return i.Operation(
+    def decision_terms(self) -> interface.Operation:
+        """The operation as the decisions take it; times in microseconds."""
+        return interface.Operation(
             name=self.name,
             effect=EFFECTS[self.effect],
             scope=SCOPES[self.scope],
@@ -68,8 +71,21 @@
     ceiling_burst: NonNegativeFloat = 0.0
     ceiling_slack: NonNegativeFloat = 0.0
 
-    def module(self, number=0):
-        return i.Plan(**{name: getattr(self, name) for name in Plan.__struct_fields__}, number=number)
+    def decision_terms(self, number: int = 0) -> interface.Plan:
+        """The plan as the decisions take it; `number` is its position among all."""
+        return interface.Plan(
+            name=self.name,
+            rate=self.rate,
+            burst=self.burst,
+            most_out=self.most_out,
+            price=self.price,
+            over_worth=self.over_worth,
+            over_cost=self.over_cost,
+            ceiling_rate=self.ceiling_rate,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+            number=number,
+        )
 
 
 class Fleet(Struct):
@@ -85,6 +101,8 @@
 
 
 class Backends(Struct):
+    """The backends: what they tell of themselves, and what a gateway may do to them."""
+
     reports: Literal["none", "probe", "answers"] = "none"  # where load reports come from
     report_fields: list[str] = field(default_factory=list)
     probing: bool = False
@@ -101,7 +119,8 @@
     fall: Microseconds = Microseconds(0)
     fall_multiple: PositiveFloat = 1.0
 
-    def faults(self):
+    def faults(self) -> Iterator[tuple[str, str]]:
+        """(key, text) for fields that do not go together."""
         if self.reports == "probe" and not self.probing:
             yield "reports", "come by probes, but probing is not allowed"
 
@@ -114,7 +133,7 @@
 
 
 class Use(Struct):
-    """How use is told of."""
+    """How clients are notified of their use."""
 
     most_units: NonNegativeFloat = 0.0  # of one invocation; 0: no limit
     metering: Microseconds = Microseconds(0)  # period of the use told in answers; 0: none is told
@@ -123,6 +142,8 @@
 
 
 class Terms(Struct):
+    """All that a gateway's decisions rest on."""
+
     fleet: Fleet = field(default_factory=Fleet)
     backends: Backends = field(default_factory=Backends)
     counter: Counter = field(default_factory=Counter)
@@ -130,37 +151,38 @@
     operations: list[Operation] = field(default_factory=list)
     plans: list[Plan] = field(default_factory=list)
 
-    def settings(self):
+    def settings(self) -> dict[str, Any]:
         """The plain map of names to values that the module picks from."""
-        b, f = self.backends, self.fleet
+        backends = self.backends
+        fleet = self.fleet
         return {
-            "operations": [op.module() for op in self.operations],
-            "plans": [p.module(n) for n, p in enumerate(self.plans)],
-            "load_fields": b.report_fields,
-            "load_reports": b.reports,
-            "must_subscribe": f.discovery == "asked",
+            "operations": [operation.decision_terms() for operation in self.operations],
+            "plans": [plan.decision_terms(number) for number, plan in enumerate(self.plans)],
+            "load_fields": backends.report_fields,
+            "load_reports": backends.reports,
+            "must_subscribe": fleet.discovery == "asked",
             "may_count": self.counter.allowed,
             "counter_timeout": int(self.counter.timeout),
             "most_units": self.use.most_units,
             "meter_period": int(self.use.metering),
-            "gateways": f.gateways,
-            "gateway": f.number,
-            "zone": f.zone,
-            "may_cancel": b.cancelling,
-            "may_probe": b.probing,
-            "second_copies": b.second_copies,
-            "most_deliveries": b.most_deliveries,
+            "gateways": fleet.gateways,
+            "gateway": fleet.number,
+            "zone": fleet.zone,
+            "may_cancel": backends.cancelling,
+            "may_probe": backends.probing,
+            "second_copies": backends.second_copies,
+            "most_deliveries": backends.most_deliveries,
             "may_advise": self.use.retry_after,
             "longest_retry_after": int(self.use.longest_retry_after),
-            "idle_close": int(b.idle_close),
-            "connect_timeout": int(b.connect_timeout),
-            "most_open": b.most_open,
-            "tick": int(f.tick),
-            "ask_within": int(f.ask_within),
-            "answer_slack": int(f.answer_slack),
-            "cold": int(b.cold),
-            "cold_from": float(b.cold_from),
-            "drain_grace": int(b.drain_grace),
-            "fall": int(b.fall),
-            "fall_multiple": b.fall_multiple,
+            "idle_close": int(backends.idle_close),
+            "connect_timeout": int(backends.connect_timeout),
+            "most_open": backends.most_open,
+            "tick": int(fleet.tick),
+            "ask_within": int(fleet.ask_within),
+            "answer_slack": int(fleet.answer_slack),
+            "cold": int(backends.cold),
+            "cold_from": float(backends.cold_from),
+            "drain_grace": int(backends.drain_grace),
+            "fall": int(backends.fall),
+            "fall_multiple": backends.fall_multiple,
         }
--- a/kestrelbend/gateway_settings/platform.py
+++ b/kestrelbend/gateway_settings/platform.py
@@ -8,10 +8,20 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Callable, Iterable, Iterator, Mapping
+from typing import Any, TypeVar
 
 from .model import Terms
 from .toml_files import convert, dotted
-from .units import Microseconds, Fraction
+from .toml_lines import Path
+from .units import Fraction, Microseconds
+
+Value = TypeVar("Value")
+Pairs = Mapping[str, str]
+"""The platform's settings: values as text by dotted path."""
+
+ABSENT = ("-", "")  # as the wire writes what is not stated
+MICROSECONDS_OF_MS = 1000
 
 EFFECTS = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
 SCOPES = {"all": "all", "zone": "zone", "cell": "group"}
@@ -33,11 +43,13 @@
 
 
 class Malformed(Exception):
-    """What the other side sent is not in its form."""
+    """What the other side sent is not in its form; the text names the path and what is wrong there."""
 
 
-def one_of(table, what):
-    def read(text):
+def one_of(table: Mapping[str, Value], what: str) -> Callable[[str], Value]:
+    """A reader of one of a few words; it raises `ValueError`, which says `what` is unknown."""
+
+    def read(text: str) -> Value:
         try:
             return table[text]
         except KeyError:
@@ -46,84 +58,97 @@
     return read
 
 
-def number(text):
+def number(text: str) -> float:
+    """A finite number; raises `ValueError`."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"not a finite number: {text!r}")
     return value
 
 
-def micros(text):
-    return round(number(text) * 1000)
+def micros(text: str) -> int:
+    """Microseconds, from text in milliseconds; raises `ValueError`."""
+    return round(number(text) * MICROSECONDS_OF_MS)
 
 
-def span(text):
+def read_time(text: str) -> Microseconds:
+    """As `micros`, in the model's type."""
     return Microseconds(micros(text))
 
 
-def share(text):
+def read_fraction(text: str) -> Fraction:
+    """A part of a whole, 0 to 1."""
     return Fraction(number(text))
 
 
-def yes(text):
+def read_flag(text: str) -> bool:
+    """True or false; raises `ValueError`."""
     if text not in ("true", "false", "1", "0"):
         raise ValueError(f"neither true nor false: {text!r}")
     return text in ("true", "1")
 
 
-def loads(text):
+def read_load_fields(text: str) -> list[str]:
+    """The names of load reports' fields, in the model's words; unknown ones stay."""
     return [LOADS.get(name, name) for name in text.split(",")]
 
 
-def how(text):
+def read_report_source(text: str) -> str:
+    """Where load reports come from."""
     return text if text in ("probe", "answers") else "none"
 
 
-def asked(text):
+def read_discovery_mode(text: str) -> str:
+    """Whether changes of backends come by themselves."""
     return "asked" if text == "subscribe" else "pushed"
 
 
-NAMES = {
+Reader = Callable[[str], Any]
+"""Reads a value's text; raises `ValueError`."""
+
+NAMES: dict[tuple[str, str], tuple[str, Reader]] = {
     ("fleet", "gateways"): ("instances", int),
     ("fleet", "number"): ("index", int),
     ("fleet", "zone"): ("myZone", str),
-    ("fleet", "discovery"): ("discovery", asked),
-    ("fleet", "ask_within"): ("rules.askWithin", span),
-    ("fleet", "tick"): ("tick", span),
-    ("fleet", "answer_slack"): ("rules.answerSlack", span),
-    ("backends", "reports"): ("feedback.how", how),
-    ("backends", "report_fields"): ("feedback.fields", loads),
-    ("backends", "probing"): ("policyLimits.probing", yes),
-    ("backends", "cancelling"): ("policyLimits.cancelling", yes),
-    ("backends", "second_copies"): ("policyLimits.mayDuplicate", yes),
+    ("fleet", "discovery"): ("discovery", read_discovery_mode),
+    ("fleet", "ask_within"): ("rules.askWithin", read_time),
+    ("fleet", "tick"): ("tick", read_time),
+    ("fleet", "answer_slack"): ("rules.answerSlack", read_time),
+    ("backends", "reports"): ("feedback.how", read_report_source),
+    ("backends", "report_fields"): ("feedback.fields", read_load_fields),
+    ("backends", "probing"): ("policyLimits.probing", read_flag),
+    ("backends", "cancelling"): ("policyLimits.cancelling", read_flag),
+    ("backends", "second_copies"): ("policyLimits.mayDuplicate", read_flag),
     ("backends", "most_deliveries"): ("policyLimits.tryLimit", int),
     ("backends", "most_open"): ("policyLimits.maxOpen", int),
-    ("backends", "idle_close"): ("policyLimits.idleClose", span),
-    ("backends", "connect_timeout"): ("policyLimits.connectTimeout", span),
-    ("backends", "cold"): ("rules.cold", span),
-    ("backends", "cold_from"): ("rules.coldFrom", share),
-    ("backends", "drain_grace"): ("rules.drainGrace", span),
-    ("backends", "fall"): ("rules.fall", span),
+    ("backends", "idle_close"): ("policyLimits.idleClose", read_time),
+    ("backends", "connect_timeout"): ("policyLimits.connectTimeout", read_time),
+    ("backends", "cold"): ("rules.cold", read_time),
+    ("backends", "cold_from"): ("rules.coldFrom", read_fraction),
+    ("backends", "drain_grace"): ("rules.drainGrace", read_time),
+    ("backends", "fall"): ("rules.fall", read_time),
     ("backends", "fall_multiple"): ("rules.fallMultiple", number),
-    ("counter", "allowed"): ("familyInfo.mayCount", yes),
-    ("counter", "timeout"): ("familyInfo.countWait", span),
+    ("counter", "allowed"): ("familyInfo.mayCount", read_flag),
+    ("counter", "timeout"): ("familyInfo.countWait", read_time),
     ("use", "most_units"): ("familyInfo.mostUnits", number),
-    ("use", "metering"): ("familyInfo.metering", span),
-    ("use", "longest_retry_after"): ("policyLimits.maxRetryAfter", span),
-    ("use", "retry_after"): ("policyLimits.retryAfter", yes),
+    ("use", "metering"): ("familyInfo.metering", read_time),
+    ("use", "longest_retry_after"): ("policyLimits.maxRetryAfter", read_time),
+    ("use", "retry_after"): ("policyLimits.retryAfter", read_flag),
 }
-ROWS = {
+"""By the model's path: the platform's path, and what reads the value."""
+
+ROWS: dict[str, tuple[str, dict[str, tuple[str, Reader]]]] = {
     "operations": (
         "classes",
         {
             "name": ("name", str),
             "effect": ("effect", one_of(EFFECTS, "effect")),
             "scope": ("keyScope", one_of(SCOPES, "scope")),
-            "memory": ("keyTtl", span),
-            "objective": ("objective", span),
-            "timeout": ("deadline", span),
-            "late_worth": ("lateWorth", share),
-            "streamed": ("streaming", yes),
+            "memory": ("keyTtl", read_time),
+            "objective": ("objective", read_time),
+            "timeout": ("deadline", read_time),
+            "late_worth": ("lateWorth", read_fraction),
+            "streamed": ("streaming", read_flag),
             "worth": ("worth", number),
         },
     ),
@@ -143,58 +168,83 @@
         },
     ),
 }
+"""By the model's list: the platform's list, and per field of the model the platform's column and reader."""
 
 
-def flatten(value, path=""):
+def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
     """Nested JSON as the same path=value pairs that the wire has."""
     if isinstance(value, dict):
-        rows = value.items()
+        yield from _flatten_rows(value.items(), path)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
         yield f"{path}.count", str(len(value))
-        rows = enumerate(value)
+        yield from _flatten_rows(enumerate(value), path)
+    elif isinstance(value, list):
+        yield path, ",".join(map(str, value))
+    elif value is None:
+        yield path, "-"
+    elif isinstance(value, bool):
+        yield path, "true" if value else "false"
     else:
-        if value is None or isinstance(value, bool):
-            value = {None: "-", True: "true", False: "false"}[value]
-        yield path, ",".join(map(str, value)) if isinstance(value, list) else str(value)
-        return
+        yield path, str(value)
+
+
+def _flatten_rows(rows: Iterable[tuple[object, object]], path: str) -> Iterator[tuple[str, str]]:
     for name, part in rows:
         yield from flatten(part, f"{path}.{name}" if path else str(name))
 
 
-def stated(pairs):
-    """(what the pairs state, in the model's words; by its path in the model, the platform's)."""
-    made, paths = {}, {}
-
-    def put(place, path, read, into):
-        text = pairs.get(path, "-")
-        paths[place] = path
-        if text not in ("-", ""):
-            try:
-                into[place[-1]] = read(text)
-            except (ValueError, OverflowError) as trouble:
-                raise Malformed(f"settings: {path}: {trouble}") from None
-
-    for place, (path, read) in NAMES.items():
-        put(place, path, read, made.setdefault(place[0], {}))
-    for place, (path, columns) in ROWS.items():
-        count = {}
-        put((place, "count"), f"{path}.count", int, count)
-        made[place] = [{"name": ""} for _ in range(count.get("count", 0))]
-        for at, row in enumerate(made[place]):
-            for name, (column, read) in columns.items():
-                put((place, at, name), f"{path}.{at}.{column}", read, row)
-    return made, paths
-
-
-def terms(pairs):
-    made, paths = stated(pairs)
-    model, faults = convert(Terms, made, together=False)  # what the platform states, it answers for
-    if faults:
+class _Reading:
+    """The terms that the platform's pairs state, in the model's words."""
+
+    def __init__(self, pairs: Pairs) -> None:
+        self._pairs = pairs
+        self.values: dict[str, Any] = {}
+        self.paths: dict[Path, str] = {}  # the platform's, by the model's
+
+    def read_all(self) -> None:
+        """Reads every value that the tables name; raises `Malformed` at the first that can't be read."""
+        for model_path, (path, read) in NAMES.items():
+            section = self.values.setdefault(model_path[0], {})
+            self._read(model_path, path, read, section)
+        for name, (path, columns) in ROWS.items():
+            self.values[name] = self._read_rows(name, path, columns)
+
+    def _read_rows(
+        self, name: str, path: str, columns: dict[str, tuple[str, Reader]]
+    ) -> list[dict[str, Any]]:
+        stated: dict[str, int] = {}
+        self._read((name, "count"), f"{path}.count", int, stated)
+        rows: list[dict[str, Any]] = [{"name": ""} for _ in range(stated.get("count", 0))]
+        for position, row in enumerate(rows):
+            for field, (column, read) in columns.items():
+                self._read((name, position, field), f"{path}.{position}.{column}", read, row)
+        return rows
+
+    def _read(self, model_path: Path, path: str, read: Reader, into: dict[str, Any]) -> None:
+        """Reads one value into the last key of its path in the model, where it is stated."""
+        text = self._pairs.get(path, "-")
+        self.paths[model_path] = path
+        if text in ABSENT:
+            return
+        try:
+            into[str(model_path[-1])] = read(text)
+        except (ValueError, OverflowError) as error:
+            raise Malformed(f"settings: {path}: {error}") from None
+
+
+def terms(pairs: Pairs) -> Terms:
+    """The terms that the platform states; raises `Malformed` with the first fault, under its own name."""
+    reading = _Reading(pairs)
+    reading.read_all()
+    # Its fields are not looked at beside one another: what the platform states, it answers for.
+    model, faults = convert(Terms, reading.values, together=False)
+    if faults or model is None:
         first = faults[0]
-        raise Malformed(f"settings: {paths.get(first.path, dotted(first.path))}: {first.text}")
+        path = reading.paths.get(first.path, dotted(first.path))
+        raise Malformed(f"settings: {path}: {first.text}")
     return model
 
 
-def settings(pairs):
-    """The map of names to values that the module gets."""
+def settings(pairs: Pairs) -> dict[str, Any]:
+    """The map of names to values that the module gets; raises `Malformed`."""
     return terms(pairs).settings()
--- a/kestrelbend/gateway_settings/toml_files.py
+++ b/kestrelbend/gateway_settings/toml_files.py
@@ -3,171 +3,227 @@
 msgspec's own conversion ends at the first fault.  Here each value is converted by itself, so that a person
 who wrote a file sees everything in one go, each fault with its line and key.  A model may have
 `faults(self)`, which yields (key, text) for what only shows when its fields are looked at together.
+
+Invariant: `convert` gives an instance without faults, or faults; an instance with faults is not to be used.
 """
 
 from __future__ import annotations
 
 import types
 import typing
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import Any, TypeGuard, TypeVar
 
 import msgspec
 
 from . import units
+from .toml_lines import Path
+
+Model = TypeVar("Model", bound=msgspec.Struct)
+Converted = tuple[Any, "list[Fault]"]
+"""What a value became, and its faults; None where it became nothing."""
+
+NAME_SIMILARITY = 0.5  # from which on a known name is suggested for an unknown one, see `difflib`
+KIND_NAMES = {
+    dict: "a table",
+    list: "a list",
+    str: "text",
+    bool: "true or false",
+    int: "a number",
+    float: "a number",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    path: tuple
+    """What is wrong with one key; `line` is 0 where the file's lines are not known."""
+
+    path: Path
     text: str
     line: int = 0
 
-    def __str__(self):
-        return f"line {self.line}: " * bool(self.line) + f"{dotted(self.path)}: {self.text}"
+    def __str__(self) -> str:
+        place = f"line {self.line}: " if self.line else ""
+        return f"{place}{dotted(self.path)}: {self.text}"
 
 
 class InvalidFile(Exception):
     """A file that cannot be used; `faults` in the order of their lines."""
 
-    def __init__(self, name, faults):
-        self.name, self.faults = name, faults
+    def __init__(self, name: str, faults: list[Fault]) -> None:
+        self.name = name
+        self.faults = faults
         super().__init__("\n".join(f"{name}: {fault}" for fault in faults))
 
 
-def dotted(path):
+def dotted(path: Path) -> str:
+    """A path as a person writes it: `operations[1].scope`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
     return text or "the file"
 
 
-def read_toml(path, model):
+def read_toml(path: str, model: type[Model]) -> Model:
     """The model that a TOML file states; raises `InvalidFile` with all its faults."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as trouble:
-        raise InvalidFile(path, [Fault((), str(trouble))]) from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise InvalidFile(path, [Fault((), str(error))]) from None
     return parse_toml(text, model, path)
 
 
-def parse_toml(text, model, name="configuration"):
+def parse_toml(text: str, model: type[Model], name: str = "configuration") -> Model:
+    """The model that a text states; raises `InvalidFile` with all its faults, under the file's `name`."""
     import tomllib  # not at the top: a gateway told by JSON starts without them
 
     from . import toml_lines
 
     try:
         given = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as trouble:
-        raise InvalidFile(name, [Fault((), f"not TOML: {trouble}")]) from None
-    found = toml_lines.key_lines(text)
+    except tomllib.TOMLDecodeError as error:
+        raise InvalidFile(name, [Fault((), f"not TOML: {error}")]) from None
     made, faults = convert(model, given)
-    if faults:
-        placed = [Fault(f.path, f.text, toml_lines.line_of(found, f.path)) for f in faults]
-        raise InvalidFile(name, sorted(placed, key=lambda f: (f.line, str(f.path))))
+    if faults or made is None:
+        found = toml_lines.key_lines(text)
+        located = [Fault(f.path, f.text, toml_lines.line_of(found, f.path)) for f in faults]
+        raise InvalidFile(name, sorted(located, key=lambda fault: (fault.line, str(fault.path))))
     return made
 
 
-def convert(model, given, path=(), together=True):
-    """(an instance or None, faults) for a struct and the mapping that states it; `together`: its fields are
-    also looked at beside one another."""
+def convert(
+    model: type[Model], given: object, path: Path = (), together: bool = True
+) -> tuple[Model | None, list[Fault]]:
+    """(an instance or None, faults) for a struct and the mapping that states it.
+
+    `together`: its fields are also looked at beside one another, by the model's own `faults`.
+    """
     if not isinstance(given, dict):
-        return None, [Fault(path, f"expected a table, got {kind(given)}")]
+        return None, [Fault(path, f"expected a table, got {kind_name(given)}")]
     fields = {field.encode_name: field for field in msgspec.structs.fields(model)}
-    values, faults = {}, []
     tag = model.__struct_config__.tag_field
-    for key in given:
-        if key not in fields and key != tag:
-            faults.append(Fault((*path, key), unknown("key", key, fields)))
+    unexpected = [key for key in given if key not in fields and key != tag]
+    faults = [Fault((*path, key), unknown("key", key, fields)) for key in unexpected]
+    values: dict[str, Any] = {}
     for key, field in fields.items():
         if key in given:
-            value, wrong = one(field.type, given[key], (*path, key), together)
+            value, value_faults = convert_value(field.type, given[key], (*path, key), together)
             values[field.name] = value
-            faults += wrong
+            faults += value_faults
         elif field.required:
             faults.append(Fault(path, f"{key} is missing"))
     if faults:
         return None, faults
     made = model(**values)
-    for key, text in getattr(made, "faults", tuple)() if together else ():
-        faults.append(Fault((*path, *key) if isinstance(key, tuple) else (*path, key), text))
+    if together:
+        faults = _faults_between(made, path)
     return made, faults
 
 
-def one(wanted, given, path, together=True):
+def _faults_between(made: msgspec.Struct, path: Path) -> list[Fault]:
+    """What the model itself finds wrong with its fields together."""
+    check = getattr(made, "faults", None)
+    if check is None:
+        return []
+    return [Fault((*path, *key) if isinstance(key, tuple) else (*path, key), text) for key, text in check()]
+
+
+def convert_value(wanted: Any, given: object, path: Path, together: bool = True) -> Converted:
     """One value of a type: structs, lists and mappings of them and tagged unions are walked into."""
-    if typing.get_origin(wanted) is typing.Annotated and isstruct(typing.get_args(wanted)[0]):
+    if typing.get_origin(wanted) is typing.Annotated and is_struct(typing.get_args(wanted)[0]):
         wanted = typing.get_args(wanted)[0]
-    origin, args = typing.get_origin(wanted), typing.get_args(wanted)
-    if isstruct(wanted):
+    origin = typing.get_origin(wanted)
+    arguments = typing.get_args(wanted)
+    if is_struct(wanted):
         return convert(wanted, given, path, together)
-    if origin in (list, tuple) and holds_structs(args[0]):
-        if not isinstance(given, list):
-            return None, [Fault(path, f"expected a list, got {kind(given)}")]
-        pairs = [one(args[0], each, (*path, at), together) for at, each in enumerate(given)]
-        return [made for made, _ in pairs], [fault for _, wrong in pairs for fault in wrong]
-    if origin is dict and holds_structs(args[1]) and isinstance(given, dict):
-        pairs = {key: one(args[1], each, (*path, key), together) for key, each in given.items()}
-        return {k: made for k, (made, _) in pairs.items()}, [f for _, wrong in pairs.values() for f in wrong]
-    if origin in (typing.Union, types.UnionType) and any(map(isstruct, args)):
-        return tagged([arg for arg in args if isstruct(arg)], given, path)
+    if origin in (list, tuple) and holds_structs(arguments[0]):
+        return _convert_list(arguments[0], given, path, together)
+    if origin is dict and holds_structs(arguments[1]) and isinstance(given, dict):
+        return _convert_mapping(arguments[1], given, path, together)
+    if origin in (typing.Union, types.UnionType) and any(map(is_struct, arguments)):
+        return _convert_tagged([each for each in arguments if is_struct(each)], given, path)
     try:
-        return msgspec.convert(given, wanted, dec_hook=hook), []
-    except (msgspec.ValidationError, ValueError) as trouble:
-        return None, [Fault(path, plain(trouble))]
+        return msgspec.convert(given, wanted, dec_hook=_read_unit), []
+    except (msgspec.ValidationError, ValueError) as error:
+        return None, [Fault(path, _plain(error))]
+
+
+def _convert_list(item: Any, given: object, path: Path, together: bool) -> Converted:
+    if not isinstance(given, list):
+        return None, [Fault(path, f"expected a list, got {kind_name(given)}")]
+    values: list[Any] = []
+    faults: list[Fault] = []
+    for position, each in enumerate(given):
+        value, value_faults = convert_value(item, each, (*path, position), together)
+        values.append(value)
+        faults += value_faults
+    return values, faults
+
+
+def _convert_mapping(item: Any, given: dict[str, Any], path: Path, together: bool) -> Converted:
+    values: dict[str, Any] = {}
+    faults: list[Fault] = []
+    for key, each in given.items():
+        values[key], value_faults = convert_value(item, each, (*path, key), together)
+        faults += value_faults
+    return values, faults
 
 
-def tagged(models, given, path):
+def _convert_tagged(models: list[type[msgspec.Struct]], given: object, path: Path) -> Converted:
     """The struct of a union that the given table names by its tag."""
     if len(models) == 1:
         return convert(models[0], given, path)
-    name = models[0].__struct_config__.tag_field
+    tag_field = models[0].__struct_config__.tag_field
+    if tag_field is None:
+        raise TypeError(f"{models[0].__name__} is one of several and has no tag")
     by_tag = {model.__struct_config__.tag: model for model in models}
     if not isinstance(given, dict):
-        return None, [Fault(path, f"expected a table, got {kind(given)}")]
-    if name not in given:
-        return None, [Fault(path, f"{name} is missing: one of {', '.join(sorted(by_tag))}")]
-    if given[name] not in by_tag:
-        return None, [Fault((*path, name), unknown(name, given[name], by_tag))]
-    return convert(by_tag[given[name]], given, path)
+        return None, [Fault(path, f"expected a table, got {kind_name(given)}")]
+    if tag_field not in given:
+        choice = ", ".join(sorted(map(str, by_tag)))
+        return None, [Fault(path, f"{tag_field} is missing: one of {choice}")]
+    if given[tag_field] not in by_tag:
+        return None, [Fault((*path, tag_field), unknown(tag_field, given[tag_field], map(str, by_tag)))]
+    return convert(by_tag[given[tag_field]], given, path)
 
 
-def hook(wanted, value):
+def _read_unit(wanted: type, value: object) -> object:
+    """A value of a type of `units`, as msgspec asks for it."""
     reader = units.READERS.get(wanted)
     if reader is None:
         raise NotImplementedError(f"no reader for {wanted}")
     return reader(value)
 
 
-def isstruct(wanted):
+def is_struct(wanted: object) -> TypeGuard[type[msgspec.Struct]]:
+    """Whether a type is a struct."""
     return isinstance(wanted, type) and issubclass(wanted, msgspec.Struct)
 
 
-def holds_structs(wanted):
-    return isstruct(wanted) or any(map(isstruct, typing.get_args(wanted)))
+def holds_structs(wanted: object) -> bool:
+    """Whether a type is a struct or is made of some."""
+    return is_struct(wanted) or any(map(is_struct, typing.get_args(wanted)))
 
 
-def kind(value):
-    return {
-        dict: "a table",
-        list: "a list",
-        str: "text",
-        bool: "true or false",
-        int: "a number",
-        float: "a number",
-    }.get(type(value), type(value).__name__)
+def kind_name(given: object) -> str:
+    """What a value is, in a person's words."""
+    return KIND_NAMES.get(type(given), type(given).__name__)
 
 
-def unknown(what, given, known):
-    import difflib
+def unknown(what: str, given: object, known: Iterable[str] | Mapping[str, Any]) -> str:
+    """The text of a fault: a name that isn't known, with the nearest one or all that are."""
+    import difflib  # not at the top, as `tomllib`
 
-    near = difflib.get_close_matches(str(given), known, 1, 0.5)
-    return f"unknown {what} {given!r}" + (
-        f"; did you mean {near[0]!r}?" if near else f"; known are {', '.join(sorted(known))}"
-    )
+    names = list(known)
+    near = difflib.get_close_matches(str(given), names, 1, NAME_SIMILARITY)
+    if near:
+        return f"unknown {what} {given!r}; did you mean {near[0]!r}?"
+    return f"unknown {what} {given!r}; known are {', '.join(sorted(names))}"
 
 
-def plain(trouble):
+def _plain(error: Exception) -> str:
     """msgspec says where within the value a fault is; the path says the rest."""
-    text = str(trouble)
+    text = str(error)
     return text[:1].lower() + text[1:].replace("`", "").removesuffix(" - at $")
--- a/kestrelbend/gateway_settings/units.py
+++ b/kestrelbend/gateway_settings/units.py
@@ -8,6 +8,7 @@
 
 import math
 import re
+from collections.abc import Callable
 
 TIMES = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 SIZES = {
@@ -20,6 +21,7 @@
     "MiB": 1 << 20,
     "GiB": 1 << 30,
 }
+MAX_DIGITS = 15  # before the point; more lose their last ones as a float
 QUANTITY = re.compile(r"\s*([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)\s*\Z")
 
 
@@ -39,23 +41,27 @@
     """host:port."""
 
     @property
-    def pair(self):
+    def pair(self) -> tuple[str, int]:
+        """The host and the port."""
         host, _, port = self.rpartition(":")
         return host, int(port)
 
 
-def quantity(text, units, example):
+def quantity(text: str, units: dict[str, int], example: str) -> int:
+    """A number with its unit, in the smallest unit; raises `ValueError`, which shows the `example`."""
     match = QUANTITY.match(text)
     if match is None or match[2] not in units:
         raise ValueError(f"expected text as in {example}, in one of {', '.join(units)}; got {text!r}")
-    whole, _, parts = match[1].partition(".")
-    if len(whole) > 15:
+    integer, _, decimals = match[1].partition(".")
+    if len(integer) > MAX_DIGITS:
         raise ValueError(f"too large: {text!r}")
-    return round(float(match[1]) * units[match[2]]) if parts else int(whole) * units[match[2]]
+    if decimals:
+        return round(float(match[1]) * units[match[2]])
+    return int(integer) * units[match[2]]
 
 
-def micros(value):
-    """A span as text with its unit; 0 needs none."""
+def micros(value: object) -> Microseconds:
+    """A time as text with its unit; 0 needs none.  Raises `ValueError`."""
     if isinstance(value, Microseconds):
         return value
     if isinstance(value, str):
@@ -65,7 +71,8 @@
     raise ValueError(f'a time needs its unit, as in "250ms"; got {value!r}')
 
 
-def octets(value):
+def byte_size(value: object) -> ByteSize:
+    """A size as a number of bytes or as text with its unit.  Raises `ValueError`."""
     if isinstance(value, str):
         return ByteSize(quantity(value, SIZES, '"64MiB"'))
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
@@ -73,7 +80,8 @@
     raise ValueError(f'a size is a number of bytes or text as in "64MiB"; got {value!r}')
 
 
-def share(value):
+def fraction(value: object) -> Fraction:
+    """A part of a whole as a number or as text with a per cent sign.  Raises `ValueError`."""
     if isinstance(value, str) and value.rstrip().endswith("%"):
         try:
             value = float(value.rstrip()[:-1]) / 100
@@ -86,11 +94,18 @@
     raise ValueError(f'a share is 0 to 1 or text as in "20%"; got {value!r}')
 
 
-def address(value):
+def address(value: object) -> Address:
+    """host:port.  Raises `ValueError`."""
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f'an address is host:port, as in "10.0.0.4:8081"; got {value!r}')
     return Address(value)
 
 
-READERS = {Microseconds: micros, ByteSize: octets, Fraction: share, Address: address}
+READERS: dict[type, Callable[[object], object]] = {
+    Microseconds: micros,
+    ByteSize: byte_size,
+    Fraction: fraction,
+    Address: address,
+}
+"""What reads a value of each type."""
