--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -123,7 +123,7 @@
 
         self.play(story)
 
-    def test_given_a_refused_word_when_it_is_no_news_any_more_then_it_is_still_not_acknowledged(self):
+    def test_given_a_rejected_report_when_it_changes_nothing_any_more_then_it_is_still_not_acknowledged(self):
         async def story():
             self.in_contact = False
             await self.drain(2)
@@ -135,7 +135,7 @@
 
         self.play(story)
 
-    def test_given_contact_that_comes_back_soon_then_the_word_is_acknowledged_in_time(self):
+    def test_given_contact_that_comes_back_soon_then_the_report_is_acknowledged_in_time(self):
         async def story():
             self.in_contact = False
             asyncio.get_running_loop().call_later(0.3, setattr, self, "in_contact", True)
@@ -154,7 +154,7 @@
 
         self.play(story)
 
-    def test_given_a_peer_that_missed_the_news_then_it_is_told_again_before_the_answer(self):
+    def test_given_a_peer_that_missed_the_update_then_it_is_notified_again_before_the_answer(self):
         async def story():
             self.peers = [self.near]
             self.near.delay = None
@@ -165,7 +165,7 @@
 
         self.play(story)
 
-    def test_given_a_peer_that_answers_too_late_then_the_news_is_left_on_its_connection(self):
+    def test_given_a_peer_that_answers_too_late_then_the_update_is_left_on_its_connection(self):
         async def story():
             self.far.delay = None
             await self.drain()
@@ -174,7 +174,7 @@
 
         self.play(story)
 
-    def test_given_a_word_that_a_majority_holds_then_its_repeats_wait_for_nobody(self):
+    def test_given_a_report_that_a_majority_holds_then_its_repeats_wait_for_nobody(self):
         async def story():
             await self.drain(2)
             self.near.delay = self.far.delay = None
@@ -194,7 +194,7 @@
 
         self.play(story)
 
-    def test_given_plain_heartbeats_then_they_are_spread_together_later(self):
+    def test_given_plain_heartbeats_then_they_are_published_together_later(self):
         async def story():
             await self.heartbeat()
             published = len(self.near.updates)
@@ -206,7 +206,7 @@
 
         self.play(story)
 
-    def test_given_what_another_node_told_then_it_is_not_told_on(self):
+    def test_given_an_update_of_another_node_then_it_is_not_forwarded(self):
         async def story():
             backend = read_report("i-9", READY)
             self.reports.merge([backend])
@@ -215,7 +215,7 @@
 
         self.play(story)
 
-    def test_given_a_gateway_that_does_not_answer_then_the_word_waits_for_it_only_so_long(self):
+    def test_given_a_gateway_that_does_not_answer_then_the_report_waits_for_it_only_so_long(self):
         async def story():
             gateway = Gateway()
             self.exchange.subscribe(gateway)
--- a/tests/tier/test_control_choice.py
+++ b/tests/tier/test_control_choice.py
@@ -1,4 +1,4 @@
-"""Which control nodes a process reports to, in calm times and as they fall silent and come back."""
+"""Which control nodes a process reports to, in calm times and as they become unresponsive and come back."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
             self.now += HEARTBEAT_S
             self.sequence += 1
             self.streams()
-            asked = self.reports()
+            chosen = self.reports()
             self.choice.sent(self.sequence, self.now)
-            for address in set(asked).intersection([*stable, *answering]):
+            for address in set(chosen).intersection([*stable, *answering]):
                 self.choice.answered(address, self.sequence, address in stable)
 
     def test_given_a_directory_then_this_zone_comes_first_and_unknown_seeds_last(self):
@@ -57,16 +57,16 @@
         self.assertEqual("10.9.9.9:7", order[-1])
         self.assertEqual(4, len(order))
 
-    def test_given_a_settled_node_in_this_zone_then_it_alone_is_chosen(self):
+    def test_given_a_stable_node_in_this_zone_then_it_alone_is_chosen(self):
         self.run_for(10.0, stable=[HERE, ELSEWHERE, FURTHER])
         self.assertEqual([HERE], self.streams())
 
-    def test_given_it_falls_silent_then_another_one_is_chosen_before_it_counts_as_dead(self):
+    def test_given_it_becomes_unresponsive_then_another_one_is_chosen_before_it_counts_as_dead(self):
         self.run_for(5.0, stable=[HERE])
         self.run_for(REPLY_VALIDITY_S + HEARTBEAT_S, stable=[ELSEWHERE, FURTHER])
         self.assertEqual(self.order[:2], self.streams())
 
-    def test_given_it_comes_back_and_has_not_settled_then_the_other_one_is_kept(self):
+    def test_given_it_comes_back_and_is_not_stable_then_the_other_one_is_kept(self):
         self.run_for(5.0, stable=[HERE])
         self.run_for(5.0, stable=[ELSEWHERE, FURTHER])
         self.run_for(5.0, stable=[ELSEWHERE, FURTHER], answering=[HERE])
--- a/tests/tier/test_control_store_facts.py
+++ b/tests/tier/test_control_store_facts.py
@@ -47,13 +47,13 @@
         noted = [decode_disk(order.body).replica for order in unknown_disks(self.state, members)]
         self.assertEqual(["e:1#x", "a:1#y"], noted)
 
-    def test_given_a_settled_group_told_by_its_owner_then_the_node_is_noted_as_empty_once(self):
+    def test_given_a_stable_group_reported_by_its_owner_then_the_node_is_recorded_as_empty_once(self):
         fact = Emptied("a", "budget-0", 4, VOTERS, 2)
         self.assertEqual([fact], self.noted(REPORT))
         self.take(due_emptied(self.state, {"budget-0": REPORT}))
         self.assertEqual([], self.noted(REPORT))
 
-    def test_given_the_word_of_anybody_else_or_of_a_group_on_its_way_then_nothing_is_noted(self):
+    def test_given_the_report_of_anybody_else_or_of_a_group_on_its_way_then_nothing_is_recorded(self):
         for change in (
             {"replica": "c:1#x"},
             {"owner": ""},
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -1,4 +1,4 @@
-"""Whom a control node's directory names while others are silent, and while the node itself is cut off."""
+"""Whom a control node's directory names while others are unresponsive, and while it is cut off."""
 
 from types import SimpleNamespace
 
@@ -39,7 +39,7 @@
         self.named = self.named if directory is None else [member.address for member in directory.members]
         return self.named
 
-    def test_given_a_node_in_contact_then_who_falls_silent_leaves_the_directory(self):
+    def test_given_a_node_in_contact_then_who_becomes_unresponsive_leaves_the_directory(self):
         self.look(0.0, (HERE, THERE), True)
         self.assertEqual([HERE, THERE], self.look(LIVE_S, (HERE,), True))
         self.assertEqual([HERE], self.look(LIVE_S + 0.25, (HERE,), True))
@@ -49,7 +49,7 @@
         for now in range(3, 23):
             self.assertEqual([HERE, THERE], self.look(float(now), (HERE,), False))
 
-    def test_given_contact_again_then_the_silent_leave_only_after_they_could_be_heard(self):
+    def test_given_contact_again_then_the_unresponsive_leave_only_after_they_could_be_heard(self):
         self.look(2.0, (HERE, THERE), True)
         self.look(22.0, (HERE,), False)
         self.assertEqual([HERE, THERE], self.look(22.0 + LIVE_S, (HERE,), True))
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -71,7 +71,7 @@
 
     @hypothesis.settings(REPEATABLE, max_examples=300)
     @hypothesis.given(strategies.data())
-    def test_given_any_report_then_it_is_taken_whole_or_rejected(self, data):
+    def test_given_any_report_then_it_is_accepted_completely_or_rejected(self, data):
         anything = strategies.recursive(
             strategies.none()
             | strategies.booleans()
@@ -120,7 +120,7 @@
             self.registry.heartbeat("i-1", report(sequence), 0.0)
             self.assertEqual((DRAINING, []), (self.state(), self.ready()))
 
-    def test_given_a_late_word_that_it_drains_then_it_counts_though_a_later_report_was_heard(self):
+    def test_given_a_late_report_that_it_drains_then_it_counts_though_a_later_report_was_heard(self):
         self.registry.heartbeat("i-1", report(7), 0.0)
         self.registry.heartbeat("i-1", report(6, "draining"), 0.0)
         self.assertEqual(DRAINING, self.state())
@@ -132,12 +132,12 @@
         self.registry.merge(attrs.evolve(self.registry.get("i-1"), state=READY, sequence=100), 0.0)
         self.assertEqual((DEPARTED, []), (self.state(), self.ready()))
 
-    def test_given_the_word_of_an_unknown_backend_that_it_left_then_its_late_reports_change_nothing(self):
+    def test_given_the_departure_of_an_unknown_backend_then_its_late_reports_change_nothing(self):
         self.registry.leave("i-1", 0.0)
         self.registry.heartbeat("i-1", report(5), 0.0)
         self.assertEqual(DEPARTED, self.state())
 
-    def test_given_a_new_incarnation_at_an_address_then_the_earlier_one_is_gone_and_streamed(self):
+    def test_given_a_new_incarnation_at_an_address_then_the_earlier_one_is_departed_and_streamed(self):
         self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry.heartbeat("i-2", report(1), 1.0)
         self.assertEqual((DEPARTED, ["i-2"]), (self.state(), self.ready()))
@@ -151,7 +151,7 @@
         self.registry.heartbeat("i-1", report(50), 1.0)
         self.assertEqual(["i-2"], self.ready())
 
-    def test_given_what_another_node_tells_then_it_displaces_nobody(self):
+    def test_given_an_update_of_another_node_then_it_displaces_nobody(self):
         old = self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry = BackendRegistry()
         self.registry.heartbeat("i-2", report(8), 0.0)
@@ -171,7 +171,7 @@
         self.registry.heartbeat("i-1", report(5), COUNTERS_STREAM_INTERVAL_S * 2)
         self.assertEqual(3, self.registry.number)
 
-    def test_given_a_number_then_exactly_the_later_changes_are_told_each_once(self):
+    def test_given_a_number_then_exactly_the_later_changes_are_streamed_each_once(self):
         for index in range(4):
             self.registry.heartbeat(f"i-{index}", report(1, address=f"10.0.0.{index}:80"), 0.0)
         self.registry.heartbeat("i-1", report(2, "draining", address="10.0.0.1:80"), 0.0)
@@ -179,30 +179,36 @@
         self.assertEqual(["i-2", "i-3", "i-1"], [backend.identity for backend in changes.backends])
         self.assertEqual((), self.registry.changes_since(changes.number).backends)
 
-    def test_given_the_same_words_in_any_order_then_registries_agree(self):
-        words = [self.word(sequence, READY) for sequence in range(1, 6)]
-        words += [self.word(6, DRAINING), self.word(7, DRAINING)]
-        words += [presumed_departed(words[2]), presumed_departed(words[4]), presumed_departed(words[6])]
+    def test_given_the_same_reports_in_any_order_then_registries_agree(self):
+        reports = [self.backend(sequence, READY) for sequence in range(1, 6)]
+        reports += [self.backend(6, DRAINING), self.backend(7, DRAINING)]
+        reports += [
+            presumed_departed(reports[2]),
+            presumed_departed(reports[4]),
+            presumed_departed(reports[6]),
+        ]
         for seed in range(200):
             rng = random.Random(seed)
-            reports = rng.sample(words, rng.randrange(1, len(words))) + [
-                as_departed(words[0])
+            drawn = rng.sample(reports, rng.randrange(1, len(reports))) + [
+                as_departed(reports[0])
             ] * rng.randrange(2)
             states = set()
             for _ in range(4):
                 registry = BackendRegistry()
-                for word in rng.sample(reports, len(reports)):
-                    registry.merge(word, 0.0)
+                for backend in rng.sample(drawn, len(drawn)):
+                    registry.merge(backend, 0.0)
                 states.add((registry.get("i-1").state, registry.get("i-1").sequence))
             self.assertEqual(1, len(states), (seed, states))
 
-    def word(self, sequence, state):
+    def backend(self, sequence, state):
         return Backend("i-1", "blue", "10.0.0.9:80", "east", "v1", 4, state, 0, sequence)
 
-    def test_given_any_two_words_then_at_most_one_is_newer(self):
-        words = [self.word(sequence, state) for sequence in (1, 2) for state in (READY, DRAINING, DEPARTED)]
-        for one in words:
-            for other in words:
+    def test_given_any_two_reports_then_at_most_one_is_newer(self):
+        reports = [
+            self.backend(sequence, state) for sequence in (1, 2) for state in (READY, DRAINING, DEPARTED)
+        ]
+        for one in reports:
+            for other in reports:
                 self.assertFalse(supersedes(one, other) and supersedes(other, one))
 
     def test_given_old_tombstones_or_too_many_then_they_are_forgotten(self):
@@ -222,7 +228,7 @@
 
 
 class SilenceTest(testtools.TestCase):
-    """Backends that fall silent."""
+    """Backends that become unresponsive."""
 
     def setUp(self):
         super().setUp()
@@ -232,22 +238,24 @@
         for name in names:
             self.registry.heartbeat(name, report(int(now * 10), address=f"10.0.0.{ord(name)}:80"), now)
 
-    def test_given_one_that_is_silent_among_others_then_it_is_suspect_and_later_gone(self):
+    def test_given_one_that_is_unresponsive_among_others_then_it_is_suspect_and_later_departed(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.assertEqual(("a",), self.registry.expire(3.6, INTERVAL, 0.0).suspects)
-        silent = self.registry.expire(11.0, INTERVAL, 0.0)
-        self.assertEqual(((), ["a"]), (silent.suspects, [backend.identity for backend in silent.departed]))
+        unresponsive = self.registry.expire(11.0, INTERVAL, 0.0)
+        self.assertEqual(
+            ((), ["a"]), (unresponsive.suspects, [backend.identity for backend in unresponsive.departed])
+        )
         self.assertEqual(DEPARTED, self.registry.get("a").state)
 
-    def test_given_one_presumed_gone_then_its_next_report_brings_it_back(self):
+    def test_given_one_presumed_departed_then_its_next_report_brings_it_back(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.registry.expire(11.0, INTERVAL, 0.0)
         self.send_heartbeats(12, "a")
         self.assertEqual(READY, self.registry.get("a").state)
 
-    def test_given_a_draining_one_presumed_gone_then_it_comes_back_draining_only(self):
+    def test_given_a_draining_one_presumed_departed_then_it_comes_back_draining_only(self):
         self.registry.heartbeat("a", report(5, "draining"), 0.0)
         self.registry.merge(presumed_departed(self.registry.get("a")), 0.0)
         self.registry.heartbeat("a", report(6), 0.0)
@@ -257,11 +265,11 @@
         self.send_heartbeats(0.0, *"abcd")
         self.send_heartbeats(9.0, "a")
         for now in (20.0, 9.5):
-            silent = self.registry.expire(now, INTERVAL, 0.0)
-            self.assertEqual(((), ()), (silent.suspects, silent.departed))
+            unresponsive = self.registry.expire(now, INTERVAL, 0.0)
+            self.assertEqual(((), ()), (unresponsive.suspects, unresponsive.departed))
 
-    def test_given_a_node_that_was_out_of_touch_then_it_presumes_nobody_gone(self):
+    def test_given_a_node_that_was_out_of_contact_then_it_presumes_nobody_departed(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
-        silent = self.registry.expire(11.0, INTERVAL, 5.0)
-        self.assertEqual((("a",), ()), (silent.suspects, silent.departed))
+        unresponsive = self.registry.expire(11.0, INTERVAL, 5.0)
+        self.assertEqual((("a",), ()), (unresponsive.suspects, unresponsive.departed))
--- a/tests/tier/test_discovery_view.py
+++ b/tests/tier/test_discovery_view.py
@@ -1,4 +1,4 @@
-"""A gateway's view of the backends, told by several control nodes."""
+"""A gateway's view of the backends, from updates of several control nodes."""
 
 import attrs
 import testtools
@@ -43,7 +43,7 @@
         self.take(complete=True)
         self.assertEqual(["a", "b"], self.names())
 
-    def test_given_a_word_that_one_drains_then_it_is_out_whatever_others_still_tell(self):
+    def test_given_a_report_that_one_drains_then_it_is_out_whatever_others_still_send(self):
         self.take(backend("a", 5))
         self.assertEqual(("a",), self.take(backend("a", 6, DRAINING), sender="c-2"))
         self.take(backend("a", 5), backend("a", 7))
@@ -78,14 +78,14 @@
         self.take(backend("a", 6, service="green"))
         self.assertEqual(([], ["a"]), (self.names(), self.names("green")))
 
-    def live_through(self, seconds, silent_from):
-        """`b` and `c` report each second, `a` only before `silent_from`."""
+    def live_through(self, seconds, unresponsive_from):
+        """`b` and `c` report each second, `a` only before `unresponsive_from`."""
         for second in range(seconds):
-            names = "abc" if second < silent_from else "bc"
+            names = "abc" if second < unresponsive_from else "bc"
             self.take(*(backend(name, second + 1) for name in names), now=float(second))
             self.view.refresh(second + 0.5, INTERVAL)
 
-    def test_given_one_that_falls_silent_then_it_comes_last_and_later_goes(self):
+    def test_given_one_that_becomes_unresponsive_then_it_comes_last_and_later_goes(self):
         self.live_through(6, 1)
         self.assertEqual((["b", "c", "a"], True), (self.names(), self.view.is_suspect("a")))
         self.live_through(14, 1)
@@ -100,7 +100,7 @@
             self.assertEqual((), self.view.refresh(float(second), INTERVAL))
         self.assertEqual(["a", "b", "c"], self.names())
 
-    def test_given_a_gateway_in_touch_again_then_it_presumes_nobody_gone_at_once(self):
+    def test_given_a_gateway_in_contact_again_then_it_presumes_nobody_departed_at_once(self):
         self.live_through(3, 3)
         self.view.refresh(30.0, INTERVAL)
         self.take(backend("b", 40), backend("c", 40), now=30.5)
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -91,22 +91,22 @@
         self.run_for(5.0, ["c1"], applied=5)
         self.assertEqual([()], list({message.heartbeats for message in connection.messages}))
 
-    def test_given_progress_alone_then_it_is_told_now_and_then(self):
+    def test_given_progress_alone_then_it_is_published_now_and_then(self):
         self.run_for(1.0, ["c1"])
         connection = self.connection("c1", "c2")
         connection.messages.clear()
         self.run_for(4 * PROGRESS_S, ["c1"])
-        told = [message for message in connection.messages if message.heartbeats]
-        self.assertEqual(4, len(told))
+        published = [message for message in connection.messages if message.heartbeats]
+        self.assertEqual(4, len(published))
 
-    def test_given_its_end_then_all_find_it_silent_in_time_and_nobody_revives_it(self):
+    def test_given_its_end_then_all_find_it_unresponsive_in_time_and_nobody_revives_it(self):
         self.run_for(5.0, ["c1"])
         self.run_for(LIVE_S + 2 * HEARTBEAT_S)
         for _ in range(20):
             self.assertFalse(any(node.knows(GATEWAY) for node in self.nodes.values()))
             self.run_for(HEARTBEAT_S)
 
-    def test_given_its_node_dies_when_it_reports_to_another_then_it_never_counts_as_silent(self):
+    def test_given_its_node_dies_when_it_reports_to_another_then_it_never_counts_as_unresponsive(self):
         self.run_for(5.0, ["c1"])
         dead = self.nodes.pop("c1")
         self.run_for(2 * HEARTBEAT_S)
@@ -115,7 +115,7 @@
             self.assertTrue(all(node.knows(GATEWAY) for node in self.nodes.values()))
         self.assertTrue(dead.knows(GATEWAY))
 
-    def test_given_a_new_life_then_it_is_told_and_the_old_one_keeps_nothing_alive(self):
+    def test_given_a_new_incarnation_then_it_is_published_and_the_old_one_keeps_nothing_alive(self):
         self.run_for(5.0, ["c1"])
         self.run_for(HEARTBEAT_S, ["c2"], incarnation=2)
         for node in self.nodes.values():
@@ -130,7 +130,7 @@
         self.run_for(HEARTBEAT_S, ["c1"], applied=5)
         self.assertTrue(self.nodes["c2"].knows(GATEWAY))
 
-    def test_given_a_node_that_stood_still_then_its_members_silence_is_told_truly(self):
+    def test_given_a_node_that_stood_still_then_its_members_heartbeat_age_is_published_truly(self):
         self.run_for(5.0, ["c1"])
         self.run_for(3 * HEARTBEAT_S)
         self.assertTrue(self.nodes["c3"].table.heartbeat_ages(self.now)[0].seconds >= 2 * HEARTBEAT_S)
--- a/tests/tier/test_membership_placement.py
+++ b/tests/tier/test_membership_placement.py
@@ -20,12 +20,12 @@
 
 
 class TestNextVoters(testtools.TestCase):
-    def test_a_silent_replica_gives_way_to_a_spare_of_its_class_soon(self):
+    def test_an_absent_replica_gives_way_to_a_spare_of_its_class_soon(self):
         there = [candidate("b"), candidate("c"), candidate("spare")]
         voters = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: SPARE_TIMEOUT_S + 0.1)
         self.assertEqual(replicas("spare", "b", "c"), voters)
 
-    def test_and_to_one_of_another_class_only_after_a_long_silence(self):
+    def test_and_to_one_of_another_class_only_after_a_long_absence(self):
         there = [candidate("b"), candidate("c"), candidate("control", preference=1)]
         soon = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_TIMEOUT_S - 0.1)
         late = next_voters(replicas("a", "b", "c"), 3, there, lambda replica: LOST_TIMEOUT_S + 0.1)
@@ -49,7 +49,7 @@
 
 
 class TestFounding(testtools.TestCase):
-    def test_budgets_are_founded_on_no_fewer_disks_than_a_whole_group_has(self):
+    def test_budgets_are_founded_on_no_fewer_disks_than_a_complete_group_has(self):
         two = [candidate("a"), candidate("b")]
         three = [*two, candidate("control", preference=1)]
         self.assertEqual([], found_budget_shards((), 3, two))
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -51,15 +51,15 @@
 
     def status(self, now=NOW):
         wanted = ShardsWanted(self.placements, self.retiring)
-        told = status(member(1), True, 7, self.table, wanted, self.backends, now)
-        return json.loads(json.dumps(told))
+        answer = status(member(1), True, 7, self.table, wanted, self.backends, now)
+        return json.loads(json.dumps(answer))
 
-    def printed(self, told, *words):
+    def printed(self, answer, *words):
         """(exit code, output) of the command, asking a server that tells this."""
 
         class Handler(http.server.BaseHTTPRequestHandler):
             def do_GET(self):
-                body = json.dumps(told).encode()
+                body = json.dumps(answer).encode()
                 self.send_response(200 if self.path == "/api/Status" else 404)
                 self.end_headers()
                 self.wfile.write(body)
@@ -77,24 +77,24 @@
         answering.join()
         return code, said.getvalue()
 
-    def test_given_a_calm_tier_then_roles_shards_lag_and_backends_are_told(self):
-        told = self.status()
-        self.assertEqual(["store", "store", "store", "gateway"], [row["Role"] for row in told["Processes"]])
-        shard = told["Shards"][0]
+    def test_given_a_calm_tier_then_roles_shards_lag_and_backends_are_listed(self):
+        answer = self.status()
+        self.assertEqual(["store", "store", "store", "gateway"], [row["Role"] for row in answer["Processes"]])
+        shard = answer["Shards"][0]
         self.assertEqual((4, VOTERS[0], list(VOTERS)), (shard["Epoch"], shard["Owner"], shard["Voters"]))
         self.assertEqual([0, 10, 0], [replica["Lag"] for replica in shard["Replicas"]])
-        self.assertEqual({"chat": {"Ready": 1, "Draining": 0, "Gone": 0}}, told["Backends"])
-        code, said = self.printed(told)
+        self.assertEqual({"chat": {"Ready": 1, "Draining": 0, "Gone": 0}}, answer["Backends"])
+        code, said = self.printed(answer)
         self.assertEqual(0, code)
         for part in ("store-1,store-2,store-3", "0,10,0", "gateway-4", "nothing to look at"):
             self.assertIn(part, said)
 
     def test_given_the_word_json_then_the_answer_is_printed_whole(self):
-        told = self.status()
-        code, said = self.printed(told, "--json")
-        self.assertEqual((0, told), (code, json.loads(said)))
+        answer = self.status()
+        code, said = self.printed(answer, "--json")
+        self.assertEqual((0, answer), (code, json.loads(said)))
 
-    def test_given_a_silent_owner_then_it_is_remarked_with_how_long(self):
+    def test_given_an_unresponsive_owner_then_it_is_remarked_with_how_long(self):
         for number in (2, 3):
             self.table.record_heartbeat(
                 Heartbeat(member(number), 2, 0, False, heartbeat(number, 5000).shards), NOW + 9
@@ -125,7 +125,7 @@
         self.assertIn("gateway on gateway-4: still serves by version 6", said)
         self.assertIn("service chat: no ready backend", said)
 
-    def test_given_a_shard_that_nobody_reports_then_it_is_told_as_placed(self):
+    def test_given_a_shard_that_nobody_reports_then_it_is_listed_as_placed(self):
         self.placements = (*self.placements, ShardPlacement("budget-1", VOTERS, VOTERS))
         shard = self.status()["Shards"][1]
         self.assertEqual(("budget-1", "", []), (shard["Shard"], shard["Owner"], shard["Replicas"]))
