--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -28,7 +28,7 @@
 from .health import Health
 from .hedge import Hedger
 from .life import Life
-from .pace import Pace
+from .latency import LatencyRatios
 from .reading import (
     TIME_OVER_RETRY_S,
     ClientGone,
@@ -62,7 +62,7 @@
     connections: Connections
     chooser: Chooser
     health: Health
-    pace: Pace
+    latency: LatencyRatios
     reported: ReportedLoad
     admission: AdmissionControl
     forwarder: Forwarder
@@ -178,7 +178,7 @@
         live = self.backends.of(exchange.service.name)
         now = asyncio.get_running_loop().time()
         spare_capacity = not self.admission.is_limited(exchange.service.name) and any(
-            self.chooser.has_room(backend, exchange.service, now) for backend in live
+            self.chooser.has_capacity(backend, exchange.service, now) for backend in live
         )
         return await self.turns.carry(
             turn,
@@ -198,7 +198,7 @@
         live = {backend.identity for service in table.services for backend in self.backends.of(service)}
         self.connections.prune(live)
         self.health.keep_only(live)
-        self.pace.keep_only(live)
+        self.latency.keep_only(live)
         self.reported.keep_only(live)
 
     def close_intake(self) -> None:
@@ -272,21 +272,21 @@
     force is known to be the newest, so that a refusal by it may be final.
     """
     rng = rng or random.Random()
-    health, pace, reported = Health(), Pace(), ReportedLoad()
+    health, latency, reported = Health(), LatencyRatios(), ReportedLoad()
     connections = Connections(network, gateways)
-    chooser = Chooser(zone, health, pace, connections, reported, rng)
+    chooser = Chooser(zone, health, latency, connections, reported, rng)
     waiting = WaitingQueues()
     admission = AdmissionControl(ConcurrencyLimits(), waiting, backends, gateways, rng)
     sender = Sender(backends, connections)
-    attempter = Attempter(sender, health, pace, admission, reported, chooser.in_flight)
-    forwarder = Forwarder(backends, attempter, chooser, Hedger(pace), waiting, admission)
+    attempter = Attempter(sender, health, latency, admission, reported, chooser.in_flight)
+    forwarder = Forwarder(backends, attempter, chooser, Hedger(latency), waiting, admission)
     return DataPlane(
         routing=routing,
         backends=backends,
         connections=connections,
         chooser=chooser,
         health=health,
-        pace=pace,
+        latency=latency,
         reported=reported,
         admission=admission,
         forwarder=forwarder,
--- a/kestrelbend/tier/dataplane/attempt.py
+++ b/kestrelbend/tier/dataplane/attempt.py
@@ -18,12 +18,12 @@
 from .events import EventSplitter
 from .exchange import SERVER_LOAD, Exchange, Failure
 from .health import Health
-from .pace import Pace
+from .latency import LatencyRatios
 from .reported_load import ReportedLoad
 from .send import Answer, Sender, Sending
 
-WHOLE_ANSWER_BYTES = 256 * 1024  # a plain answer up to this size is held until it is whole
-SUSPECT_FACTOR = 1.5  # of the patience with a route: a longer silence counts against the backend
+MAX_BUFFERED_ANSWER_BYTES = 256 * 1024  # a plain answer up to this size is buffered until it is complete
+SUSPECT_FACTOR = 1.5  # of the time after which an answer is overdue: a longer one counts against the backend
 FAILED_AT = 500  # statuses from here on are failures that a repeat may mend
 
 
@@ -76,7 +76,7 @@
         self,
         sender: Sender,
         health: Health,
-        pace: Pace,
+        latency: LatencyRatios,
         admission: AdmissionControl,
         reported: ReportedLoad,
         in_flight: Mapping[str, int],
@@ -86,7 +86,7 @@
         self._in_flight = in_flight  # this gateway's requests at each backend
         self._admission = admission
         self._health = health
-        self._pace = pace
+        self._latency = latency
 
     async def attempt(
         self, exchange: Exchange, sending: Sending, last_id: int | None, progress: Progress
@@ -96,31 +96,31 @@
         begun = loop.time()
         sending.carried = progress.connections
         progress.sendings.append(sending)
-        silence = self._pace.patience(exchange.route) * SUSPECT_FACTOR
-        alarm = loop.call_later(silence, self._silent, sending)
+        suspect_after_s = self._latency.overdue_after_s(exchange.route) * SUSPECT_FACTOR
+        alarm = loop.call_later(suspect_after_s, self._on_overdue, sending)
         try:
             outcome = await self._open(exchange, sending, last_id)
         finally:
             alarm.cancel()
         if sending.suspected:
-            self._health.spoke(sending.backend.identity, loop.time())
-        self._learn(exchange, sending.backend.identity, outcome, begun)
+            self._health.responded(sending.backend.identity, loop.time())
+        self._record_outcome(exchange, sending.backend.identity, outcome, begun)
         return outcome
 
     def broke_midway(self, identity: str) -> None:
         """An answer that was opened ended early."""
         self._health.failed(identity, asyncio.get_running_loop().time())
 
-    def _silent(self, sending: Sending) -> None:
+    def _on_overdue(self, sending: Sending) -> None:
         if sending.left:
             sending.suspected = True
-            self._health.silent(sending.backend.identity, asyncio.get_running_loop().time())
+            self._health.unresponsive(sending.backend.identity, asyncio.get_running_loop().time())
 
     async def _open(self, exchange: Exchange, sending: Sending, last_id: int | None) -> Opened | Failure:
         answer = await self._sender.send(exchange, sending)
         if isinstance(answer, Failure):
             return answer
-        self._note_load(sending.backend, answer)
+        self._record_load(sending.backend, answer)
         opened = None
         try:
             opened = await (_open_events(answer, last_id) if answer.events else _open_plain(answer))
@@ -131,13 +131,15 @@
                 answer.close()
         return opened
 
-    def _note_load(self, backend: Backend, answer: Answer) -> None:
+    def _record_load(self, backend: Backend, answer: Answer) -> None:
         report = next((value for name, value in answer.headers if name == SERVER_LOAD), None)
         now = asyncio.get_running_loop().time()
         own = self._in_flight.get(backend.identity, 0)
-        self._reported.note(backend.service, backend.identity, report, own, now)
+        self._reported.record(backend.service, backend.identity, report, own, now)
 
-    def _learn(self, exchange: Exchange, identity: str, outcome: Opened | Failure, begun: float) -> None:
+    def _record_outcome(
+        self, exchange: Exchange, identity: str, outcome: Opened | Failure, begun: float
+    ) -> None:
         now = asyncio.get_running_loop().time()
         if isinstance(outcome, Opened):
             if outcome.failed:
@@ -145,25 +147,25 @@
                 return
             self._health.answered(identity, now)
             self._admission.record_answer(exchange, now - begun)
-            self._pace.note(exchange.route.name, identity, now - begun, now)
+            self._latency.record(exchange.route.name, identity, now - begun, now)
         elif outcome is Failure.NOT_EXECUTED:
-            self._health.turned_away(identity, now)
+            self._health.rejected(identity, now)
         elif outcome in (Failure.REFUSED, Failure.UNREACHABLE):
-            self._health.refused(identity, now)
+            self._health.connection_refused(identity, now)
         elif not outcome.certainly_not_run:
             self._health.failed(identity, now)
 
 
 async def _open_plain(answer: Answer) -> Opened:
-    held: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
-    while size <= WHOLE_ANSWER_BYTES:
+    while size <= MAX_BUFFERED_ANSWER_BYTES:
         data = await answer.next()
         if data is None:
-            return Opened(answer, b"".join(held), 0, True, None)
-        held.append(data)
+            return Opened(answer, b"".join(chunks), 0, True, None)
+        chunks.append(data)
         size += len(data)
-    return Opened(answer, b"".join(held), 0, False, None)
+    return Opened(answer, b"".join(chunks), 0, False, None)
 
 
 async def _open_events(answer: Answer, last_id: int | None) -> Opened:
--- a/kestrelbend/tier/dataplane/choice.py
+++ b/kestrelbend/tier/dataplane/choice.py
@@ -3,7 +3,7 @@
 Model services and routes with `Sticky`: requests about one thing go to the first backend in the thing's own
 order (rendezvous hashing, this gateway's zone first) that is not clearly busier than the least busy one, as
 it is the likeliest to hold the thing's parts.  Other services: of a few at random the one that should answer
-first; where they tell their load, one in another zone must be clearly less busy.
+first; where they report their load, one in another zone must be clearly less busy.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from .connections import Connections
 from .exchange import AFFINITY_KEY, PREFIX_HASH, PROGRAM, SESSION, Exchange
 from .health import Health
-from .pace import Pace
+from .latency import LatencyRatios
 from .reported_load import ReportedLoad
 
 OTHER_ZONE_LOAD = 0.5  # how much busier a backend in another zone counts: bytes between zones are dear
-BLIND_OTHER_ZONE_LOAD = 0.04  # the same where backends don't tell their load: a queue here is not seen
+UNREPORTED_OTHER_ZONE_LOAD = 0.04  # the same where backends don't report their load: a queue is not seen
 NEW_CONNECTION_LOAD = 0.04  # how much busier one counts that needs a new connection
-TRIED_SHARE = 0.1  # of choices that look at load alone, or a faster backend would stay unknown
-COLD_LOAD = 0.5  # how much busier one that is slow from its start counts
-SLOW_LOAD = 0.25  # how much busier one counts for each time that it is slower than its service
-SLOW_AT_MOST = 3.0
+EXPLORATION_SHARE = 0.1  # of choices that look at load alone, or a backend's latency would stay unknown
+SLOW_START_LOAD = 0.5  # how much busier a backend in its slow start counts
+LATENCY_LOAD = 0.25  # how much busier one counts for each time that it is slower than its service
+MAX_EXCESS_RATIO = 3.0
 AFFINITY_SLACK = 0.3  # of its slots that the preferred backend may be busier than the least busy
 
 
@@ -48,14 +48,14 @@
         self,
         zone: str,
         health: Health,
-        pace: Pace,
+        latency: LatencyRatios,
         connections: Connections,
         reported: ReportedLoad,
         rng: random.Random | None = None,
     ) -> None:
         self._zone = zone
         self._health = health
-        self._pace = pace
+        self._latency = latency
         self._connections = connections
         self._reported = reported
         self._rng = rng or random.Random()
@@ -81,34 +81,36 @@
         busy = self._busy(backend, service, now)
         if backend.zone == self._zone:
             return busy
-        told = self._reported.told_by(backend.service)
-        return busy + (OTHER_ZONE_LOAD if told else BLIND_OTHER_ZONE_LOAD)
+        if self._reported.is_reported(backend.service):
+            return busy + OTHER_ZONE_LOAD
+        return busy + UNREPORTED_OTHER_ZONE_LOAD
 
     def _load(self, backend: Backend, service: ports.Service, now: float) -> float:
         load = self._occupied(backend, service, now)
         if backend.warming_up_ms > 0:
-            load += COLD_LOAD
-        slower = (self._pace.ratio(backend.identity, now) or 1.0) - 1
+            load += SLOW_START_LOAD
+        slower = (self._latency.ratio(backend.identity, now) or 1.0) - 1
         if slower > 0:
-            load += SLOW_LOAD * min(slower, SLOW_AT_MOST)
+            load += LATENCY_LOAD * min(slower, MAX_EXCESS_RATIO)
         return load
 
-    def has_room(self, backend: Backend, service: ports.Service, now: float) -> bool:
+    def has_capacity(self, backend: Backend, service: ports.Service, now: float) -> bool:
         """By this gateway's view a request sent there now would run at once."""
         return (
             self._busy(backend, service, now) < 1
-            and not self._health.full(backend.identity, now)
-            and self._connections.room(backend, service)
+            and not self._health.is_saturated(backend.identity, now)
+            and self._connections.has_capacity(backend, service)
         )
 
     def choose(self, exchange: Exchange, backends: Sequence[Backend], now: float) -> Backend | None:
         """The best of `backends`; None where there are none."""
         service = exchange.service
-        candidates = self._health.sound(backends, now)
+        candidates = self._health.healthy(backends, now)
         ready = [
             backend
             for backend in candidates
-            if not self._health.full(backend.identity, now) and self._connections.room(backend, service)
+            if not self._health.is_saturated(backend.identity, now)
+            and self._connections.has_capacity(backend, service)
         ]
         candidates = ready or candidates
         if len(candidates) <= 1:
@@ -117,13 +119,13 @@
         if key is not None or service.is_model:
             return self._by_affinity(service, key, candidates, now)
         sampled = self._sample(candidates)
-        if self._rng.random() < TRIED_SHARE:
+        if self._rng.random() < EXPLORATION_SHARE:
             return min(sampled, key=lambda backend: self._occupied(backend, service, now))
         return min(sampled, key=lambda backend: self._expected(backend, service, now))
 
     def _sample(self, candidates: list[Backend]) -> list[Backend]:
-        """At random two, or where they tell their load two of this zone's and one of the others'."""
-        if not self._reported.told_by(candidates[0].service):
+        """At random two, or where they report their load two of this zone's and one of the others'."""
+        if not self._reported.is_reported(candidates[0].service):
             return self._rng.sample(candidates, 2)
         near = [backend for backend in candidates if backend.zone == self._zone]
         far = [backend for backend in candidates if backend.zone != self._zone]
@@ -138,8 +140,8 @@
         least = min(candidates, key=lambda backend: loads[backend.identity])
         if key is None:
             return least
-        most = loads[least.identity] + AFFINITY_SLACK
-        near_enough = (backend for backend in candidates if loads[backend.identity] <= most)
+        max_load = loads[least.identity] + AFFINITY_SLACK
+        near_enough = (backend for backend in candidates if loads[backend.identity] <= max_load)
         return max(
             near_enough,
             key=lambda backend: (backend.zone == self._zone, _weight(key, backend.identity)),
@@ -150,10 +152,10 @@
         slots = backend.slots or service.slots or 1
         load = self._occupied(backend, service, now) + 1 / slots
         if backend.warming_up_ms > 0:
-            load += COLD_LOAD
-        if not self._connections.rests(backend.identity):
+            load += SLOW_START_LOAD
+        if not self._connections.has_idle(backend.identity):
             load += NEW_CONNECTION_LOAD
-        return load * (self._pace.ratio(backend.identity, now) or 1.0)
+        return load * (self._latency.ratio(backend.identity, now) or 1.0)
 
 
 def _weight(key: bytes, identity: str) -> int:
--- a/kestrelbend/tier/dataplane/connections.py
+++ b/kestrelbend/tier/dataplane/connections.py
@@ -1,7 +1,7 @@
 """Connections to backends: a small pool for each incarnation of a backend.
 
 A connection carries one request at a time and belongs to one incarnation.  It goes back to the pool only
-after a whole answer to the request it carried, with no byte behind it; in any other case it is closed.
+after a complete answer to the request it carried, with no byte behind it; in any other case it is closed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from . import ports
 
 CONNECT_TIMEOUT_S = 0.5
-DEFAULT_IDLE_S = 4.0  # for a backend that does not tell its own time in Keep-Alive
+DEFAULT_IDLE_S = 4.0  # for a backend that declares no time in Keep-Alive
 IDLE_MARGIN_S = 0.5  # a connection is given up this long before the backend would close it
 SHARE_OF_LIMIT = 0.9  # of MaxConns that all gateways together take
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.IGNORECASE)
@@ -39,17 +39,17 @@
         """Bytes came behind the answer."""
         return bool(self._h11_state.trailing_data[0]) or not self.stream.usable
 
-    def fresh_enough(self, now: float) -> bool:
-        """May carry the next request: its last answer was whole, and its rest was not too long."""
+    def is_reusable(self, now: float) -> bool:
+        """May carry the next request: its last answer was complete, and it was not idle for too long."""
         limit = DEFAULT_IDLE_S if self.idle_limit_s is None else self.idle_limit_s
-        rested = now - self.idle_since
-        return self.is_idle() and not self.closing and not self.surplus and rested < limit - IDLE_MARGIN_S
+        idle_s = now - self.idle_since
+        return self.is_idle() and not self.closing and not self.surplus and idle_s < limit - IDLE_MARGIN_S
 
-    def trusted(self, now: float, untold_idle_s: float | None) -> bool:
-        """Has not rested longer than `untold_idle_s` where its backend does not tell its Keep-Alive."""
-        if self.idle_limit_s is not None or untold_idle_s is None:
+    def is_trusted(self, now: float, undeclared_idle_s: float | None) -> bool:
+        """Has not been idle longer than `undeclared_idle_s` where its backend declares no Keep-Alive."""
+        if self.idle_limit_s is not None or undeclared_idle_s is None:
             return True
-        return now - self.idle_since <= untold_idle_s
+        return now - self.idle_since <= undeclared_idle_s
 
     def after_surplus(self) -> Connection:
         """The same connection after an answer to another request: it reads the answer to the request that has
@@ -61,8 +61,8 @@
         following.closing = True
         return following
 
-    def heed(self, headers: list[tuple[bytes, bytes]]) -> None:
-        """Takes over what an answer's head says of the connection."""
+    def apply_headers(self, headers: list[tuple[bytes, bytes]]) -> None:
+        """Applies what an answer's header says of the connection."""
         for name, value in headers:
             lowered = name.lower()
             if lowered == b"connection" and b"close" in value.lower():
@@ -75,6 +75,8 @@
 
 @attrs.define
 class _Pool:
+    """The connections to one incarnation of a backend."""
+
     address: str
     open: int = 0  # connections that exist or are being made
     idle: list[Connection] = attrs.field(factory=list)  # the last used at the end
@@ -88,12 +90,12 @@
         self._gateways = gateways
         self._pools: dict[str, _Pool] = {}
 
-    def room(self, backend: Backend, service: ports.Service) -> bool:
+    def has_capacity(self, backend: Backend, service: ports.Service) -> bool:
         """Whether a request could be given a connection now."""
         pool = self._pools.get(backend.identity)
         return pool is None or bool(pool.idle) or pool.open < self._limit(service)
 
-    def rests(self, identity: str) -> bool:
+    def has_idle(self, identity: str) -> bool:
         """A connection to the backend is there and carries no request."""
         pool = self._pools.get(identity)
         return pool is not None and bool(pool.idle)
@@ -104,7 +106,7 @@
         return sum(pool.open for pool in self._pools.values())
 
     @property
-    def resting(self) -> int:
+    def idle_count(self) -> int:
         """Connections that carry no request."""
         return sum(len(pool.idle) for pool in self._pools.values())
 
@@ -116,20 +118,20 @@
         backend: Backend,
         service: ports.Service,
         timeout_s: float,
-        untold_idle_s: float | None = None,
+        undeclared_idle_s: float | None = None,
         fresh: bool = False,
         avoid: Collection[Connection] = (),
     ) -> Connection | None:
         """An idle connection or a new one (`fresh`: a new one); None if the limit is reached.
 
-        `untold_idle_s` bounds the rest of connections whose backend does not tell its Keep-Alive.  None of
-        `avoid` is given.  Raises OSError.
+        `undeclared_idle_s` bounds the idle time of connections whose backend declares no Keep-Alive.  None
+        of `avoid` is given.  Raises OSError.
         """
         pool = self._pools.get(backend.identity)
         if pool is None:
             pool = self._pools[backend.identity] = _Pool(backend.address)
         if not fresh:
-            idle = self._take_idle(pool, untold_idle_s, avoid)
+            idle = self._take_idle(pool, undeclared_idle_s, avoid)
             if idle is not None:
                 return idle
         if pool.open >= self._limit(service):
@@ -146,16 +148,16 @@
         return Connection(httpcore.Origin(b"http", host.encode(), int(port)), stream)
 
     def _take_idle(
-        self, pool: _Pool, untold_idle_s: float | None, avoid: Collection[Connection]
+        self, pool: _Pool, undeclared_idle_s: float | None, avoid: Collection[Connection]
     ) -> Connection | None:
         """The connection used last: it is the least likely to be closed meanwhile."""
         now = asyncio.get_running_loop().time()
         for connection in reversed(pool.idle[:]):
-            if not connection.fresh_enough(now):
+            if not connection.is_reusable(now):
                 pool.idle.remove(connection)
                 self._discard(pool, connection)
             elif connection not in avoid:
-                if not connection.trusted(now, untold_idle_s):
+                if not connection.is_trusted(now, undeclared_idle_s):
                     return None
                 pool.idle.remove(connection)
                 return connection
@@ -166,10 +168,10 @@
             self._discard(pool, pool.idle.pop(0))
 
     def release(self, backend: Backend, connection: Connection) -> None:
-        """Takes a connection back; it is closed unless its answer was whole and nothing follows it."""
+        """Takes a connection back; it is closed unless its answer was complete and nothing follows it."""
         pool = self._pools[backend.identity]
         connection.idle_since = now = asyncio.get_running_loop().time()
-        if connection.fresh_enough(now):
+        if connection.is_reusable(now):
             pool.idle.append(connection)
         else:
             self._discard(pool, connection)
@@ -179,12 +181,12 @@
         connection.stream.abort()
 
     def prune(self, live: set[str]) -> None:
-        """Closes what rests too long, and every idle connection of backends that are not in `live`."""
+        """Closes what is idle for too long, and every idle connection of backends that are not in `live`."""
         now = asyncio.get_running_loop().time()
         for identity, pool in list(self._pools.items()):
             kept = []
             for connection in pool.idle:
-                if identity in live and connection.fresh_enough(now):
+                if identity in live and connection.is_reusable(now):
                     kept.append(connection)
                 else:
                     self._discard(pool, connection)
--- a/kestrelbend/tier/dataplane/health.py
+++ b/kestrelbend/tier/dataplane/health.py
@@ -1,8 +1,8 @@
-"""What this gateway saw of each backend, and which backends it passes over for a while.
+"""Passive health checks: what this gateway saw of each backend, and which ones it ejects for a while.
 
 Failures raise a backend's suspicion, answers and time lower it.  Invariant: at most half of a service's
-backends are passed over on suspicion; the others stay in use however badly they did, since refusing while a
-backend has room is the dearest mistake.
+backends are ejected on suspicion; the others stay in use however badly they did, since rejecting a request
+while a backend has capacity is the dearest mistake.
 """
 
 from __future__ import annotations
@@ -13,104 +13,111 @@
 
 from ..discovery.messages import Backend
 
-FULL_S = 0.04  # a backend that turned a request away is passed over for this long, doubling in a row
-FULL_AT_MOST_S = 0.64
-HALF_LIFE_S = 4.0  # of suspicion
+INITIAL_EXCLUSION_S = 0.04  # of a backend that rejected a request; doubles with each in a row
+MAX_EXCLUSION_S = 0.64
+MAX_DOUBLINGS = 8
+SUSPICION_HALF_LIFE_S = 4.0
 ANSWER_FACTOR = 0.7  # what an answer leaves of suspicion
-SUSPECT_AT = 0.9  # one failure for about half a second, two for about five
-SILENCE_WEIGHT = 1.0  # besides a failure's: a lost answer costs more than one that fails
-WEIGHT_AT_MOST = 4.0
-SUSPICION_AT_MOST = 8.0
+SUSPICION_THRESHOLD = 0.9  # one failure for about half a second, two for about five
+NO_RESPONSE_WEIGHT = 1.0  # besides a failure's: a lost answer costs more than one that fails
+MAX_FAILURE_WEIGHT = 4.0
+MAX_SUSPICION = 8.0
 
 
 @attrs.define
-class _Seen:
+class _BackendRecord:
+    """What was seen of one backend; `suspicion` is that of the time `as_of`."""
+
     suspicion: float = 0.0
     as_of: float = 0.0
     failures: int = 0  # in a row
-    refusals: int = 0  # in a row
-    full_until: float = 0.0
+    rejections: int = 0  # in a row
+    saturated_until: float = 0.0
 
-    def at(self, now: float) -> float:
-        return self.suspicion * 0.5 ** ((now - self.as_of) / HALF_LIFE_S)
+    def suspicion_at(self, now: float) -> float:
+        """The suspicion that remains."""
+        remaining: float = 0.5 ** ((now - self.as_of) / SUSPICION_HALF_LIFE_S)
+        return self.suspicion * remaining
 
 
 class Health:
     """One record a backend.  Times are seconds on a steady clock."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._records: dict[str, _BackendRecord] = {}
 
-    def _of(self, identity: str) -> _Seen:
-        seen = self._seen.get(identity)
-        if seen is None:
-            seen = self._seen[identity] = _Seen()
-        return seen
+    def _of(self, identity: str) -> _BackendRecord:
+        record = self._records.get(identity)
+        if record is None:
+            record = self._records[identity] = _BackendRecord()
+        return record
 
     def answered(self, identity: str, now: float) -> None:
         """It gave a proper answer."""
-        seen = self._seen.get(identity)
-        if seen is not None:
-            seen.suspicion = seen.at(now) * ANSWER_FACTOR
-            seen.as_of = now
-            seen.failures = seen.refusals = 0
-
-    def turned_away(self, identity: str, now: float) -> None:
-        """It said that it did not run a request; it is full, or seems so."""
-        seen = self._of(identity)
-        seen.full_until = now + min(FULL_S * 2**seen.refusals, FULL_AT_MOST_S)
-        seen.refusals = min(seen.refusals + 1, 8)
+        record = self._records.get(identity)
+        if record is not None:
+            record.suspicion = record.suspicion_at(now) * ANSWER_FACTOR
+            record.as_of = now
+            record.failures = 0
+            record.rejections = 0
+
+    def rejected(self, identity: str, now: float) -> None:
+        """It said that it did not run a request; it is saturated, or seems so."""
+        record = self._of(identity)
+        record.saturated_until = now + min(INITIAL_EXCLUSION_S * 2**record.rejections, MAX_EXCLUSION_S)
+        record.rejections = min(record.rejections + 1, MAX_DOUBLINGS)
 
     def failed(self, identity: str, now: float) -> None:
         """It broke off, spoilt or failed an answer, or could not be reached."""
-        seen = self._of(identity)
-        seen.failures += 1
-        self._add(seen, min(2.0 ** (seen.failures - 1), WEIGHT_AT_MOST), now)
+        record = self._of(identity)
+        record.failures += 1
+        self._add(record, min(2.0 ** (record.failures - 1), MAX_FAILURE_WEIGHT), now)
 
-    def _add(self, seen: _Seen, weight: float, now: float) -> None:
-        seen.suspicion = min(max(seen.at(now) + weight, 0.0), SUSPICION_AT_MOST)
-        seen.as_of = now
+    def _add(self, record: _BackendRecord, weight: float, now: float) -> None:
+        record.suspicion = min(max(record.suspicion_at(now) + weight, 0.0), MAX_SUSPICION)
+        record.as_of = now
 
-    def silent(self, identity: str, now: float) -> None:
-        """A request has waited far longer than usual; where its answer comes yet, `spoke` takes this back."""
+    def unresponsive(self, identity: str, now: float) -> None:
+        """A request's answer is long overdue; where it comes yet, `responded` takes this back."""
         self.failed(identity, now)
-        self._add(self._of(identity), SILENCE_WEIGHT, now)
+        self._add(self._of(identity), NO_RESPONSE_WEIGHT, now)
 
-    def spoke(self, identity: str, now: float) -> None:
+    def responded(self, identity: str, now: float) -> None:
         """The answer came after all."""
-        self._add(self._of(identity), -SILENCE_WEIGHT - 1, now)
+        self._add(self._of(identity), -NO_RESPONSE_WEIGHT - 1, now)
 
-    def refused(self, identity: str, now: float) -> None:
+    def connection_refused(self, identity: str, now: float) -> None:
         """Nothing listens at its address, or nothing answers there."""
         self._of(identity).failures += 1
         self.failed(identity, now)
 
     def suspicion(self, identity: str, now: float) -> float:
         """Failures that count still."""
-        seen = self._seen.get(identity)
-        return 0.0 if seen is None else seen.at(now)
+        record = self._records.get(identity)
+        return 0.0 if record is None else record.suspicion_at(now)
 
-    def full(self, identity: str, now: float) -> bool:
-        """It turned a request away just now."""
-        seen = self._seen.get(identity)
-        return seen is not None and now < seen.full_until
+    def is_saturated(self, identity: str, now: float) -> bool:
+        """It rejected a request just now."""
+        record = self._records.get(identity)
+        return record is not None and now < record.saturated_until
 
-    def sound(self, backends: Sequence[Backend], now: float) -> list[Backend]:
+    def healthy(self, backends: Sequence[Backend], now: float) -> list[Backend]:
         """`backends` without the suspect; at least half of them, the least suspect first."""
-        if not self._seen:
+        if not self._records:
             return list(backends)
-        sound, suspect = [], []
+        healthy: list[Backend] = []
+        suspect: list[tuple[float, str, Backend]] = []
         for backend in backends:
             suspicion = self.suspicion(backend.identity, now)
-            if suspicion >= SUSPECT_AT:
+            if suspicion >= SUSPICION_THRESHOLD:
                 suspect.append((suspicion, backend.identity, backend))
             else:
-                sound.append(backend)
-        lacking = (len(backends) + 1) // 2 - len(sound)
-        if lacking > 0:
-            sound += [backend for _, _, backend in sorted(suspect)[:lacking]]
-        return sound
+                healthy.append(backend)
+        missing = (len(backends) + 1) // 2 - len(healthy)
+        if missing > 0:
+            healthy += [backend for _, _, backend in sorted(suspect)[:missing]]
+        return healthy
 
     def keep_only(self, live: set[str]) -> None:
         """Drops the records of backends that are not in `live`."""
-        self._seen = {identity: seen for identity, seen in self._seen.items() if identity in live}
+        self._records = {identity: record for identity, record in self._records.items() if identity in live}
--- a/kestrelbend/tier/dataplane/hedge.py
+++ b/kestrelbend/tier/dataplane/hedge.py
@@ -1,4 +1,4 @@
-"""A second attempt beside one that stays silent far longer than usual.
+"""Hedged requests: a second attempt beside one whose answer is overdue.
 
 An answer may be lost without a sign.  Only exchanges that may run more than once are hedged, only at the same
 backend, and only for a small share of all requests, so that a slow backend is not loaded twice.
@@ -11,10 +11,10 @@
 
 from .attempt import Opened
 from .exchange import Exchange, Failure
-from .pace import Pace
+from .latency import LatencyRatios
 
-SHARE = 0.05  # of all requests
-SAVED_AT_MOST = 3.0
+BUDGET_SHARE = 0.05  # of all requests may be hedged
+MAX_BUDGET = 3.0  # hedged requests that may be saved up
 
 Attempt = Callable[[bool], Awaitable[Opened | Failure]]
 
@@ -22,33 +22,33 @@
 class Hedger:
     """Decides on second attempts and runs the two side by side."""
 
-    def __init__(self, pace: Pace) -> None:
-        self._pace = pace
-        self._saved = SAVED_AT_MOST
+    def __init__(self, latency: LatencyRatios) -> None:
+        self._latency = latency
+        self._budget = MAX_BUDGET
 
     async def run(self, exchange: Exchange, attempt: Attempt) -> Opened | Failure:
         """The first outcome that can be passed on; `attempt` is told whether it is the second."""
-        self._saved = min(self._saved + SHARE, SAVED_AT_MOST)
+        self._budget = min(self._budget + BUDGET_SHARE, MAX_BUDGET)
         if not exchange.repeatable:
             return await attempt(False)
         first = asyncio.ensure_future(attempt(False))
         tasks = [first]
         try:
-            await asyncio.wait(tasks, timeout=self._pace.patience(exchange.route))
+            await asyncio.wait(tasks, timeout=self._latency.overdue_after_s(exchange.route))
             if not first.done() and self._spend():
                 tasks.append(asyncio.ensure_future(attempt(True)))
             return await _first_opened(tasks)
         finally:
-            _give_up(tasks)
+            _cancel(tasks)
 
     def _spend(self) -> bool:
-        if self._saved < 1:
+        if self._budget < 1:
             return False
-        self._saved -= 1
+        self._budget -= 1
         return True
 
 
-async def _first_opened(tasks: list[asyncio.Task]) -> Opened | Failure:
+async def _first_opened(tasks: list[asyncio.Task[Opened | Failure]]) -> Opened | Failure:
     pending = set(tasks)
     failure: Failure | None = None
     while pending:
@@ -60,16 +60,20 @@
                 return outcome
             if failure is None or failure.certainly_not_run:
                 failure = outcome
+    assert failure is not None, "each attempt has an outcome"
     return failure
 
 
-def _give_up(tasks: list[asyncio.Task]) -> None:
+def _cancel(tasks: list[asyncio.Task[Opened | Failure]]) -> None:
     """Ends the attempts that nobody waits for; an answer that came meanwhile is closed."""
     for task in tasks:
         task.cancel()
         task.add_done_callback(_close_opened)
 
 
-def _close_opened(task: asyncio.Task) -> None:
-    if not task.cancelled() and task.exception() is None and isinstance(task.result(), Opened):
-        task.result().close()
+def _close_opened(task: asyncio.Task[Opened | Failure]) -> None:
+    if task.cancelled() or task.exception() is not None:
+        return
+    outcome = task.result()
+    if isinstance(outcome, Opened):
+        outcome.close()
--- a/kestrelbend/tier/dataplane/reported_load.py
+++ b/kestrelbend/tier/dataplane/reported_load.py
@@ -1,4 +1,4 @@
-"""What backends tell of their load in their answers: requests running, requests waiting, slots.
+"""What backends report of their load in their answers: requests running, requests waiting, slots.
 
 A report is as old as its answer, and all gateways that heard it would move together if each acted on the
 last one.  So reports are smoothed, and what they say fades with their age (stale reports: Mitzenmacher 2000).
@@ -10,13 +10,15 @@
 
 import attrs
 
-NEWEST_SHARE = 0.4  # of the newest report in the mean
-FADED_S = 4.0  # a mean of this age says nothing any more
-MOST_DIGITS = 6
+SMOOTHING = 0.4  # of the newest report in the mean
+EXPIRY_S = 4.0  # a mean of this age says nothing any more
+MAX_DIGITS = 6
 
 
 @attrs.define
 class _Mean:
+    """A moving mean of the requests of other gateways."""
+
     others: float
     as_of: float
 
@@ -28,18 +30,18 @@
         self._means: dict[str, _Mean] = {}
         self._services: set[str] = set()
 
-    def note(self, service: str, identity: str, report: bytes | None, own: int, now: float) -> None:
+    def record(self, service: str, identity: str, report: bytes | None, own: int, now: float) -> None:
         """Takes an answer's report; `own` requests were this gateway's.  A malformed one says nothing."""
-        taken = _taken(report)
-        if taken is None:
+        reported = _requests_in(report)
+        if reported is None:
             return
         self._services.add(service)
-        others = max(0.0, taken - own)
+        others = max(0.0, reported - own)
         mean = self._means.get(identity)
-        if mean is None or now - mean.as_of > FADED_S:
+        if mean is None or now - mean.as_of > EXPIRY_S:
             self._means[identity] = _Mean(others, now)
             return
-        mean.others += (others - mean.others) * NEWEST_SHARE
+        mean.others += (others - mean.others) * SMOOTHING
         mean.as_of = now
 
     def others(self, identity: str, now: float) -> float:
@@ -47,10 +49,10 @@
         mean = self._means.get(identity)
         if mean is None:
             return 0.0
-        return mean.others * max(0.0, 1 - (now - mean.as_of) / FADED_S)
+        return mean.others * max(0.0, 1 - (now - mean.as_of) / EXPIRY_S)
 
-    def told_by(self, service: str) -> bool:
-        """Whether the service's backends tell their load."""
+    def is_reported(self, service: str) -> bool:
+        """Whether the service's backends report their load."""
         return service in self._services
 
     def keep_only(self, live: set[str]) -> None:
@@ -58,11 +60,11 @@
         self._means = {identity: mean for identity, mean in self._means.items() if identity in live}
 
 
-def _taken(report: bytes | None) -> int | None:
+def _requests_in(report: bytes | None) -> int | None:
     """Requests that run and wait, by a report "running,waiting,slots"."""
     if report is None:
         return None
     parts = [part.strip() for part in report.split(b",")]
-    if len(parts) != 3 or not all(part.isdigit() and len(part) <= MOST_DIGITS for part in parts):
+    if len(parts) != 3 or not all(part.isdigit() and len(part) <= MAX_DIGITS for part in parts):
         return None
     return int(parts[0]) + int(parts[1])
--- a/kestrelbend/tier/dataplane/send.py
+++ b/kestrelbend/tier/dataplane/send.py
@@ -26,7 +26,7 @@
     end_to_end,
 )
 
-UNTOLD_IDLE_S = 1.0  # non-repeatable: rest of a connection whose backend does not tell its Keep-Alive
+UNDECLARED_IDLE_S = 1.0  # not repeatable: idle time of a connection whose backend declares no Keep-Alive
 REFUSAL_BODY_S = 0.05  # how long the rest of a refusal is waited for, to use the connection again
 SURPLUS_ANSWERS_AT_MOST = 3  # in the place of ours
 MISDIRECTED = 421  # another instance, or other weights
@@ -114,11 +114,11 @@
     async def send(self, exchange: Exchange, sending: Sending) -> Answer | Failure:
         """Sends the request and waits for the head of its answer."""
         backend = sending.backend
-        untold_idle_s = None if exchange.repeatable else UNTOLD_IDLE_S
+        undeclared_idle_s = None if exchange.repeatable else UNDECLARED_IDLE_S
         left_s = exchange.deadline - asyncio.get_running_loop().time()
         try:
             connection = await self._connections.acquire(
-                backend, exchange.service, left_s, untold_idle_s, sending.fresh, sending.carried
+                backend, exchange.service, left_s, undeclared_idle_s, sending.fresh, sending.carried
             )
         except ConnectionRefusedError:
             return Failure.REFUSED
@@ -170,7 +170,7 @@
         headers = [(name.lower(), value) for name, value in response.headers]
         fields = dict(headers)
         connection = sending.connection
-        connection.heed(headers)
+        connection.apply_headers(headers)
         status = response.status
         if not _names_only(exchange.request_id, headers):
             return Failure.GARBLED
--- a/tests/tier/test_dataplane_search.py
+++ b/tests/tier/test_dataplane_search.py
@@ -205,7 +205,7 @@
         assert reserved == sorted(settle.reservation for settle in self.world.budget.settled)
         assert self.world.life.in_flight == 0
         assert not self.world.plane.chooser.in_flight
-        assert self.world.plane.connections.open == self.world.plane.connections.resting
+        assert self.world.plane.connections.open == self.world.plane.connections.idle_count
 
 
 def play(seed: int) -> Chaos:
@@ -232,6 +232,6 @@
         seen = health.Health()
         backends = list(chaos.world.live.values())
         for backend in backends:
-            seen.refused(backend.identity, 0.0)
-        self.assertEqual(3, len(seen.sound(backends, 0.0)))
-        self.assertEqual(6, len(seen.sound(backends, 30.0)))
+            seen.connection_refused(backend.identity, 0.0)
+        self.assertEqual(3, len(seen.healthy(backends, 0.0)))
+        self.assertEqual(6, len(seen.healthy(backends, 30.0)))
