--- a/kestrelbend/gateway_settings/installation.py
+++ b/kestrelbend/gateway_settings/installation.py
@@ -10,7 +10,7 @@
 from ..fronts.asking import Authoriser
 from ..fronts.attributes import Checks
 from .model import MS, Plan, PositiveFloat, PositiveInt, S, Terms
-from .units import Address, Microseconds, ByteSize
+from .units import Address, ByteSize, Microseconds
 
 MIN_PERIOD = 50 * MS
 MAX_PERIOD = 60 * S
--- a/kestrelbend/gateway_settings/model.py
+++ b/kestrelbend/gateway_settings/model.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct, field
 
 from .. import interface
-from .units import Microseconds, Fraction
+from .units import Fraction, Microseconds
 
 PositiveInt = Annotated[int, Meta(ge=1)]
 NonNegativeInt = Annotated[int, Meta(ge=0)]
--- a/kestrelbend/gateway_settings/toml_files.py
+++ b/kestrelbend/gateway_settings/toml_files.py
@@ -224,6 +224,6 @@
 
 
 def _plain(error: Exception) -> str:
-    """msgspec says where within the value a fault is; the path says the rest."""
+    """What msgspec finds wrong, without the place within the value: the path says that."""
     text = str(error)
     return text[:1].lower() + text[1:].replace("`", "").removesuffix(" - at $")
--- a/kestrelbend/tier/configuration/field_checks.py
+++ b/kestrelbend/tier/configuration/field_checks.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-import ipaddress
 import functools
+import ipaddress
 from collections.abc import Iterator
 from typing import Any
 
--- a/kestrelbend/tier/configuration/schemas.py
+++ b/kestrelbend/tier/configuration/schemas.py
@@ -10,16 +10,16 @@
 import schema
 
 from kestrelbend.tier.configuration.field_checks import (
-    ObjectSchema,
     ListSchema,
     MapSchema,
-    is_non_negative_integer,
+    ObjectSchema,
     is_boolean,
+    is_integer,
     is_non_negative,
+    is_non_negative_integer,
     is_positive,
     is_positive_integer,
     is_text,
-    is_integer,
 )
 
 MAX_VERSION = 2**62
