--- a/kestrelbend/command/lab_model.py
+++ b/kestrelbend/command/lab_model.py
@@ -20,10 +20,10 @@
     from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
     from kestrelbend.tier.model.search import search
 
-    name, faults, most_states = asked
+    name, faults, max_states = asked
     if name in ORDER_SCRIPTS:
         return search_orders(name, faults)
-    return search(SCRIPTS[name], faults, most_states)
+    return search(SCRIPTS[name], faults, max_states)
 
 
 class ModelVerb(Verb):
@@ -49,13 +49,13 @@
 
         known = [*SCRIPTS, *ORDER_SCRIPTS]
         depth = self.whole_option("depth", least=0)
-        most_states = self.whole_option("states", least=1)
+        max_states = self.whole_option("states", least=1)
         jobs = self.whole_option("jobs", least=1)
         names = self.option("scripts").split(",") if self.option("scripts") else known
         unknown = [name for name in names if name not in known]
         if unknown:
             raise wrong(f"--scripts: '{unknown[0]}' is none of {', '.join(known)}")
-        asked = [(name, depth, most_states) for name in names]
+        asked = [(name, depth, max_states) for name in names]
         with self.guard_taken_out(), multiprocessing.get_context("fork").Pool(jobs) as pool:
             return self._tell(pool.imap(_search, asked))
 
@@ -64,6 +64,6 @@
         for found in searches:
             states += found.states
             broken += bool(found.broken)
-            self.say(found.told())
+            self.say(found.summary())
         self.say(f"{states} states; {broken} scripts broke a rule")
         return FAILED if broken else DONE
--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -1,14 +1,23 @@
-"""A machine of the model: a replica, its clock, its disk, and a state machine that lists the commands."""
+"""A machine of the model: a replica, its clock, its disk, and a state machine that lists the commands.
+
+Invariant: the disk holds a write only once it was synced; what was not is gone with the power.
+Hazard: a machine that remembers more than a real one would; `start` begins anew with the disk alone.
+"""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from ..replication import Replica, Timing, replay
 from ..replication.group import Voters
 from ..replication.progress import NEVER
 from ..replication.messages import DurableRecord, DurableState, ReplicaId, Snapshot
 
+if TYPE_CHECKING:
+    from .world import Message
+
 SHARD = "model"
-TICKETS_OF_A_LIFE = 1000
+TICKETS_PER_INCARNATION = 1000
 
 
 class Node:
@@ -22,16 +31,27 @@
         self.records: list[DurableRecord] = []
         self.unsynced: list[tuple[int, DurableRecord]] = []
         self.stalled = False
-        self.kept: list | None = None  # messages to it, while they are held up
-        self.replica: Replica | None = None
+        self.delayed: list[Message] | None = None  # messages to it, while they are held up
+        self._replica: Replica | None = None
         self.applied_index = 0
         self.commands: list[bytes] = []
         self.reads: dict[int, int] = {}  # tickets, each with the length of the history when it was asked
-        self.heard: dict[ReplicaId, float] = {}  # by its own clock, when what it last heard of each was sent
+        self.last_contacts: dict[ReplicaId, float] = {}  # by its own clock, when the last message was sent
         self.leader_since = NEVER
-        self.stood_until = NEVER  # when it last went on after it had stood still
+        self.resumed_at = NEVER  # when it last went on after it had stood still
         self.committed_at: list[tuple[float, int]] = []  # by its own clock, the length of the history
 
+    @property
+    def is_started(self) -> bool:
+        """Whether a process has begun here."""
+        return self._replica is not None
+
+    @property
+    def replica(self) -> Replica:
+        """The replica of the process that runs here."""
+        assert self._replica is not None, f"{self.name} is not started"
+        return self._replica
+
     @property
     def identity(self) -> ReplicaId:
         """The replica's name, which an emptied disk doesn't keep."""
@@ -41,25 +61,27 @@
         """What the disk holds."""
         return replay(self.records)
 
-    def start(self, founders: Voters, timing: Timing, watches: bool) -> None:
-        """A process begins from the disk; what was not synced is lost.  `watches`: its currency."""
+    def start(self, founders: Voters, timing: Timing, watches_currency: bool) -> None:
+        """A process begins from the disk; what was not synced is lost.  `watches_currency`: its currency."""
         self.incarnation += 1
         self.unsynced = []
-        self.kept = None
+        self.delayed = None
         self.stalled = False
-        self.applied_index, self.commands, self.reads = 0, [], {}
-        self.replica = Replica(
+        self.applied_index = 0
+        self.commands = []
+        self.reads = {}
+        self._replica = Replica(
             shard=SHARD,
             identity=self.identity,
             founders=founders,
             durable=self.durable(),
             timing=timing,
             now=self.clock,
-            first_ticket=self.incarnation * TICKETS_OF_A_LIFE,
+            first_ticket=self.incarnation * TICKETS_PER_INCARNATION,
         )
-        self.heard = {}
-        if watches:
-            self.replica.watch_currency()
+        self.last_contacts = {}
+        if watches_currency:
+            self._replica.watch_currency()
 
     def sync(self) -> int:
         """The oldest write under way is on the disk; its ticket."""
@@ -72,18 +94,18 @@
         self.applied_index = snapshot.index
         self.commands = snapshot.state.split(b"\n") if snapshot.state else []
 
-    def note_committed(self, length: int) -> None:
+    def record_committed(self, length: int) -> None:
         """Remembers what was committed by now, to judge later what was read here."""
         if not self.committed_at or self.committed_at[-1][1] != length:
             self.committed_at.append((self.clock, length))
 
-    def hear(self, sender: ReplicaId, made_at: float) -> None:
-        """A message came that was sent while this clock showed `made_at`."""
-        self.heard[sender] = max(made_at, self.heard.get(sender, made_at))
+    def record_contact(self, sender: ReplicaId, sent_at: float) -> None:
+        """A message came that was sent while this clock showed `sent_at`."""
+        self.last_contacts[sender] = max(sent_at, self.last_contacts.get(sender, sent_at))
 
-    def heard_since(self, moment: float) -> set[ReplicaId]:
+    def contacts_since(self, moment: float) -> set[ReplicaId]:
         """Who has sent what came, since this clock showed `moment`; the replica itself always has."""
-        return {sender for sender, at in self.heard.items() if at >= moment} | {self.identity}
+        return {sender for sender, at in self.last_contacts.items() if at >= moment} | {self.identity}
 
     def committed_by(self, moment: float) -> int:
         """How much had been committed before this clock showed `moment`."""
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -23,6 +23,9 @@
 from ..configuration.statuses import OK
 from ..fleet.operator import marker_route, route, services
 from ..protocol.codec import encode
+from ..replication import Effects, Replica
+from ..replication.hosted import PendingProposal
+from ..replication.interfaces import Outcome
 from ..replication.messages import EntryKind
 from .node import Node
 from .rules import require
@@ -57,37 +60,37 @@
     refused: bool = False
 
 
-class _Carrier:
+class ReplicaCarrier:
     """A node's replica as the service sees it, see `ShardHost`."""
 
     def __init__(self, world: OrderWorld, node: Node) -> None:
         self._world = world
         self._node = node
         self.table = ConfigurationMachine()
-        self.waiting: dict[int, tuple[int, Callable]] = {}
-        self.confirming: dict[int, Callable] = {}
+        self.proposals: dict[int, PendingProposal] = {}  # by index
+        self.pending_reads: dict[int, Callable[[bool], None]] = {}  # by ticket
 
     def machine(self, shard: str) -> ConfigurationMachine:
         """The state here."""
         return self.table
 
-    def replica(self, shard: str):
+    def replica(self, shard: str) -> Replica:
         """The replica here."""
         return self._node.replica
 
-    def propose(self, shard: str, command: bytes, outcome: Callable, now: float) -> bool:
+    def propose(self, shard: str, command: bytes, outcome: Outcome, now: float) -> bool:
         """Proposes a command."""
         index = self._node.replica.propose(command, self._node.clock)
         if index is not None:
-            self.waiting[index] = (self._node.replica.term, outcome)
+            self.proposals[index] = PendingProposal(self._node.replica.term, outcome)
         return index is not None
 
-    def confirm(self, shard: str, outcome: Callable, now: float) -> bool:
+    def confirm(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
         """Asks for a confirmation."""
         ticket = self._node.replica.confirm(self._node.clock)
         if ticket is None:
             return False
-        self.confirming[ticket] = outcome
+        self.pending_reads[ticket] = outcome
         self._node.reads[ticket] = len(self._world.rules.history)
         self._world.work(self._node)
         return True
@@ -97,13 +100,20 @@
         self._world.work(self._node)
 
 
+class NoConnections:
+    """No other process can be asked: an order is decided where it comes."""
+
+    def to(self, address: str) -> None:
+        """The connection to an address: none."""
+
+
 class OrderWorld(World):
     """The model's state with a configuration on top."""
 
     def __init__(self, script: Script, faults: int) -> None:
-        self.carriers: dict[str, _Carrier] = {}
+        self.carriers: dict[str, ReplicaCarrier] = {}
         self.answers = {name: Answers() for name in ORDERS}
-        self._calls: set[asyncio.Task] = set()
+        self._calls: set[asyncio.Task[None]] = set()
         super().__init__(script, faults)
 
     def order(self, name: str, order: str) -> None:
@@ -114,11 +124,12 @@
 
     async def _decide(self, name: str, order: str) -> None:
         carrier = self.carriers[name]
-        service = ConfigurationService(carrier, None, lambda: self.nodes[name].clock, _at_once)
-        asked_at = self.nodes[name].clock
+        node = self.nodes[name]
+        service = ConfigurationService(carrier, NoConnections(), lambda: node.clock, no_gateway_wait)
+        requested_at = node.clock
         outcome = await service.decide(ORDERS[order])
         if outcome.status not in (OK, UNDETERMINED):
-            self.rules.refuses(self.nodes[name], asked_at)
+            self.rules.refuses(node, requested_at)
         if carrier is self.carriers[name] and outcome.status != UNDETERMINED:
             self._answered(order, outcome)
 
@@ -138,7 +149,7 @@
             if other != order and same_base and answers.acknowledged:
                 require(False, f"{order} and {other} are both acknowledged")
 
-    async def settle_calls(self) -> None:
+    async def run_calls(self) -> None:
         """Lets every call go on that can; raises the rule that one has broken."""
         for _ in range(TURNS):
             await asyncio.sleep(0)
@@ -179,7 +190,7 @@
                 yield from (("order", name, order) for order in ORDERS)
 
     def _start(self, name: str) -> None:
-        self.carriers[name] = _Carrier(self, self.nodes[name])
+        self.carriers[name] = ReplicaCarrier(self, self.nodes[name])
         super()._start(name)
 
     def compact(self, name: str) -> None:
@@ -192,19 +203,19 @@
         super()._work(node)
         carrier = self.carriers[node.name]
         if not node.replica.is_leader:
-            waiting, carrier.waiting = carrier.waiting, {}
-            for _, outcome in waiting.values():
-                outcome(None)
+            pending, carrier.proposals = carrier.proposals, {}
+            for proposal in pending.values():
+                proposal.outcome(None)
 
-    def _confirmed(self, node: Node, effects) -> None:
+    def _confirmed(self, node: Node, effects: Effects) -> None:
         super()._confirmed(node, effects)
         carrier = self.carriers[node.name]
         for ticket in effects.confirmed_reads:
-            carrier.confirming.pop(ticket)(True)
+            carrier.pending_reads.pop(ticket)(True)
         for ticket in effects.failed_reads:
-            carrier.confirming.pop(ticket)(False)
+            carrier.pending_reads.pop(ticket)(False)
 
-    def _apply(self, node: Node, effects) -> None:
+    def _apply(self, node: Node, effects: Effects) -> None:
         carrier = self.carriers[node.name]
         if effects.restore is not None:
             node.applied_index = effects.restore.index
@@ -212,20 +223,20 @@
         for entry in effects.applied:
             require(entry.index == node.applied_index + 1, f"{node.name} applies {entry} out of order")
             node.applied_index = entry.index
-            self._note_applied(node, entry)
+            self._record_applied(node, entry)
             is_order = entry.kind == EntryKind.COMMAND and entry.data != b"calm"
             outcome = carrier.table.apply(entry.data) if is_order else None
-            term, callback = carrier.waiting.pop(entry.index, (0, None))
-            if callback is not None:
-                callback(outcome if term == entry.term else None)
+            pending = carrier.proposals.pop(entry.index, None)
+            if pending is not None:
+                pending.outcome(outcome if pending.term == entry.term else None)
 
 
-async def _at_once(version: int, within: float) -> None:
+async def no_gateway_wait(version: int, within: float) -> None:
     """No gateway is asked."""
 
 
 @attrs.define
-class _Runs:
+class RunCounters:
     """Counts runs and steps."""
 
     runs: int = 0
@@ -236,7 +247,7 @@
 def search_orders(name: str, faults: int) -> Found:
     """All runs of a script of orders with up to `faults` faults, each at any step."""
     begun = time.perf_counter()
-    counted = _Runs()
+    counted = RunCounters()
     broken, steps = asyncio.run(_search(ORDER_SCRIPTS[name], faults, counted))
     return Found(
         script=name,
@@ -250,7 +261,7 @@
     )
 
 
-async def _search(script: Script, faults: int, counted: _Runs) -> tuple[str, tuple[Step, ...]]:
+async def _search(script: Script, faults: int, counted: RunCounters) -> tuple[str, tuple[Step, ...]]:
     waiting: list[tuple[tuple[int, Step], ...]] = [()]
     while waiting:
         chosen = waiting.pop()
@@ -267,10 +278,12 @@
     return "", ()
 
 
-async def _play(world: OrderWorld, chosen: tuple[tuple[int, Step], ...], counted: _Runs) -> list:
+async def _play(
+    world: OrderWorld, chosen: tuple[tuple[int, Step], ...], counted: RunCounters
+) -> list[tuple[int, Step]]:
     """Plays a run with the chosen faults at their steps; all faults that could have been chosen."""
     faults = dict(chosen)
-    alternatives = []
+    alternatives: list[tuple[int, Step]] = []
     at = 0
     while True:
         steps = list(world.steps())
@@ -278,12 +291,12 @@
             break
         alternatives += [(at, step) for step in steps[1:]]
         world.take(faults.get(at, ("proceed",)))
-        await world.settle_calls()
+        await world.run_calls()
         at += 1
     counted.runs += 1
     counted.steps += at
     counted.longest = max(counted.longest, at)
     world.calm()
-    await world.settle_calls()
+    await world.run_calls()
     world.check_end()
     return alternatives
--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -45,6 +45,7 @@
         leader = self._leaders.setdefault(replica.term, replica.identity)
         require(leader == replica.identity, f"{leader} and {replica.identity} lead term {replica.term}")
         held = replica.durable_record()
+        assert held.snapshot is not None
         entries = {entry.index: entry for entry in held.entries}
         for entry, term in zip(self.history, self._committed_in, strict=True):
             if held.snapshot.index < entry.index and term < replica.term:
@@ -87,19 +88,19 @@
         """A leader that no majority has answered for two election timeouts has given up."""
         since = node.clock - 2 * election_timeout
         if node.replica.is_leader and node.leader_since < since:
-            heard = node.heard_since(since)
+            heard = node.contacts_since(since)
             kept = has_quorum(node.replica.voters, heard.__contains__)
             require(kept, f"{node.name} goes on leading and heard {sorted(heard)} lately")
 
     def votes_are_fresh(self, node: Node) -> None:
         """A process that stood still begins to lead by votes given since then alone."""
-        heard = node.heard_since(node.stood_until)
+        heard = node.contacts_since(node.resumed_at)
         fresh = has_quorum(node.replica.voters, heard.__contains__)
         require(fresh, f"{node.name} leads by votes from before it stood still, heard {sorted(heard)} since")
 
-    def refuses(self, node: Node, asked_at: float) -> None:
+    def refuses(self, node: Node, requested_at: float) -> None:
         """A refusal is given only by a leader that a majority has answered since it was asked."""
-        heard = node.heard_since(asked_at)
+        heard = node.contacts_since(requested_at)
         confirmed = has_quorum(node.replica.voters, heard.__contains__)
         require(confirmed, f"{node.name} refuses an order and heard {sorted(heard)} since")
 
@@ -108,7 +109,7 @@
         replica, now = node.replica, node.clock
         since = now - CONTACT_S
         if owner_contact.in_contact(replica, now):
-            heard = node.heard_since(since)
+            heard = node.contacts_since(since)
             if replica.is_leader:
                 enough = has_quorum(replica.voters, heard.__contains__)
             else:
@@ -151,6 +152,7 @@
 def group_before(replica: Replica, index: int) -> Voters:
     """The voters that a replica's log names up to before the entry `index`."""
     record = replica.durable_record()
+    assert record.snapshot is not None
     groups = [entry for entry in record.entries if entry.kind == EntryKind.GROUP and entry.index < index]
     return decode_group(groups[-1].data) if groups else record.snapshot.voters
 
--- a/kestrelbend/tier/model/search.py
+++ b/kestrelbend/tier/model/search.py
@@ -28,7 +28,7 @@
     steps: tuple[Step, ...] = ()
     group: Voters = ()  # at the end of the last run
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """A line about the search, and the faults among the steps of a run that broke a rule."""
         covered = "all runs" if self.complete else "not all runs"
         text = (
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class _Reached:
+class ReachedState:
     """A state not yet looked at, and the steps that led there."""
 
     state: bytes
@@ -52,12 +52,12 @@
 class Search:
     """Visits the states with fewer faults first, so that what takes fewer of them is found first."""
 
-    def __init__(self, script: Script, faults: int, most_states: int | None = None) -> None:
+    def __init__(self, script: Script, faults: int, max_states: int | None = None) -> None:
         self._script = script
         self._faults = faults
-        self._most_states = most_states
+        self._max_states = max_states
         self._seen: set[bytes] = set()
-        self._waiting: list[list[_Reached]] = [[] for _ in range(faults + 1)]
+        self._pending_states: list[list[ReachedState]] = [[] for _ in range(faults + 1)]
         self._longest = 0
         self._path: tuple[Step, ...] = ()
         self._group: Voters = ()
@@ -68,8 +68,8 @@
         complete, broken = True, ""
         try:
             self._path = (("begin",),)
-            self._reach(World(self._script, self._faults), ())
-            complete = self._look_at_all()
+            self._add_state(World(self._script, self._faults), ())
+            complete = self._visit_all()
         except AssertionError as fault:
             broken = str(fault) or repr(fault)
         return Found(
@@ -84,24 +84,24 @@
             group=self._group,
         )
 
-    def _look_at_all(self) -> bool:
+    def _visit_all(self) -> bool:
         for left in range(self._faults, -1, -1):
-            waiting = self._waiting[left]
+            waiting = self._pending_states[left]
             while waiting:
-                if self._most_states is not None and len(self._seen) >= self._most_states:
+                if self._max_states is not None and len(self._seen) >= self._max_states:
                     return False
-                self._look_at(waiting.pop())
+                self._visit(waiting.pop())
         return True
 
-    def _look_at(self, reached: _Reached) -> None:
+    def _visit(self, reached: ReachedState) -> None:
         world = pickle.loads(reached.state)
         steps = list(world.steps())
         for step in steps:
             if step != PROCEED:
                 self._take(pickle.loads(reached.state), step, reached.path)
-        self._go_on(world, reached.path)
+        self._proceed(world, reached.path)
 
-    def _go_on(self, world: World, path: tuple[Step, ...]) -> None:
+    def _proceed(self, world: World, path: tuple[Step, ...]) -> None:
         """The run without a further fault, for as long as its states are new; calm at its end."""
         if PROCEED in world.steps():
             self._take(world, PROCEED, path)
@@ -113,17 +113,17 @@
     def _take(self, world: World, step: Step, path: tuple[Step, ...]) -> None:
         self._path = (*path, step)
         world.take(step)
-        self._reach(world, self._path)
+        self._add_state(world, self._path)
 
-    def _reach(self, world: World, path: tuple[Step, ...]) -> None:
+    def _add_state(self, world: World, path: tuple[Step, ...]) -> None:
         state = pickle.dumps(world, protocol=pickle.HIGHEST_PROTOCOL)
         digest = hashlib.blake2b(state, digest_size=16).digest()
         self._longest = max(self._longest, len(path))
         if digest not in self._seen:
             self._seen.add(digest)
-            self._waiting[world.faults].append(_Reached(state, path))
+            self._pending_states[world.faults].append(ReachedState(state, path))
 
 
-def search(script: Script, faults: int, most_states: int | None = None) -> Found:
+def search(script: Script, faults: int, max_states: int | None = None) -> Found:
     """Searches all runs of a script with up to `faults` faults."""
-    return Search(script, faults, most_states).run()
+    return Search(script, faults, max_states).run()
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -17,8 +17,8 @@
 from .rules import Rules, entries_of, group_before, require
 
 STEP_S = 0.001  # by a node's own clock, for each event that it handles
-PATIENCE_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
-MEANWHILE_S = 0.31  # that passes for the others: voters let go of the leader, the leader itself doesn't
+TIME_OUT_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
+OTHERS_TIME_OUT_S = 0.31  # that passes for the others: voters let go of the leader, the leader itself doesn't
 TICK_S = 0.02
 CALM_S = 4.0
 
@@ -38,16 +38,16 @@
     founders: str
     others: str
     lines: tuple[Step, ...]
-    watches: bool = False  # all replicas ask their leader how new they are, all the time
+    watches_currency: bool = False  # all replicas ask their leader how new they are, all the time
 
 
 @attrs.frozen
 class Message:
-    """A message under way; `made_at` is its receiver's clock when it was sent."""
+    """A message under way; `sent_at` is its receiver's clock when it was sent."""
 
     sender: str
     receiver: str
-    made_at: float
+    sent_at: float
     content: ReplicaMessage
     arrived: bool = False  # it lay in the receiver's socket; no cut holds it up any more
 
@@ -92,7 +92,7 @@
             yield "lose_power", name
             if node.unsynced:
                 yield "restart", name
-            yield "patience", name
+            yield "time_out", name
             yield "compact", name
             if node.replica.is_leader:
                 yield "transfer", name
@@ -147,10 +147,10 @@
         node.generation += 1
         self._start(name)
 
-    def patience(self, name: str) -> None:
+    def time_out(self, name: str) -> None:
         """A replica hears nobody for long enough to campaign; the others let go of the leader meanwhile."""
         for other in self.nodes:
-            for span in (PATIENCE_S, PATIENCE_S) if other == name else (MEANWHILE_S,):
+            for span in (TIME_OUT_S, TIME_OUT_S) if other == name else (OTHERS_TIME_OUT_S,):
                 self.advance(other, span)
 
     def advance(self, name: str, seconds: float | str) -> None:
@@ -181,14 +181,14 @@
         node.replica.transfer(node.clock)
         self._work(node)
 
-    def aim(self, names: str) -> None:
+    def set_target(self, names: str) -> None:
         """The group wished for; every replica is told."""
         target = tuple(self.nodes[name].identity for name in names)
         for node in self.nodes.values():
             node.replica.set_target(target)
             self._work(node)
 
-    def aim_at(self, name: str, names: str) -> None:
+    def set_target_at(self, name: str, names: str) -> None:
         """The group wished for; one replica is told."""
         node = self.nodes[name]
         node.replica.set_target(tuple(self.nodes[other].identity for other in names))
@@ -206,7 +206,7 @@
         node.replica.set_learners(tuple(self.nodes[other].identity for other in learners))
         self._work(node)
 
-    def when_owns(self, name: str, *step: str) -> None:
+    def when_leads(self, name: str, *step: str) -> None:
         """What is done at the moment at which a replica next begins to lead, before its messages come."""
         self.when_leader[name] = step
 
@@ -220,35 +220,36 @@
             for other in self.nodes.keys() - set(names):
                 self.cuts |= {(name, other), (other, name)}
 
-    def join(self) -> None:
+    def heal(self) -> None:
         """All links work."""
         self.cuts = set()
 
-    def stall(self, name: str) -> None:
+    def stall_disk(self, name: str) -> None:
         """A disk finishes no write."""
         self.nodes[name].stalled = True
 
-    def mend(self, name: str) -> None:
+    def resume_disk(self, name: str) -> None:
         """A disk finishes its writes."""
         node = self.nodes[name]
         node.stalled = False
         self.queue += [Written(name, node.incarnation) for _ in node.unsynced]
 
-    def stand_still(self, name: str, seconds: str) -> None:
+    def pause_process(self, name: str, seconds: str) -> None:
         """A process stands still; its next call comes with what waits."""
         node = self.nodes[name]
         node.clock = round(node.clock + float(seconds), 6)
-        node.stood_until = node.clock
+        node.resumed_at = node.clock
 
-    def hold(self, name: str) -> None:
+    def delay_messages(self, name: str) -> None:
         """Messages to a replica wait in its socket."""
-        self.nodes[name].kept = []
+        self.nodes[name].delayed = []
 
-    def release(self, name: str) -> None:
+    def deliver_delayed(self, name: str) -> None:
         """They come."""
         node = self.nodes[name]
-        kept, node.kept = node.kept or [], None
-        self.queue = [*kept, *self.queue]
+        delayed = node.delayed or []
+        node.delayed = None
+        self.queue = [*delayed, *self.queue]
 
     def _may_lose_a_disk(self) -> bool:
         return not self.rules.emptied.intersection(self.rules.group)
@@ -257,7 +258,7 @@
 
     def _start(self, name: str) -> None:
         node = self.nodes[name]
-        node.start(self.founders, self.timing, self.script.watches)
+        node.start(self.founders, self.timing, self.script.watches_currency)
         self._work(node)
 
     def _handle(self, event: Message | Written) -> None:
@@ -269,11 +270,11 @@
         lost = (event.sender, name) in self.cuts and not event.arrived
         if str(node.generation) != generation or lost:
             return
-        if node.kept is not None:
-            node.kept.append(attrs.evolve(event, arrived=True))
+        if node.delayed is not None:
+            node.delayed.append(attrs.evolve(event, arrived=True))
             return
         self._pass_time(node)
-        node.hear(event.content.sender, event.made_at)
+        node.record_contact(event.content.sender, event.sent_at)
         node.replica.receive(event.content, node.clock)
         self._work(node)
 
@@ -302,13 +303,13 @@
             if not node.stalled:
                 self.queue.append(Written(node.name, node.incarnation))
         for receiver, message in effects.sends:
-            made_at = self.nodes[receiver.partition("#")[0]].clock
-            self.queue.append(Message(node.name, receiver, made_at, message))
+            sent_at = self.nodes[receiver.partition("#")[0]].clock
+            self.queue.append(Message(node.name, receiver, sent_at, message))
         self._apply(node, effects)
         self._confirmed(node, effects)
         if effects.writes:
-            self.rules.logs_match(other.replica for other in self.nodes.values() if other.replica)
-        if self.script.watches:
+            self.rules.logs_match(other.replica for other in self.nodes.values() if other.is_started)
+        if self.script.watches_currency:
             self.rules.standing(node)
         if effects.leadership_changed and replica.is_leader:
             self._do(self.when_leader.pop(node.name, None))
@@ -341,7 +342,7 @@
         for entry in effects.applied:
             require(entry.index == node.applied_index + 1, f"{node.name} applies {entry} out of order")
             node.applied_index = entry.index
-            self._note_applied(node, entry)
+            self._record_applied(node, entry)
             if entry.kind == EntryKind.COMMAND:
                 node.commands.append(entry.data)
         if effects.applied or effects.restore is not None:
@@ -349,25 +350,25 @@
             known = [entry.data for entry in before if entry.kind == EntryKind.COMMAND]
             require(node.commands == known, f"{node.name} holds {node.commands}, committed are {known}")
 
-    def _note_applied(self, node: Node, entry: Entry) -> None:
+    def _record_applied(self, node: Node, entry: Entry) -> None:
         self.rules.applied(entry, node.replica.term, self.nodes.values())
         for other in self.nodes.values():
-            other.note_committed(len(self.rules.history))
+            other.record_committed(len(self.rules.history))
 
     # The end
 
     def calm(self) -> None:
         """No fault comes any more: a further command is committed after all before it, and reaches all."""
-        self.join()
+        self.heal()
         self.when_leader, self.when_committed = {}, {}
         for name in self.nodes:
-            self.mend(name)
-            self.release(name)
+            self.resume_disk(name)
+            self.deliver_delayed(name)
         acknowledged = self.rules.commands()
         for _ in range(round(CALM_S / TICK_S)):
             if self._is_calm():
                 break
-            self._settle()
+            self._drain_queue()
             for name, node in self.nodes.items():
                 self.advance(name, TICK_S)
                 if b"calm" not in [entry.data for entry in entries_of(node.replica).values()]:
@@ -386,7 +387,7 @@
             and all(node.applied_index == newest for node in held)
         )
 
-    def _settle(self) -> None:
+    def _drain_queue(self) -> None:
         while self.queue:
             self._handle(self.queue.pop(0))
 
--- a/kestrelbend/tier/replication/interfaces.py
+++ b/kestrelbend/tier/replication/interfaces.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import Any, Protocol
 
 from ..storage.records import Record
 
-Outcome = Callable[[object | None], None]  # gets a command's outcome; None: it may or may not count
+Outcome = Callable[[Any], None]  # gets the state machine's outcome; None: the command may or may not count
 
 
 class SnapshotImage(Protocol):
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -38,12 +38,12 @@
 
     def test_no_run_of_the_core_breaks_a_rule(self):
         found = self.pool.map(search_script, SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.told() for one in found if one.broken])
+        self.assertEqual([], [one.summary() for one in found if one.broken])
         self.assertGreater(sum(one.states for one in found), 1000 * len(SCRIPTS))
 
     def test_no_run_with_orders_breaks_a_rule(self):
         found = self.pool.map(search_script_of_orders, ORDER_SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.told() for one in found if one.broken])
+        self.assertEqual([], [one.summary() for one in found if one.broken])
 
 
 class TestScripts(testtools.TestCase):
