--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -1,67 +1,80 @@
 """The control process: the configuration's shard, the operator's API, backends' heartbeats, the directory.
 
-Every control node answers everything: orders go on to the shard's owner, news of backends to the other
+Every control node answers everything: orders go on to the shard's owner, updates of backends to the other
 control nodes.  The owner of the configuration's shard also decides who should hold which shard.
-What it serves stands in `tier/control/`, a part a module.
+What it serves stands in `tier/control/`, a part a module; here the parts are joined, and messages dispatched.
+
+Start: the configuration's replica is opened (seeds found it at the first start) -> the operator's API.
+Stop: every shard owned here is handed over -> the API's listener closes.
 """
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Awaitable
+from typing import Any, cast
 
 from ..budgets.messages import BudgetRequest
 from ..budgets.shard_service import BudgetShards
-from ..configuration.messages import ConfigOrder, ConfigOutcome, ReadReply, ReadRequest
+from ..configuration.messages import ConfigOrder, ConfigOutcome, ReadRequest
 from ..configuration.operator_api import OperatorApi
-from ..configuration.ports import ReportOutcome, RetireOutcome, RetireState
 from ..configuration.shard_service import (
     FORWARD_TIMEOUT_S,
     NOT_OWNER,
     ConfigurationMachine,
     ConfigurationService,
 )
+from ..configuration.shard_ports import HostedShards
 from ..configuration.stream import ConfigStream
 from ..control.backend_reports import BackendReports
 from ..control.directory_stream import DirectoryStream
 from ..control.member_summaries import MemberSummaries
-from ..control.shard_placer import ShardPlacer
 from ..control.retirement import Retirement
+from ..control.shard_placer import ShardPlacer
 from ..dataplane.server import Listener
 from ..discovery.exchange import BackendExchange
 from ..discovery.messages import BackendAck, BackendUpdate
 from ..discovery.registry import BackendRegistry
+from ..membership.contact_period import ContactPeriod
 from ..membership.messages import (
     ConfigAck,
     ConfigFetch,
-    ConfigUpdate,
     Heartbeat,
     HeartbeatAck,
     MemberSummary,
     Subscribe,
 )
+from ..membership.owner_contact import in_contact
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from ..membership.contact_period import ContactPeriod
-from ..membership.owner_contact import in_contact, is_current
-from ..membership.status import ShardsWanted, status
 from ..membership.table import LIVE_S, MemberTable
 from ..protocol.peer_connection import PeerConnection
 from ..replication.group import has_quorum
+from ..replication.host import ShardHost
+from ..replication.interfaces import StateMachine
+from ..replication.messages import ReplicaId, ShardId
 from .addresses import CONTROL_PORT, seed_addresses
+from .control_operations import ControlOperations
+from .control_streams import ControlStreams
+from .environment import Environment
 from .process import TierProcess
+from .settings import Settings
 
-HAND_OVER_S = 1.0
+HAND_OVER_TIMEOUT_S = 1.0
+API_CLOSE_TIMEOUT_S = 1.5
 
 
 class ControlProcess(TierProcess):
-    """One control process."""
+    """One control process; its machine has a disk, since the configuration's replica is on it."""
 
     role = "control"
     port_offset = CONTROL_PORT
     holds_replicas = True
     max_control_connections = None  # the registry must reach every other control node
 
-    def __init__(self, settings, settings_path, environment=None):
-        self.budgets = BudgetShards()
+    def __init__(
+        self, settings: Settings, settings_path: str, environment: Environment | None = None
+    ) -> None:
+        self.budgets = BudgetShards()  # before the disk is read: it makes state machines
         super().__init__(settings, settings_path, environment)
         self.budgets.attach(self.host, self.now)
         self.members = MemberTable()
@@ -74,52 +87,50 @@
         self.config_stream = ConfigStream()
         self.directory_stream = DirectoryStream(self.members)
         self.configuration = ConfigurationService(
-            self.host,
+            cast(HostedShards, self.host),  # outcomes of its shard are the configuration machine's
             self.connections,
             self.now,
             self.config_stream.until_acknowledged,
             self.environment.run_off_loop,
         )
+        self._streams = ControlStreams(
+            self.configuration, self.config_stream, self.exchange, self.directory_stream, self.now
+        )
         tolerated_nodes = settings.tolerate_nodes
         self._placer = ShardPlacer(self.configuration, self.members, tolerated_nodes, self.spawn)
         self.retirement = Retirement(
             self.configuration, self.members, tolerated_nodes, self.now, self._placer.owned_for
         )
         self._contact = ContactPeriod(self.now())
-        self._serving: asyncio.Task | None = None
+        self._serving: asyncio.Task[None] | None = None
 
     # The shards
 
-    def machine_for(self, shard):
+    def machine_for(self, shard: ShardId) -> StateMachine:
         """The configuration's state, or a budget table where stores are too few."""
         if shard == CONFIGURATION_SHARD:
             return ConfigurationMachine()
         return self.budgets.machine_for(shard)
 
-    def hosts_shard(self, shard):
+    def hosts_shard(self, shard: ShardId) -> bool:
         """Control nodes hold the configuration, too."""
         return shard == CONFIGURATION_SHARD or super().hosts_shard(shard)
 
-    def open_replicas(self):
+    def open_replicas(self) -> None:
         """The configuration's replica is always here; seeds found it at the first start."""
-        founders = ()
+        founders: tuple[ReplicaId, ...] = ()
         if self.settings.bootstrap:
             founders = tuple(f"{address}#first" for address in seed_addresses(self.settings))
-        self.host.open(CONFIGURATION_SHARD, founders, self.now()).watch_currency()
+        host = cast(ShardHost, self.host)
+        host.open(CONFIGURATION_SHARD, founders, self.now()).watch_currency()
         super().open_replicas()
 
-    def on_applied(self, shard):
+    def on_applied(self, shard: ShardId) -> None:
         """A new version goes to the gateways at once."""
         if shard == CONFIGURATION_SHARD and self.configuration.is_open:
-            self._stream_configuration()
-
-    def _stream_configuration(self) -> None:
-        state = self.configuration.state
-        if state.version:
-            current = is_current(self.configuration.replica, self.now())
-            self.config_stream.stream(state.version, state.body, current)
+            self._streams.stream_configuration()
 
-    def config_version(self):
+    def config_version(self) -> int:
         """The version applied here."""
         return self.configuration.state.version if self.configuration.is_open else 0
 
@@ -135,74 +146,51 @@
         """In contact, and with the control nodes `holders` a majority of the configuration's voters."""
         replica = self.configuration.replica
         known = holders | {self.address}
-        held = has_quorum(replica.voters, lambda voter: address_of(voter) in known)
-        return held and in_contact(replica, self.now())
+        majority_knows = has_quorum(replica.voters, lambda voter: address_of(voter) in known)
+        return majority_knows and in_contact(replica, self.now())
 
-    def on_peer(self, connection):
+    def on_peer(self, connection: PeerConnection) -> None:
         """Another control node gets all that is known of backends; it has no need of other streams."""
         if connection.address in self.control_addresses():
             self.exchange.send_complete(connection)
 
-    def on_lost(self, connection):
+    def on_lost(self, connection: PeerConnection) -> None:
         """Ends the streams of a connection."""
         super().on_lost(connection)
         self._summaries.lost(connection)
-        self.exchange.lost(connection)
-        self.config_stream.lost(connection)
-        self.directory_stream.lost(connection)
-
-    def on_message(self, connection, message, sequence):
-        """What others say to a control node."""
-        if isinstance(message, Heartbeat):
-            self.members.record_heartbeat(message, self.now())
-            connection.send(HeartbeatAck(message.sequence, self._is_stable()))
-        elif isinstance(message, MemberSummary):
-            self._summaries.take(message, self.now())
-        elif isinstance(message, Subscribe):
-            self._accept_subscription(connection, message)
-        elif isinstance(message, ConfigAck):
-            self.config_stream.acknowledged(connection, message.version)
-        elif isinstance(message, ConfigFetch):
-            self._send_newer_configuration(connection, message.version)
-        elif isinstance(message, BackendAck):
-            self.exchange.acknowledged(connection, message)
-        elif isinstance(message, BackendUpdate):
-            self.backend_reports.merge(message.backends)
-            self.exchange.acknowledge(connection, sequence, message)
-        elif isinstance(message, ConfigOrder):
-            self._answer(connection, sequence, self._decide(message))
-        elif isinstance(message, ReadRequest):
-            self._answer(connection, sequence, self.configuration.read_here())
-        elif isinstance(message, BudgetRequest):
-            self.budgets.request(message, lambda reply: connection.reply(sequence, reply))
-
-    def _answer(self, connection, sequence, answering) -> None:
-        async def answer():
-            connection.reply(sequence, await answering)
-
-        self.spawn(answer())
+        self._streams.lost(connection)
+
+    def on_message(self, connection: PeerConnection, message: Any, sequence: int) -> None:
+        """What others send to a control node."""
+        match message:
+            case Heartbeat():
+                self.members.record_heartbeat(message, self.now())
+                connection.send(HeartbeatAck(message.sequence, self._is_stable()))
+            case MemberSummary():
+                self._summaries.take(message, self.now())
+            case Subscribe():
+                self._streams.subscribe(connection, message)
+            case ConfigAck():
+                self.config_stream.acknowledged(connection, message.version)
+            case ConfigFetch():
+                self._streams.send_newer_configuration(connection, message.version)
+            case BackendAck():
+                self.exchange.acknowledged(connection, message)
+            case BackendUpdate():
+                self.backend_reports.merge(message.backends)
+                self.exchange.acknowledge(connection, sequence, message)
+            case ConfigOrder():
+                self.spawn(_reply_with(connection, sequence, self._decide(message)))
+            case ReadRequest():
+                self.spawn(_reply_with(connection, sequence, self.configuration.read_here()))
+            case BudgetRequest():
+                self.budgets.request(message, lambda reply: connection.reply(sequence, reply))
 
     async def _decide(self, order: ConfigOrder) -> ConfigOutcome:
         if not self.configuration.replica.is_leader:
             return NOT_OWNER
         return await self.configuration.decide(order, FORWARD_TIMEOUT_S)
 
-    def _accept_subscription(self, connection: PeerConnection, message: Subscribe) -> None:
-        if message.member.serves_front:
-            self.config_stream.subscribe(connection, message.config_version, message.complete)
-            self.exchange.subscribe(connection, message.complete)
-            self._stream_configuration()
-        if message.complete:
-            self.directory_stream.subscribe(connection)
-        else:
-            self.directory_stream.lost(connection)
-
-    def _send_newer_configuration(self, connection: PeerConnection, held: int) -> None:
-        state = self.configuration.state
-        if state.version > held:
-            current = is_current(self.configuration.replica, self.now())
-            connection.send(ConfigUpdate(state.version, current, state.body))
-
     def _is_stable(self) -> bool:
         """Whether whoever is live can be expected to have been heard of here."""
         now = self.now()
@@ -210,17 +198,17 @@
 
     # Time
 
-    def report(self, now):
+    def report(self, now: float) -> None:
         """Control nodes report to each other by their summaries."""
         self.members.record_heartbeat(self.heartbeat(), now)
         self._summaries.send(self._peer_connections(), now)
 
-    def on_tick(self, now):
+    def on_tick(self, now: float) -> None:
         """Gateways that wait for a current version get it as soon as this replica is current."""
-        self._stream_configuration()
+        self._streams.stream_configuration()
 
-    def on_heartbeat(self, now):
-        """Tells all subscribers who is there, places shards, and spreads what can wait about backends."""
+    def on_heartbeat(self, now: float) -> None:
+        """Tells all subscribers who is there, places shards, and publishes what can wait about backends."""
         self._contact.observe(in_contact(self.configuration.replica, now), now)
         self.members.forget_old(now)
         self._refresh_directory(now)
@@ -236,63 +224,29 @@
             self.directory.take(self.address, directory)
         self.on_directory()
 
-    # The operator's API, see configuration.ports
-
-    async def order(self, order: ConfigOrder) -> ConfigOutcome:
-        """An order on the configuration."""
-        return await self.configuration.order(order)
-
-    async def read(self) -> ReadReply:
-        """The newest configuration."""
-        return await self.configuration.read()
-
-    async def backend_heartbeat(self, identity: str, report: dict) -> ReportOutcome:
-        """A backend's heartbeat."""
-        return await self.backend_reports.heartbeat(identity, report)
-
-    async def leave(self, identity: str) -> ReportOutcome:
-        """A backend has ended."""
-        return await self.backend_reports.leave(identity)
-
-    async def retire_start(self, node: str, deadline_s: float) -> RetireOutcome:
-        """Begins to empty a store."""
-        return await self.retirement.start(node)
+    # Start and stop
 
-    async def retire_state(self, node: str) -> RetireState:
-        """How far the emptying of a store has come."""
-        return await self.retirement.state(node)
-
-    def status(self) -> dict:
-        """What is known here of the whole tier."""
-        now = self.now()
-        state = self.configuration.state
-        return status(
+    async def start(self) -> None:
+        """Serves the operator's API."""
+        operations = ControlOperations(
             self.member,
-            in_contact(self.configuration.replica, now),
-            state.version,
+            self.configuration,
             self.members,
-            ShardsWanted(state.placements, state.retiring),
-            self.registry.all(),
-            now,
-        )
-
-    def heartbeat_url(self) -> str | None:
-        """Backends go on calling whom they called."""
-        return None
-
-    # Life
-
-    async def start(self):
-        """Serves the operator's API."""
-        self._serving = self.spawn(
-            self.environment.serve([Listener(OperatorApi(self), self.settings.listen_control, self._served)])
+            self.registry,
+            self.backend_reports,
+            self.retirement,
+            self.now,
         )
+        listener = Listener(OperatorApi(operations), self.settings.listen_control, self.until_served_enough)
+        self._serving = self.spawn(self.environment.serve([listener]))
 
-    async def _served(self) -> None:
-        await self.served_enough.wait()
-
-    async def stop(self):
+    async def stop(self) -> None:
         """Hands over the shards owned here, then ends the API."""
-        await self.shards.hand_over(HAND_OVER_S)
+        await self.shards.hand_over(HAND_OVER_TIMEOUT_S)
         self.served_enough.set()
-        await asyncio.wait([self._serving], timeout=1.5)
+        if self._serving is not None:
+            await asyncio.wait([self._serving], timeout=API_CLOSE_TIMEOUT_S)
+
+
+async def _reply_with(connection: PeerConnection, sequence: int, answer: Awaitable[object]) -> None:
+    connection.reply(sequence, await answer)
--- a/kestrelbend/tier/roles/environment.py
+++ b/kestrelbend/tier/roles/environment.py
@@ -12,7 +12,7 @@
 import signal
 import time
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from ..storage.disk import Disk
 from ..storage.journal import DiskJournal
@@ -25,6 +25,7 @@
 IDENTITY_BYTES = 4  # of a disk
 BROKEN_INVARIANT = 70  # the exit status of a process that must not go on
 
+T = TypeVar("T")
 Written = Callable[[list[int]], None]
 
 
@@ -53,7 +54,7 @@
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
         """Writes what waits, for a time in seconds at most."""
 
-    async def run_off_loop(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], T]) -> T:
         """Runs a function that touches nothing of the process's state, while the event loop goes on."""
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
@@ -94,7 +95,7 @@
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
         await asyncio.to_thread(journal.close, within)
 
-    async def run_off_loop(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], T]) -> T:
         return await asyncio.to_thread(function)
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -19,7 +19,7 @@
 import asyncio
 import typing
 from collections.abc import Coroutine
-from typing import Any, ClassVar
+from typing import Any, ClassVar, TypeVar
 
 import logbook
 
@@ -52,6 +52,7 @@
 TICK_INTERVAL_S = 0.02
 IDLE_TICK_INTERVAL_S = 0.05  # of a process without replicas
 MAX_CONTROL_CONNECTIONS = 8
+T = TypeVar("T")
 REPLICA_MESSAGES = typing.get_args(ReplicaMessage)
 
 
@@ -113,7 +114,7 @@
             incarnation=self.incarnation,
         )
 
-    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Runs a coroutine beside the others; the task is kept until it ends."""
         return self._tasks.spawn(coroutine)
 
