--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -20,7 +20,7 @@
 
 from kestrelbend.tier.budgets.messages import ReserveOutcome, Verdict
 from kestrelbend.tier.dataplane.app import assemble
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpNetwork
 from kestrelbend.tier.dataplane.server import Listener, serve_all
 from kestrelbend.tier.discovery.messages import Backend
@@ -167,7 +167,7 @@
 async def _serve(port: int, backend_port: int, clients: multiprocessing.Process) -> None:
     backend = Backend("i-1", "models", f"127.0.0.1:{backend_port}", "a", "v1", 64, 0, 0, 1)
     fixed = Fixed((backend,))
-    plane = assemble(fixed, fixed, Admitting(), TcpNetwork(), "a", Life())
+    plane = assemble(fixed, fixed, Admitting(), TcpNetwork(), "a", Lifecycle())
 
     async def done() -> None:
         await asyncio.sleep(0.3)
--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -27,7 +27,7 @@
 from .forward import Forwarder
 from .health import Health
 from .hedge import Hedger
-from .life import Life
+from .lifecycle import Lifecycle
 from .latency import LatencyRatios
 from .reading import (
     TIME_OVER_RETRY_S,
@@ -68,7 +68,7 @@
     forwarder: Forwarder
     turns: Turns
     split: Split
-    life: Life
+    lifecycle: Lifecycle
     may_refuse: Callable[[], bool]  # the configuration in force is known to be the newest
     _tended: float = 0.0
 
@@ -76,23 +76,23 @@
         """One request, by ASGI."""
         if scope["type"] != "http":
             return
-        self.life.enter()
+        self.lifecycle.enter()
         try:
             await self._serve(scope, receive, send)
         finally:
-            self.life.leave()
+            self.lifecycle.leave()
 
     async def _serve(self, scope: dict, receive: Receive, send: Send) -> None:
         begun = asyncio.get_running_loop().time()
         request_id = next((value for name, value in scope["headers"] if name == REQUEST_ID), None)
-        client = Client(send, lambda: self.life.sheds_connections, scope["http_version"], request_id)
-        if not self.life.was_ready:
-            await self.life.equipped(self._start_wait_s(scope))
+        client = Client(send, lambda: self.lifecycle.closes_connections, scope["http_version"], request_id)
+        if not self.lifecycle.was_ready:
+            await self.lifecycle.wait_until_ready(self._start_wait_s(scope))
         table = self.routing.current()
         if table is None:
             await client.answer(OwnAnswer(503, "no configuration yet", NOT_EQUIPPED_RETRY_S))
             return
-        if self.life.closed:
+        if self.lifecycle.closed:
             await client.answer(OwnAnswer(503, "this gateway is leaving", LEAVING_RETRY_S))
             return
         try:
@@ -204,7 +204,7 @@
     def close_intake(self) -> None:
         """The listener is being closed: a request that still arrives is refused, since its connection may be
         closed before its answer."""
-        self.life.closed = True
+        self.lifecycle.closed = True
 
 
 class _ClientWatch:
@@ -261,7 +261,7 @@
     budget: ports.Budget,
     network: ports.Network,
     zone: str,
-    life: Life,
+    lifecycle: Lifecycle,
     gateways: Callable[[], int] = lambda: 10,
     rng: random.Random | None = None,
     may_refuse: Callable[[], bool] = lambda: True,
@@ -292,6 +292,6 @@
         forwarder=forwarder,
         turns=Turns(budget),
         split=Split(backends, rng),
-        life=life,
+        lifecycle=lifecycle,
         may_refuse=may_refuse,
     )
--- a/kestrelbend/tier/dataplane/attempt.py
+++ b/kestrelbend/tier/dataplane/attempt.py
@@ -56,7 +56,7 @@
     answer: Answer
     data: bytes
     events: int
-    whole: bool  # nothing follows
+    complete: bool  # nothing follows
     splitter: EventSplitter | None  # of a stream
 
     @property
@@ -127,7 +127,7 @@
         except DataPlaneError:
             return Failure.BROKEN
         finally:
-            if opened is None or opened.whole:
+            if opened is None or opened.complete:
                 answer.close()
         return opened
 
--- a/kestrelbend/tier/dataplane/life.py
+++ b/kestrelbend/tier/dataplane/lifecycle.py
@@ -1,7 +1,10 @@
-"""Whether this gateway takes new connections, and whether it is leaving.
+"""Readiness of this gateway, and its graceful shutdown.
+
+    starting ──set_ready(True)──> ready <──set_ready──> not ready
+                                    └────────drain──────────┴──> draining ──> closed, then idle
 
 Invariant: a gateway that drains is never ready again; what is in flight finishes.  While a gateway drains, or
-is not ready any more, each answer tells its client to take another connection.
+is not ready any more, each answer closes its connection, so that its client takes another.
 """
 
 from __future__ import annotations
@@ -9,45 +12,46 @@
 import asyncio
 
 
-class Life:
+class Lifecycle:
     """Readiness and draining; the exchanges in flight are counted by the application."""
 
     def __init__(self) -> None:
         self.draining = False
-        self.closed = False  # the listener closes: connections at rest may end at any moment
+        self.closed = False  # the listener closes: idle connections may end at any moment
         self.in_flight = 0
-        self._equipped = False
+        self._serviceable = False
         self._idle = asyncio.Event()
         self._idle.set()
-        self._ready = asyncio.Event()
+        self._first_ready = asyncio.Event()
 
     @property
     def ready(self) -> bool:
-        return self._equipped and not self.draining
+        """Whether the platform should send connections here."""
+        return self._serviceable and not self.draining
 
     @property
-    def sheds_connections(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether each answer closes its connection: the platform sends the next one to another gateway."""
-        return self.draining or (self._ready.is_set() and not self._equipped)
+        return self.draining or (self._first_ready.is_set() and not self._serviceable)
 
     def set_ready(self, ready: bool) -> None:
         """Whether the gateway has what it needs to serve."""
-        self._equipped = ready
+        self._serviceable = ready
         if ready:
-            self._ready.set()
+            self._first_ready.set()
 
     @property
     def was_ready(self) -> bool:
         """The gateway has once had what it needs."""
-        return self._ready.is_set()
+        return self._first_ready.is_set()
 
-    async def equipped(self, within: float) -> None:
+    async def wait_until_ready(self, within: float) -> None:
         """Until the gateway has once had what it needs, or for so many seconds."""
         if self.was_ready:
             return
         try:
             async with asyncio.timeout(within):
-                await self._ready.wait()
+                await self._first_ready.wait()
         except TimeoutError:
             pass
 
@@ -56,10 +60,12 @@
         self.draining = True
 
     def enter(self) -> None:
+        """An exchange begins."""
         self.in_flight += 1
         self._idle.clear()
 
     def leave(self) -> None:
+        """It is over."""
         self.in_flight -= 1
         if self.in_flight == 0:
             self._idle.set()
--- a/kestrelbend/tier/dataplane/ready.py
+++ b/kestrelbend/tier/dataplane/ready.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from typing import Any
 
-from .life import Life
+from .lifecycle import Lifecycle
 
 READY_PATH = "/api/readyz"
 
@@ -12,20 +13,21 @@
 class ReadyApplication:
     """Answers 200 while the gateway is ready, else 503."""
 
-    def __init__(self, life: Life) -> None:
-        self._life = life
+    def __init__(self, lifecycle: Lifecycle) -> None:
+        self._lifecycle = lifecycle
 
     async def __call__(
         self,
-        scope: dict,
-        receive: Callable[[], Awaitable[dict]],
-        send: Callable[[dict], Awaitable[None]],
+        scope: dict[str, Any],
+        receive: Callable[[], Awaitable[dict[str, Any]]],
+        send: Callable[[dict[str, Any]], Awaitable[None]],
     ) -> None:
+        """One request, by ASGI; 404 for any other path."""
         if scope["type"] != "http":
             return
         status = 404
         if scope["path"] == READY_PATH:
-            status = 200 if self._life.ready else 503
+            status = 200 if self._lifecycle.ready else 503
         headers = [(b"content-length", b"0")]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": b""})
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -190,7 +190,7 @@
 
     def gateways(self) -> list[Process]:
         """Gateways that clients are sent to."""
-        return [gateway for gateway in self.fleet.processes("gateway") if gateway.instance.life.ready]
+        return [gateway for gateway in self.fleet.processes("gateway") if gateway.instance.lifecycle.ready]
 
     def begin(self, most_turns: int = MOST_TURNS) -> asyncio.Task:
         """One more program."""
--- a/kestrelbend/tier/fleet/removals/dataplane.py
+++ b/kestrelbend/tier/fleet/removals/dataplane.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...dataplane.exchange import DEADLINE_MS
-from ...dataplane.forward import RUNS_AT_MOST
+from ...dataplane.forward import MAX_RUNS
 from ..guards import guard
 
 
@@ -56,12 +56,12 @@
 
 
 @guard("repeat", "dataplane.forward:_may_repeat", "what may run once run twice")
-def repeat_anything(exchange, course, client):
-    if course.runs >= RUNS_AT_MOST:
+def repeat_anything(exchange, history, client):
+    if history.runs >= MAX_RUNS:
         return False
     if not client.started:
         return True
-    return exchange.streaming and client.events > 0 and course.position is not None
+    return exchange.streaming and client.events > 0 and history.position is not None
 
 
 @guard("may-have-run", "dataplane.exchange:Failure.certainly_not_run", "what may run once run twice")
--- a/kestrelbend/tier/fleet/watch.py
+++ b/kestrelbend/tier/fleet/watch.py
@@ -156,7 +156,7 @@
         name = gateway.machine.name
         now = self._fleet.now()
         since = self._fleet.contact.in_touch_since(name)
-        if since > now or not gateway.instance.life.ready:
+        if since > now or not gateway.instance.lifecycle.ready:
             return
         required = self._operator.required_version(now - CONFIG_S)
         if version < required:
@@ -185,7 +185,7 @@
                 if not process.running:
                     self._fleet.broken(f"{process.name} does not run at the end")
         for gateway in self._fleet.processes("gateway"):
-            if not gateway.instance.life.ready:
+            if not gateway.instance.lifecycle.ready:
                 self._fleet.broken(f"{gateway.name} is not ready in a calm time")
             for backend in self._backends.ready():
                 known = gateway.instance.view.ready(backend.service)
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -5,7 +5,7 @@
     ready = a configuration confirmed as the newest + every budget shard placed + a complete update of the
             backends + contact with the control nodes and with the owners of the budgets (`gateway_contact`)
 
-Start: the listeners open at once, requests wait for the first readiness (`dataplane.life`).
+Start: the listeners open at once, requests wait for the first readiness (`dataplane.lifecycle`).
 Stop: not ready any more -> the platform has had the time to notice -> no new connections, what runs is
 finished -> settlements are brought to their owners.
 """
@@ -17,7 +17,7 @@
 
 from ..budgets.names import ReservationNames
 from ..dataplane.app import assemble
-from ..dataplane.life import Life
+from ..dataplane.lifecycle import Lifecycle
 from ..dataplane.network import TcpNetwork
 from ..dataplane.ports import Limits
 from ..dataplane.ready import ReadyApplication
@@ -52,7 +52,7 @@
         super().__init__(settings, settings_path, environment)
         self.routing = RoutingState()
         self.view = BackendView()
-        self.life = Life()
+        self.lifecycle = Lifecycle()
         self.contact = GatewayContact(settings.ip)
         self.configuration = GatewayConfiguration(
             self.routing, self.connections, self.control_addresses, self.now
@@ -72,7 +72,7 @@
             self.budgets,
             TcpNetwork(),
             settings.zone,
-            self.life,
+            self.lifecycle,
             gateways=self._gateways,
             may_refuse=self.may_refuse,
         )
@@ -118,7 +118,7 @@
         """Readiness follows what is known and who is in contact; nothing waits for those that are not."""
         self.contact.tick(now)
         self.configuration.fetch_due(now)
-        self.life.set_ready(self._is_equipped(now))
+        self.lifecycle.set_ready(self._is_equipped(now))
         self.budgets.fail_unreachable(now)
 
     def on_heartbeat(self, now: float) -> None:
@@ -153,7 +153,9 @@
             self.until_served_enough,
             self.data_plane.close_intake,
         )
-        ready = Listener(ReadyApplication(self.life), self.settings.listen_ready, self.until_served_enough)
+        ready = Listener(
+            ReadyApplication(self.lifecycle), self.settings.listen_ready, self.until_served_enough
+        )
         self._serving = self.spawn(self.environment.serve([clients, ready], limits=self._limits))
 
     def _limits(self) -> Limits | None:
@@ -162,7 +164,7 @@
 
     async def stop(self) -> None:
         """Takes no new connections, finishes what runs, and brings the settlements home."""
-        self.life.drain()
+        self.lifecycle.drain()
         grace_s = self.settings.bounds.grace_s
         await asyncio.sleep(min(DRAIN_NOTICE_S, grace_s / 3))
         self.served_enough.set()
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -17,7 +17,7 @@
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, Verdict
 from kestrelbend.tier.configuration.routing import Limits, Route, RoutingTable, Service
 from kestrelbend.tier.dataplane.app import assemble
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpStream
 from kestrelbend.tier.discovery.messages import Backend
 
@@ -408,8 +408,8 @@
         self.loop = VirtualLoop()
         self.table: RoutingTable | None = RoutingTable(1, ROUTES, SERVICES, Limits())
         self.budget = FakeBudget()
-        self.life = Life()
-        self.life.set_ready(True)
+        self.lifecycle = Lifecycle()
+        self.lifecycle.set_ready(True)
         self.scripted: dict[str, ScriptedBackend] = {}
         self.live: dict[str, Backend] = {}
         self.gone: list[str] = []
@@ -422,7 +422,7 @@
             self.budget,
             self,
             ZONE,
-            self.life,
+            self.lifecycle,
             gateways=lambda: 1,
             rng=random.Random(1),
             may_refuse=lambda: self.configuration_is_current,
--- a/tests/tier/test_dataplane_answers.py
+++ b/tests/tier/test_dataplane_answers.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from tests.tier.dataplane_world import (
     Asked,
     World,
@@ -452,7 +452,7 @@
 
     def test_a_request_at_a_gateway_that_is_starting_is_refused(self):
         backend = self.world.backend("i-1")
-        self.world.plane.life = Life()
+        self.world.plane.lifecycle = Lifecycle()
         got = self.world.run(self.world.ask("/read/x", fields={"x-kestrelbend-deadline-ms": "300"}))
         self.assertEqual((503, []), (got.status, backend.asked))
         self.assertTrue(got.at <= 100.31, got.at)
@@ -461,7 +461,7 @@
         self.world.backend("i-1", "models").answers(events(range(1, 100), pause=0.1))
         got = self.play("/once/x", reads=False)
         self.assertFalse(got.complete)
-        self.assertEqual(0, self.world.life.in_flight)
+        self.assertEqual(0, self.world.lifecycle.in_flight)
 
 
 class Gone(testtools.TestCase):
@@ -495,7 +495,7 @@
             got = world.run(story())
             self.assertEqual((None, [False], 1), (got.status, closed, len(backend.asked)))
             self.assertTrue(abs(got.at - ends) < 0.02, got.at)
-            self.assertEqual(0, world.life.in_flight)
+            self.assertEqual(0, world.lifecycle.in_flight)
 
     def test_nothing_is_sent_once_it_has_left(self):
         for path, service in (("/pay/x", "tools"), ("/read/x", "tools"), ("/once/x", "models")):
@@ -515,11 +515,11 @@
 
     def test_one_that_left_while_the_gateway_had_no_configuration_is_not_sent(self):
         backend = self.world.backend("i-1")
-        starting = Life()
+        starting = Lifecycle()
 
         async def story():
             await self.world.ask("/read/x")  # a connection rests: a send needs no wait
-            self.world.plane.life = starting
+            self.world.plane.lifecycle = starting
             left = asyncio.ensure_future(self.world.ask("/read/x", leave_after=0.2))
             await asyncio.sleep(1)
             starting.set_ready(True)
--- a/tests/tier/test_dataplane_requests.py
+++ b/tests/tier/test_dataplane_requests.py
@@ -122,7 +122,7 @@
 
         async def story():
             before = await self.world.ask("/read/x")
-            self.world.life.drain()
+            self.world.lifecycle.drain()
             after = await self.world.ask("/read/x")
             self.world.plane.close_intake()
             return before, after, await self.world.ask("/pay/x")
@@ -450,4 +450,4 @@
 
         self.assertEqual(200, self.world.run(story()).status)
         self.assertEqual(0, sum(self.world.plane.chooser.in_flight.values()))
-        self.assertEqual(0, self.world.life.in_flight)
+        self.assertEqual(0, self.world.lifecycle.in_flight)
--- a/tests/tier/test_dataplane_search.py
+++ b/tests/tier/test_dataplane_search.py
@@ -203,7 +203,7 @@
         await asyncio.sleep(0.01)
         reserved = sorted(reserve.reservation for reserve in self.world.budget.reserved)
         assert reserved == sorted(settle.reservation for settle in self.world.budget.settled)
-        assert self.world.life.in_flight == 0
+        assert self.world.lifecycle.in_flight == 0
         assert not self.world.plane.chooser.in_flight
         assert self.world.plane.connections.open == self.world.plane.connections.idle_count
 
--- a/tests/tier/test_dataplane_server.py
+++ b/tests/tier/test_dataplane_server.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.ready import ReadyApplication
 from kestrelbend.tier.dataplane.server import Listener, serve_all
 from kestrelbend.tier.dataplane.client import Client
@@ -146,8 +146,8 @@
     """What the platform is told."""
 
     def test_ready_only_while_equipped_and_not_draining(self):
-        life = Life()
-        application = ReadyApplication(life)
+        lifecycle = Lifecycle()
+        application = ReadyApplication(lifecycle)
 
         async def ask(path="/api/readyz"):
             sent = []
@@ -160,10 +160,10 @@
 
         async def story():
             statuses = [await ask()]
-            life.set_ready(True)
+            lifecycle.set_ready(True)
             statuses += [await ask(), await ask("/other")]
-            life.drain()
-            life.set_ready(True)
+            lifecycle.drain()
+            lifecycle.set_ready(True)
             return [*statuses, await ask()]
 
         self.assertEqual([503, 200, 404, 503], asyncio.run(story()))
--- a/tests/tier/test_dataplane_sockets.py
+++ b/tests/tier/test_dataplane_sockets.py
@@ -12,7 +12,7 @@
 
 from kestrelbend.tier.configuration.routing import Limits, RoutingTable
 from kestrelbend.tier.dataplane.app import assemble
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpNetwork
 from kestrelbend.tier.dataplane.server import Listener, serve_all
 from kestrelbend.tier.discovery.messages import Backend
@@ -49,10 +49,10 @@
         self._table = RoutingTable(1, routes, SERVICES, Limits())
         self.asked = asyncio.Event()
         self.left = asyncio.Event()  # the gateway ended its connection to the backend
-        self.life = Life()
-        self.life.set_ready(True)
+        self.lifecycle = Lifecycle()
+        self.lifecycle.set_ready(True)
         self.plane = assemble(
-            self, self, FakeBudget(), TcpNetwork(), ZONE, self.life, lambda: 1, rng=random.Random(1)
+            self, self, FakeBudget(), TcpNetwork(), ZONE, self.lifecycle, lambda: 1, rng=random.Random(1)
         )
 
     def current(self) -> RoutingTable:
@@ -167,6 +167,6 @@
                     await stack.asked.wait()
                     leave(writer)
                     await stack.left.wait()
-                    return await stack.life.wait_idle()
+                    return await stack.lifecycle.wait_idle()
 
                 play(service, silence, story)  # well within the routes' timeout here
--- a/tests/tier/test_gateway_contact.py
+++ b/tests/tier/test_gateway_contact.py
@@ -7,7 +7,7 @@
 
 from kestrelbend.tier.budgets.client import BudgetClient
 from kestrelbend.tier.budgets.messages import Reserve, Verdict
-from kestrelbend.tier.dataplane.life import Life
+from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.membership.messages import ContactReply
 from kestrelbend.tier.roles.gateway_contact import CONTACT_S, ELECTION_S, GatewayContact, Standing
 from tests.tier import virtual_time
@@ -229,13 +229,13 @@
 
 class LifeTest(testtools.TestCase):
     def test_given_a_gateway_that_lost_contact_then_its_answers_close_their_connections(self):
-        life = Life()
-        self.assertFalse(life.sheds_connections, "one that has just started keeps what comes")
-        life.set_ready(True)
-        self.assertFalse(life.sheds_connections)
-        life.set_ready(False)
-        self.assertTrue(life.sheds_connections)
-        life.set_ready(True)
-        self.assertFalse(life.sheds_connections)
-        life.drain()
-        self.assertTrue(life.sheds_connections)
+        lifecycle = Lifecycle()
+        self.assertFalse(lifecycle.closes_connections, "one that has just started keeps what comes")
+        lifecycle.set_ready(True)
+        self.assertFalse(lifecycle.closes_connections)
+        lifecycle.set_ready(False)
+        self.assertTrue(lifecycle.closes_connections)
+        lifecycle.set_ready(True)
+        self.assertFalse(lifecycle.closes_connections)
+        lifecycle.drain()
+        self.assertTrue(lifecycle.closes_connections)
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -53,7 +53,7 @@
         while True:
             now = self.world.fleet.now()
             gateways = self.world.fleet.processes("gateway")
-            self.ready.append((now, {one.name: one.instance.life.ready for one in gateways}))
+            self.ready.append((now, {one.name: one.instance.lifecycle.ready for one in gateways}))
             if self.asked.instance is not None:
                 self.may_refuse.append((now, self.asked.instance.may_refuse()))
             await asyncio.sleep(LOOK_S)
@@ -198,7 +198,7 @@
                 gateway = machine.processes["gateway"].instance
                 if gateway is None:
                     continue
-                self.assertFalse(gateway.life.ready)
+                self.assertFalse(gateway.lifecycle.ready)
                 reply = await fleet.http.call(
                     gateway.settings.listen_clients, "GET", "/no/such/route/", timeout=2.0
                 )
