--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -70,7 +70,7 @@
         """A connection ended."""
         self._up_to_date.discard(connection)
 
-    def take(self, summary: MemberSummary, now: float) -> None:
+    def merge(self, summary: MemberSummary, now: float) -> None:
         """Takes in another node's summary."""
         if summary.complete:
             self._reported[summary.sender] = {}
--- a/kestrelbend/tier/membership/directory.py
+++ b/kestrelbend/tier/membership/directory.py
@@ -13,7 +13,7 @@
 
 
 class DirectoryView:
-    """The merged view; `take` feeds it."""
+    """The merged view; `merge` feeds it."""
 
     def __init__(self) -> None:
         self._by_sender: dict[str, Directory] = {}
@@ -23,18 +23,18 @@
         self.reports: dict[str, ShardReport] = {}
         self.retiring: tuple[str, ...] = ()  # nodes to be emptied
 
-    def take(self, sender: str, directory: Directory) -> None:
-        """Takes a control node's directory in place of its last one."""
+    def merge(self, sender: str, directory: Directory) -> None:
+        """Puts a control node's directory in place of its last one."""
         self._by_sender[sender] = directory
         if directory.version >= self.version:
             self.version = directory.version
             self.placements = {placed.shard: placed for placed in directory.placements}
             self.retiring = directory.retiring
         for report in directory.owners:
-            self.take_report(report)
+            self.merge_report(report)
         self._merge_members()
 
-    def take_report(self, report: ShardReport) -> None:
+    def merge_report(self, report: ShardReport) -> None:
         """Takes a report on a shard's owner from anybody."""
         known = self.reports.get(report.shard)
         if known is None or _recency(report) >= _recency(known):
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -167,7 +167,7 @@
                 self.members.record_heartbeat(message, self.now())
                 connection.send(HeartbeatAck(message.sequence, self._is_stable()))
             case MemberSummary():
-                self._summaries.take(message, self.now())
+                self._summaries.merge(message, self.now())
             case Subscribe():
                 self._streams.subscribe(connection, message)
             case ConfigAck():
@@ -221,7 +221,7 @@
     def _refresh_directory(self, now: float) -> None:
         directory = self.directory_stream.refresh(self.configuration, self._contact.seconds(now), now)
         if directory is not None:
-            self.directory.take(self.address, directory)
+            self.directory.merge(self.address, directory)
         self.on_directory()
 
     # Start and stop
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -200,7 +200,7 @@
             return
         match message:
             case Directory():
-                self.directory.take(connection.address, message)
+                self.directory.merge(connection.address, message)
                 self.on_directory()
             case HeartbeatAck():
                 self._reports.answered(connection, message)
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -295,7 +295,7 @@
             for machine in stores:
                 instance = machine.processes["store"].instance
                 self.assertEqual(-1, instance.directory.version)
-                instance.directory.take("10.9.9.9:1", old)
+                instance.directory.merge("10.9.9.9:1", old)
                 instance.follow_placements()
             await asyncio.sleep(1.0)
             for shard in budget_shards():
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -32,19 +32,19 @@
 
     def test_given_a_later_owner_is_known_when_an_old_directory_comes_then_it_is_not_believed(self):
         view = DirectoryView()
-        view.take("one", self.directory(7, report(5, "b#1")))
-        view.take("two", self.directory(3, report(4, "a#1")))
+        view.merge("one", self.directory(7, report(5, "b#1")))
+        view.merge("two", self.directory(3, report(4, "a#1")))
         self.assertEqual("b#1", view.owner_of(SHARD))
-        view.take("two", self.directory(9, report(4, "a#1")))
+        view.merge("two", self.directory(9, report(4, "a#1")))
         self.assertEqual("b#1", view.owner_of(SHARD), "a newer directory may hold an older report")
 
     def test_given_an_epoch_without_an_owner_yet_when_its_owner_is_told_then_that_is_known(self):
         view = DirectoryView()
-        view.take("one", self.directory(7, report(5, "")))
-        view.take("two", self.directory(7, report(4, "a#1")))
+        view.merge("one", self.directory(7, report(5, "")))
+        view.merge("two", self.directory(7, report(4, "a#1")))
         self.assertEqual("", view.owner_of(SHARD))
-        view.take("two", self.directory(7, report(5, "c#1")))
-        view.take("one", self.directory(7, report(5, "")))
+        view.merge("two", self.directory(7, report(5, "c#1")))
+        view.merge("one", self.directory(7, report(5, "")))
         self.assertEqual("c#1", view.owner_of(SHARD))
 
 
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -36,7 +36,7 @@
         message = decode(data)
         self.messages.append(message)
         if not self.cut:
-            self.receiver.summaries.take(message, self.receiver.now)
+            self.receiver.summaries.merge(message, self.receiver.now)
 
 
 class Node:
