--- a/kestrelbend/gateway_settings/platform.py
+++ b/kestrelbend/gateway_settings/platform.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Any, TypeVar
 
+from ..errors import GatewayError
 from .model import Terms
 from .toml_files import convert, dotted
 from .toml_lines import Path
@@ -42,9 +43,11 @@
 }
 
 
-class Malformed(Exception):
+class Malformed(GatewayError):
     """What the other side sent is not in its form; the text names the path and what is wrong there."""
 
+    code = "settings.malformed"
+
 
 def one_of(table: Mapping[str, Value], what: str) -> Callable[[str], Value]:
     """A reader of one of a few words; it raises `ValueError`, which says `what` is unknown."""
--- a/kestrelbend/gateway_settings/toml_files.py
+++ b/kestrelbend/gateway_settings/toml_files.py
@@ -17,6 +17,7 @@
 
 import msgspec
 
+from ..errors import GatewayError
 from . import units
 from .toml_lines import Path
 
@@ -48,9 +49,11 @@
         return f"{place}{dotted(self.path)}: {self.text}"
 
 
-class InvalidFile(Exception):
+class InvalidFile(GatewayError):
     """A file that cannot be used; `faults` in the order of their lines."""
 
+    code = "settings.invalid_file"
+
     def __init__(self, name: str, faults: list[Fault]) -> None:
         self.name = name
         self.faults = faults
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,6 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from kestrelbend.errors import GatewayError
 from kestrelbend.gateway_settings import platform, toml_files, units
 from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.net import configuration
@@ -78,6 +79,16 @@
     assert repr(platform.settings(dict(platform.flatten(given)))) == repr(stated.settings())
 
 
+def test_what_cannot_be_used_is_a_typed_error_with_a_code():
+    for error, made, code in (
+        (toml_files.InvalidFile, lambda: toml_files.parse_toml("x", Installation), "settings.invalid_file"),
+        (platform.Malformed, lambda: platform.settings({"tick": "soon"}), "settings.malformed"),
+    ):
+        with pytest.raises(error) as caught:
+            made()
+        assert isinstance(caught.value, GatewayError) and caught.value.code == code
+
+
 def test_every_fault_is_said_at_once_with_its_line_and_the_nearest_name():
     text = EXAMPLE.read_text()
     for old, new in (
