--- /dev/null
+++ b/kestrelbend/decisions/concurrency.py
@@ -0,0 +1,56 @@
+"""Concurrency caps of plans: deliveries in flight of one customer at all gateways together."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..interface import Invocation, Pause, Steps
+from .context import Context
+from .counter import CounterCalls
+from .credits import Credits
+from .state import CustomerState
+
+MAX_WAIT_FRACTION = 0.2  # of the latency target to wait for a place
+MIN_CALL_FRACTION_AT_CAP = 0.2  # the wait after a total at the cap grows fivefold at most as calls fail
+
+
+def local_cap(customer: CustomerState) -> int:
+    """This gateway's part of the cap, where no total tells what is in flight elsewhere."""
+    return max(1, customer.plan.most_out // customer.spread)
+
+
+@dataclass(slots=True, eq=False)
+class ConcurrencyCaps:
+    """Places under a customer's cap, and who waits for one."""
+
+    context: Context
+    counter: CounterCalls
+    credits: Credits
+
+    def wait_for_place(self, inv: Invocation) -> Steps[bool]:
+        """Wait in turn for a place; true if there is none in time.  At the latest total there may be none."""
+        customer, cap = inv.customer, inv.customer.plan.most_out
+        end = min(inv.until, inv.arrived + int(MAX_WAIT_FRACTION * inv.op.objective))
+        customer.queue.append(inv)
+        while full := self._is_full(customer):
+            turn = customer.queue.index(inv) + 1
+            if inv.done or self.context.now + turn * self.credits.answer_interval(inv.op, cap) > end:
+                break
+            at_cap = self.context.now < customer.at_cap_until
+            yield Pause(min(end, customer.at_cap_until) if at_cap else end)
+        customer.queue.remove(inv)
+        return inv.done or full
+
+    def _is_full(self, customer: CustomerState) -> bool:
+        held_here = customer.in_flight + customer.calls_in_flight >= customer.plan.most_out
+        return held_here or self.context.now < customer.at_cap_until
+
+    def is_exceeded(self, customer: CustomerState) -> bool:
+        """Whether the latest total is over the cap."""
+        return 0 < customer.plan.most_out < customer.total_in_flight
+
+    def note_exceeded(self, inv: Invocation) -> None:
+        """No further call for the mean time between answers at the cap; longer while calls fail."""
+        interval = self.credits.answer_interval(inv.op, inv.customer.plan.most_out)
+        delay = int(interval / max(self.counter.call_fraction, MIN_CALL_FRACTION_AT_CAP))
+        inv.customer.at_cap_until = self.context.now + delay
--- /dev/null
+++ b/kestrelbend/decisions/delivery.py
@@ -0,0 +1,125 @@
+"""The delivery loop of one admitted invocation: deliveries, retries, waiting and its final answer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..interface import Cancel, Deliver, Delivery, Fail, Invocation, Pause, Steps, Throttle
+from ..routing.pool import Pool
+from .attempts import AttemptRules
+from .context import Context
+from .credits import Credits
+from .outcomes import Outcomes
+from .quota import usage_key
+from .retry_budget import RetryBudget
+from .selection import BackendSelection
+from .slow_start import SlowStart
+from .state import BackendState
+
+MAX_WAIT_FRACTION = 0.2  # of the latency target to wait for a credit
+TICKS_TO_ANSWER = 2  # ticks before the client's time at which it gets its answer (rule 1)
+
+
+@dataclass(slots=True, eq=False)
+class DeliveryLoop:
+    """Each send passes `deliver`, each answer `close` or `reject`."""
+
+    context: Context
+    pool: Pool
+    credits: Credits
+    rules: AttemptRules
+    selection: BackendSelection
+    slow_start: SlowStart
+    outcomes: Outcomes
+    budget: RetryBudget
+
+    def serve(self, inv: Invocation) -> Steps[None]:
+        """Deliver it until it is done or its time is up."""
+        target = inv.op.objective
+        give_up = inv.until - TICKS_TO_ANSWER * self.context.settings.tick
+        in_time = inv.arrived + target if not inv.op.late_worth else give_up  # later answers earn nothing
+        while not inv.done:
+            in_flight = [d for d in inv.deliveries if d.result is None]
+            if self.context.now >= self._end(inv, give_up, in_time):
+                yield from self.close(inv)
+                break
+            for d in in_flight:
+                if not d.overdue and self.context.now >= d.sent + target:
+                    yield from self.outcomes.overdue(d)
+            if in_flight:
+                due = [d.sent + target for d in in_flight if not d.overdue]
+                yield Pause(min(at for at in (give_up, in_time, *due) if at > self.context.now))
+                continue
+            if not self.rules.may_repeat(inv) or inv.deliveries and self.context.now >= in_time:
+                yield from self.close(inv)
+                break
+            backend = self.selection.pick(inv)
+            if backend and (yield from self.deliver(inv, backend, give_up)):
+                continue
+            wait_until = self._wait_until(inv, give_up)
+            if wait_until is None:
+                yield from self.close(inv)
+                break
+            self.credits.backlog.join(inv)
+            rest_until = self.credits.rest_until
+            yield Pause(min(wait_until, rest_until) if rest_until > self.context.now else wait_until)
+        yield from self._cancel_in_flight(inv)
+        self.credits.backlog.leave(inv)
+
+    @staticmethod
+    def _end(inv: Invocation, give_up: int, in_time: int) -> int:
+        """At its customer's cap a late one holds the place of another in vain."""
+        at_cap = 0 < inv.customer.plan.most_out <= inv.customer.total_in_flight
+        return min(in_time, give_up) if at_cap else give_up
+
+    def _wait_until(self, inv: Invocation, give_up: int) -> int | None:
+        """Microseconds until which it may wait for a credit; None where its turn is not expected by then."""
+        interval = self.credits.answer_interval(inv.op, self.credits.capacity())
+        began = max([inv.arrived, *(d.sent + d.took for d in inv.deliveries)])
+        until = min(give_up, began + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
+        turn = self.credits.backlog.ahead_of(inv) + 1
+        return until if self.context.now + turn * interval <= until else None
+
+    def _cancel_in_flight(self, inv: Invocation) -> Steps[None]:
+        for d in inv.deliveries:
+            if d.result is None and self.context.settings.may_cancel and not inv.streaming:
+                yield Cancel(d)
+
+    def deliver(self, inv: Invocation, backend: BackendState, until: int) -> Steps[bool]:
+        """The one way to a backend: all five rules are kept here.  Whether it was sent."""
+        if not self.rules.may_send(inv, backend):
+            return False
+        if not inv.deliveries:
+            self._spend_units(inv)
+        self.credits.backlog.leave(inv)
+        self.pool.spend_credit(backend)
+        backend.slow_start.sent += self.slow_start.is_warming_up(backend)
+        backend.slow_start.drawn = False
+        size = self.pool.wanted_size(self.context.now)
+        if size is not None:
+            self.pool.size = size
+            self.credits.refill_pool()
+        number, begin_by = len(inv.deliveries), self.rules.begin_by(inv)
+        delivery = Delivery(inv, backend, self.context.now, until, number, begin_by)
+        inv.deliveries.append(delivery)
+        yield Deliver(delivery)
+        return True
+
+    def _spend_units(self, inv: Invocation) -> None:
+        """Of the rate limit, once for each invocation; peers hear of it."""
+        customer, plan = inv.customer, inv.customer.plan
+        customer.limit_units -= inv.units
+        if self.context.usage and plan.rate:
+            self.context.usage.let_in(usage_key(customer), plan.number, inv.units)
+
+    def close(self, inv: Invocation) -> Steps[None]:
+        """Give up: rejected where nothing can have run, or a repeat is harmless; else errored."""
+        if inv.op.repeats_anywhere or not any(d.may_have_run for d in inv.deliveries):
+            yield from self.reject(inv, self.budget.retry_after(inv))
+        elif not inv.done:
+            yield Fail(inv)
+
+    def reject(self, inv: Invocation, retry_after: int) -> Steps[None]:
+        """The final answer, unless it has one; `retry_after` in microseconds, 0: no advice."""
+        if not inv.done:
+            yield Throttle(inv, retry_after)
--- /dev/null
+++ b/kestrelbend/decisions/outcomes.py
@@ -0,0 +1,96 @@
+"""What a delivery's end teaches: credits, answer times, the backend's health and the customer's use."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..interface import Delivery, Result, Steps, Wake
+from ..routing.pool import Pool
+from .background import BackgroundTasks
+from .context import SECOND, Context
+from .credits import Credits
+from .ejection import OutlierEjection
+from .quota import Quota
+from .sampling import CounterSampling
+from .slow_start import SlowStart
+
+SLOW_FRACTION = 0.32  # of the latency target; an answer past it earns less than it cost
+FAST_GAIN = 0.1  # credits; a fast answer earns more than it cost, so that one in five may be slow
+SLOW_LOSS = 0.4
+ERROR_LOSS = 0.7
+IDLE_FRACTION = 0.5  # of the credits; no more are earned while more are free
+
+
+@dataclass(slots=True, eq=False)
+class Outcomes:
+    """Ends deliveries for everything but their invocation."""
+
+    context: Context
+    pool: Pool
+    credits: Credits
+    slow_start: SlowStart
+    ejection: OutlierEjection
+    quota: Quota
+    sampling: CounterSampling
+    background: BackgroundTasks
+
+    def ended(
+        self, delivery: Delivery, load: dict[str, float] | None, actual: float, used: float | None
+    ) -> Steps[None]:
+        """A delivery ended: earn its credit back, judge its backend, wake who waits.
+
+        `load`: the backend's report; `actual`: units that it really used, 0 where that is not told; `used`:
+        the customer's use by all gateways in a late period, as a part of its rate.
+        """
+        backend, inv, result = delivery.backend, delivery.inv, delivery.result
+        customer, target = inv.customer, inv.op.objective
+        self.background.load_reported(backend, load)
+        if used is not None and customer.plan.rate:
+            demand = used * customer.plan.rate / customer.admitted_fraction()
+            self.sampling.learn(customer, demand, self.context.settings.usage_period / SECOND)
+        if not delivery.overdue:
+            self.pool.return_credit(backend)
+        assert result is not None  # the host sets it before
+        known = self.ejection.record(backend, inv, result)
+        if result is Result.SUCCEEDED:
+            self._succeeded(delivery, delivery.took / target)
+            self.quota.correct(inv, actual)
+            yield from self.ejection.judge(backend, result, known)
+        elif not delivery.overdue and result not in (Result.CANCELLED, Result.VOID):
+            self.credits.earn(backend, -ERROR_LOSS * (1 - known))
+            if result is not Result.REJECTED:
+                yield from self.ejection.judge(backend, result, known)
+        self.credits.rest(min(delivery.took, target))
+        yield from self.wake()
+
+    def _succeeded(self, delivery: Delivery, fraction: float) -> None:
+        """`fraction`: its answer time over the latency target."""
+        backend, credits = delivery.backend, self.credits
+        backend.latencies.add(fraction)
+        credits.latencies.add(fraction)
+        self.slow_start.answered(backend)
+        if fraction > SLOW_FRACTION:
+            if not delivery.overdue:
+                credits.earn(backend, -SLOW_LOSS)
+        elif (
+            backend.in_flight + 2 > backend.capacity
+            and credits.available() < IDLE_FRACTION * credits.capacity() + 1
+        ):
+            credits.earn(backend, FAST_GAIN)
+
+    def overdue(self, delivery: Delivery) -> Steps[None]:
+        """Past its latency target a delivery gives its credit back, as a slow answer would: else long work,
+        or a silent backend, holds all credits until the client gives up."""
+        backend = delivery.backend
+        delivery.overdue = True
+        self.pool.return_credit(backend)
+        self.credits.earn(backend, -SLOW_LOSS)
+        self.credits.rest(delivery.inv.op.objective)
+        known = self.ejection.record(backend, delivery.inv, Result.TIMED_OUT)
+        yield from self.ejection.judge(backend, Result.TIMED_OUT, known)
+        yield from self.wake()
+
+    def wake(self) -> Steps[None]:
+        """Resume as many of those that wait as there are free credits."""
+        for waiter in self.credits.backlog.waiting[: self.credits.available()]:
+            yield Wake(waiter)
--- a/kestrelbend/fronts/asking.py
+++ b/kestrelbend/fronts/asking.py
@@ -11,12 +11,15 @@
 
 from msgspec import Meta, Struct, field
 
-# The test on backends and the budget of retries are the module's.
-from ..choice import BENCH, LONGEST_BENCH, SECOND, SICK_AT
-from ..choice import ERROR_EXPECTED as EXPECTED
-from ..choice import ERROR_SICK as SICK
-from ..choice import RETRY_FLOOR as FLOOR
-from ..choice import RETRY_SHARE as SHARE
+# The test on backends and the budget of retries are those of the decisions.
+from ..decisions.context import SECOND
+from ..decisions.ejection import EJECTION_TIME as BENCH
+from ..decisions.ejection import EVIDENCE_LIMIT as SICK_AT
+from ..decisions.ejection import HEALTHY_FAILURE_RATE as EXPECTED
+from ..decisions.ejection import MAX_EJECTION_TIME as LONGEST_BENCH
+from ..decisions.ejection import UNHEALTHY_FAILURE_RATE as SICK
+from ..decisions.retry_budget import RETRY_FLOOR as FLOOR
+from ..decisions.retry_budget import RETRY_SHARE as SHARE
 from ..gateway_settings.units import Address
 
 HALVE_AT = 256  # calls of late
--- a/kestrelbend/hosting.py
+++ b/kestrelbend/hosting.py
@@ -9,7 +9,7 @@
 from collections import defaultdict, deque
 
 from . import interface as i
-from .choice import Account, Gateway, Target
+from .decisions import BackendState, CustomerState, Gateway
 from .keys import stable_key
 
 SWEEP = 1024  # customers held before those that the module is done with are first looked for
@@ -39,7 +39,7 @@
         self.counts, self.probes = defaultdict(deque), defaultdict(deque)
 
     def start(self):
-        for work in self.gateway.chores():
+        for work in self.gateway.background.tasks():
             self.run(Task(work))
 
     def run(self, task, value=None):
@@ -101,10 +101,10 @@
         customer = self.customers.get((plan, name))
         if customer is None:
             if len(self.customers) >= self.sweep_at:  # they would fill the memory in the end
-                kept = {k: acc for k, acc in self.customers.items() if not self.gateway.past(acc)}
+                kept = {k: acc for k, acc in self.customers.items() if not self.gateway.may_forget(acc)}
                 self.customers, self.sweep_at = kept, max(SWEEP, 2 * len(kept))
             spread = spread or self.settings["gateways"]
-            customer = self.customers[plan, name] = Account(name, self.plans[plan], spread)
+            customer = self.customers[plan, name] = CustomerState(name, self.plans[plan], spread)
         return customer
 
     def over(self, inv):
@@ -127,7 +127,7 @@
         for number, zone, machine, group, state, weight, started in entries:
             target = self.backends.get(number)
             if target is None:
-                target = self.backends[number] = Target()
+                target = self.backends[number] = BackendState()
                 target.key = stable_key(str(number))
                 self.backend_ids[target] = number
             target.zone, target.kind, target.group, target.state = zone, machine, group, state
@@ -136,17 +136,17 @@
                 self.listed.pop(number, None)
             else:
                 self.listed[number] = target
-        self.gateway.roster(list(self.listed.values()), False)
+        self.gateway.endpoints_changed(list(self.listed.values()), False)
 
     def unlisted(self):
         """A call to discovery failed, or its watch ended."""
-        self.gateway.roster(list(self.listed.values()), True)
+        self.gateway.endpoints_changed(list(self.listed.values()), True)
 
     def ended(self, delivery, result, took, final, load, actual, used=None):
         delivery.result, delivery.took = result, took
         inv = delivery.inv
         inv.done = inv.done or final
-        self.run(Task(self.gateway.ended(delivery, load, actual, used)))
+        self.run(Task(self.gateway.outcomes.ended(delivery, load, actual, used)))
         self.resume(inv, delivery)
         self.forget(inv)
 
--- a/kestrelbend/interface.py
+++ b/kestrelbend/interface.py
@@ -1,14 +1,18 @@
 """Types between the decisions and whatever front end hosts them: facts in, effects and answers out.
 
-A front end (today `benchlink`) turns its protocol into these objects and resumes the generators of
-`kestrelbend.choice`.  Nothing is decided here.  Times are whole microseconds on the front end's clock.
+A host (`kestrelbend.hosting`) turns its protocol into these objects and resumes the generators of
+`kestrelbend.decisions`.  Nothing is decided here.  Times are whole microseconds on the host's clock.
 """
 
 from __future__ import annotations
 
+from collections.abc import Generator, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Generator
+from typing import TYPE_CHECKING, Any, Protocol, TypeAlias, TypeVar
+
+if TYPE_CHECKING:
+    from .decisions.state import BackendState, CustomerState
 
 
 class Effect(Enum):
@@ -28,6 +32,8 @@
 
 
 class State(Enum):
+    """A backend's state, as discovery tells it."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -47,11 +53,14 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether the backend certainly did no work for it."""
         return self in (Result.REJECTED, Result.UNREACHABLE, Result.VOID)
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
+    """A kind of invocation, as the settings state it."""
+
     name: str
     effect: Effect
     scope: Scope
@@ -64,11 +73,14 @@
 
     @property
     def repeats_anywhere(self) -> bool:
+        """Whether any backend may be sent a repeat, whatever became of the attempts before."""
         return self.effect is Effect.IDEMPOTENT or self.effect is Effect.TOKENED and self.scope is Scope.ALL
 
 
 @dataclass(slots=True, eq=False)
 class Plan:
+    """The terms that a customer has bought, as the settings state them."""
+
     name: str
     rate: float  # units a second; 0: no quota on the rate
     burst: float  # units that may be used at once
@@ -97,6 +109,8 @@
 
 @dataclass(slots=True, eq=False)
 class Customer:
+    """A customer of a plan."""
+
     name: str
     plan: Plan
     spread: int  # how many gateways its invocations may reach
@@ -104,8 +118,10 @@
 
 @dataclass(slots=True, eq=False)
 class Delivery:
+    """One attempt of an invocation at one backend."""
+
     inv: Invocation
-    backend: Backend
+    backend: BackendState
     sent: int
     until: int
     number: int
@@ -116,13 +132,16 @@
 
     @property
     def may_have_run(self) -> bool:
+        """Whether a backend has, or may have, worked on it; true while it is in flight."""
         return self.result is None or not self.result.never_ran
 
 
 @dataclass(slots=True, eq=False)
 class Invocation:
+    """One request of a client, from its arrival to its final answer."""
+
     op: Operation
-    customer: Customer
+    customer: CustomerState
     arrived: int
     until: int  # the client gives up then
     units: float  # a guess where units are settled after the answer
@@ -184,6 +203,8 @@
 
 @dataclass(slots=True)
 class Counted:
+    """The reply to a `Count`: the number's total after the addition."""
+
     result: Result
     total: float
 
@@ -197,6 +218,8 @@
 
 @dataclass(slots=True)
 class Probed:
+    """The reply to a `Probe`; `load` is the backend's report, None if it told none."""
+
     result: Result
     took: int
     load: dict[str, float] | None
@@ -206,7 +229,7 @@
 class Spawn:
     """Run another generator beside this one; resumed at once."""
 
-    work: Work
+    work: Steps[Any]
 
 
 @dataclass(slots=True)
@@ -218,7 +241,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for its changes from now on; the answer is a call of `roster`; resumed at once."""
+    """Ask discovery for its changes from now on; resumed at once.  It answers by `endpoints_changed`."""
 
 
 @dataclass(slots=True)
@@ -229,4 +252,83 @@
     about: Any = None
 
 
-Work = Generator[Any, Any, None]
+HostEffect: TypeAlias = (
+    Deliver | Cancel | Throttle | Fail | Pause | Count | Probe | Spawn | Wake | Subscribe | Log
+)
+"""All that a generator of the decisions may yield."""
+
+Returned = TypeVar("Returned")
+Steps: TypeAlias = Generator[HostEffect, Any, Returned]
+"""A generator of the decisions; what it is resumed with depends on the effect."""
+
+Work: TypeAlias = Steps[None]
+
+
+class UsageShare(Protocol):
+    """What the gateways together found out about one customer's use."""
+
+    part: float  # of its first attempts that its quota has units for
+    retries: bool  # whether its marked retries are within their budget
+
+
+class UsageExchange(Protocol):
+    """Where gateways tell each other of their customers' use (`kestrelbend.shares`)."""
+
+    def saw(self, key: int, plan: int, units: float, retry: bool) -> None:
+        """An invocation asked for its customer's quota."""
+
+    def let_in(self, key: int, plan: int, units: float) -> None:
+        """An invocation was sent to a backend."""
+
+    def share(self, key: int, now: int) -> UsageShare | None:
+        """What is known of a customer; None where nothing recent is known of any."""
+
+
+@dataclass(frozen=True, slots=True)
+class GatewaySettings:
+    """The settings that decisions read; spans are microseconds."""
+
+    operations: Sequence[Operation]
+    gateways: int  # that serve together
+    gateway: int  # this one's number among them
+    tick: int  # the finest step of its clock
+    counter_allowed: bool  # whether there is a counter service
+    counter_timeout: int
+    usage_period: int  # of the use that answers tell of; 0: they tell none
+    may_advise: bool  # whether a rejection may tell when to come back
+    may_cancel: bool
+    may_hedge: bool  # two deliveries of one invocation at once
+    max_deliveries: int  # of one invocation
+    may_probe: bool
+    load_reports: str  # "none", "probe" or "answers": where backends' load reports come from
+    must_subscribe: bool  # discovery tells its changes only to who asks for them
+    subscribe_within: int
+    warm_up_time: int  # after a start; slow start ends then
+    initial_capacity: float  # part of its capacity that a backend has right after its start, at least
+    overload_span: int  # rule 4: sent `overload_factor` of its capacity for so long, a backend falls over
+    overload_factor: float
+
+    @classmethod
+    def from_mapping(cls, settings: Mapping[str, Any]) -> GatewaySettings:
+        """From the names of `kestrelbend.gateway_settings`."""
+        return cls(
+            operations=settings["operations"],
+            gateways=settings["gateways"],
+            gateway=settings["gateway"],
+            tick=settings["tick"],
+            counter_allowed=settings["may_count"],
+            counter_timeout=settings["counter_timeout"],
+            usage_period=settings["meter_period"],
+            may_advise=settings["may_advise"],
+            may_cancel=settings["may_cancel"],
+            may_hedge=settings["second_copies"],
+            max_deliveries=settings["most_deliveries"],
+            may_probe=settings["may_probe"],
+            load_reports=settings["load_reports"],
+            must_subscribe=settings["must_subscribe"],
+            subscribe_within=settings["ask_within"],
+            warm_up_time=settings["cold"],
+            initial_capacity=settings["cold_from"],
+            overload_span=settings["fall"],
+            overload_factor=settings["fall_multiple"],
+        )
--- a/kestrelbend/lab/baselines.py
+++ b/kestrelbend/lab/baselines.py
@@ -3,69 +3,90 @@
 
 from __future__ import annotations
 
-from ..choice import Gateway
+from ..decisions import Gateway
+from ..decisions.admission import Admission
+from ..decisions.concurrency import local_cap
+from ..decisions.selection import BackendSelection
 
 
-class LetAllIn(Gateway):
+class AdmitAll(Admission):
     """Every invocation is let in; what a backend cannot take is refused for want of a credit."""
 
     def admit(self, inv):
         yield from ()
-        return (
-            self.after(inv)
-            if inv.customer.plan.ceiling_rate and (self.ceiling_share(inv.customer) < inv.units)
-            else None
-        )
+        customer = inv.customer
+        if customer.plan.ceiling_rate and self.limits.available(customer) < inv.units:
+            return self.budget.retry_after(inv)
+        return None
 
 
-class FixedShares(Gateway):
+class LetAllIn(Gateway):
+    admission_type = AdmitAll
+
+
+class EvenShares(Admission):
     """Each gateway has an even part of each customer's quota, and asks nobody."""
 
     def admit(self, inv):
         yield from ()
-        acc, plan = inv.customer, inv.customer.plan
-        if plan.ceiling_rate and self.ceiling_share(acc) < inv.units:
-            return self.after(inv)
-        if plan.most_out and acc.out >= max(1, plan.most_out // acc.spread):
-            return self.after(inv)
+        customer, plan = inv.customer, inv.customer.plan
+        if plan.ceiling_rate and self.limits.available(customer) < inv.units:
+            return self.budget.retry_after(inv)
+        if plan.most_out and customer.in_flight >= local_cap(customer):
+            return self.budget.retry_after(inv)
         if plan.rate:
             # A part below one of the largest invocations would let none of them in, ever.
-            burst = max(plan.burst / acc.spread, inv.units)
-            before = acc.left if acc.left is not None else burst
-            filled = before + plan.rate / acc.spread * (self.now - acc.as_of) / 1e6
-            acc.left, acc.as_of = min(burst, filled), self.now
-            if acc.left < inv.units:
-                return self.after(inv, (inv.units - acc.left) * acc.spread / plan.rate)
-            acc.left -= inv.units
+            burst = max(plan.burst / customer.spread, inv.units)
+            before = customer.remaining if customer.remaining is not None else burst
+            now = self.context.now
+            filled = before + plan.rate / customer.spread * (now - customer.remaining_at) / 1e6
+            customer.remaining, customer.remaining_at = min(burst, filled), now
+            if customer.remaining < inv.units:
+                missing = inv.units - customer.remaining
+                return self.budget.retry_after(inv, missing * customer.spread / plan.rate)
+            customer.remaining -= inv.units
         return None
 
 
-class Picking(Gateway):
-    """Another choice of backend; credits and quotas as they are."""
+class FixedShares(Gateway):
+    admission_type = EvenShares
 
-    def drawn(self, targets):
+
+class Picking(BackendSelection):
+    """Another selection of the backend; credits and quotas as they are."""
+
+    def drawn(self, backends):
         raise NotImplementedError
 
     def pick(self, inv):
-        if not self.free() or not self.may_go(inv):
+        if not self.credits.available() or not self.rules.may_go(inv):
             return None
-        self.picks += 1
+        self.slow_start.selections += 1
         tried = {d.backend for d in inv.deliveries}
-        able = [t for t in self.pool.members if self.may_take(inv, t)]
-        return self.drawn([t for t in able if t not in tried] or able)
+        able = [backend for backend in self.pool.members if self.rules.may_take(inv, backend)]
+        return self.drawn([backend for backend in able if backend not in tried] or able)
+
+
+class LeastInFlight(Picking):
+    def drawn(self, backends):
+        random = self.context.random
+        return min(backends, key=lambda b: (b.in_flight / b.weight, random.random()), default=None)
+
+
+class LeastOutstanding(Gateway):
+    selection_type = LeastInFlight
 
 
-class LeastOutstanding(Picking):
-    def drawn(self, targets):
-        return min(targets, key=lambda t: (t.out / t.weight, self.rng.random()), default=None)
+class TwoDrawn(Picking):
+    """Of two drawn at random, the one with less in flight."""
 
+    def drawn(self, backends):
+        pair = self.context.random.sample(backends, min(2, len(backends)))
+        return min(pair, key=lambda b: b.in_flight / b.weight, default=None)
 
-class TwoChoices(Picking):
-    """Of two drawn at random, the one with less out."""
 
-    def drawn(self, targets):
-        pair = self.rng.sample(targets, min(2, len(targets)))
-        return min(pair, key=lambda t: t.out / t.weight, default=None)
+class TwoChoices(Gateway):
+    selection_type = TwoDrawn
 
 
 BASELINES = {
--- a/kestrelbend/lab/experiment.py
+++ b/kestrelbend/lab/experiment.py
@@ -25,7 +25,7 @@
 from .scenario import Scenario
 
 # Taken from another checkout in simulated time.
-MODULE = ("choice", "hosting", "interface", "keys", "routing")
+MODULE = ("decisions", "hosting", "interface", "keys", "routing")
 RESAMPLES, LEVEL = 4000, 0.95
 PLAIN = "as it is"
 
@@ -95,7 +95,7 @@
     for at, variant in enumerate(given.variants):
         if variant.checkout:
             variant.checkout = str((folder / variant.checkout).resolve())
-            if not (Path(variant.checkout) / "kestrelbend" / "choice.py").is_file():
+            if not (Path(variant.checkout) / "kestrelbend" / "decisions").is_dir():
                 said.append(
                     f"{path}: variants[{at}].checkout: no checkout of this repository: {variant.checkout}"
                 )
--- a/kestrelbend/lab/gossip.py
+++ b/kestrelbend/lab/gossip.py
@@ -1,7 +1,7 @@
 """Fleets of membership cores in simulated time: lost, doubled and late datagrams, stops, cuts and restarts.
 
-For measurements and for tests; `choice.py` has no part here.  A member's clock may be off, and steps, since
-its core is handed whatever its machine says.
+For measurements and for tests; `kestrelbend.decisions` has no part here.  A member's clock may be off, and
+steps, since its core is handed whatever its machine says.
 """
 
 from __future__ import annotations
--- a/kestrelbend/lab/loopback.py
+++ b/kestrelbend/lab/loopback.py
@@ -24,7 +24,7 @@
 import aiohttp
 import uvloop
 
-from ..choice import Gateway
+from ..decisions import Gateway
 from ..gateway_settings.platform import flatten, settings
 from . import failures
 from .clock import LATE, LoopClock, NotOnSockets
@@ -71,7 +71,7 @@
         self.places, self.askings, self.tasks = [None] * count, {}, set()
         self.doors, self.agents, self.counters = {}, [], []
         self.folder, self.ended, self.text = None, False, None
-        self.counter_wait = Gateway(settings(dict(flatten(stated(world.scenario, 0)))), 0, 0).counter_wait
+        self.counter_wait = Gateway(settings(dict(flatten(stated(world.scenario, 0)))), 0, 0).counter.timeout
         self.lost_before, self.failed = False, []
         self.datagrams = [free_address(n) for n in range(count)]
 
--- a/kestrelbend/lab/members.py
+++ b/kestrelbend/lab/members.py
@@ -65,7 +65,9 @@
                 alive = other is not None and other.member.core.life == change.member.life
                 tally.counts["members falsely dead" if alive else "members seen dead"] += 1
         if self.probing is not None:
-            tally.counts["reports shared"] += self.probing.hear(core, self.life.gateway.heed)
+            tally.counts["reports shared"] += self.probing.hear(
+                core, self.life.gateway.background.load_reported
+            )
         while core.out:
             to, message = core.out.popleft()
             tally.counts["datagrams"] += 1
@@ -91,7 +93,7 @@
 
     def look(self):
         life = self.life
-        for backend in self.probing.wanted(life.listed, life.gateway.cold, self.now()):
+        for backend in self.probing.wanted(life.listed, life.gateway.slow_start.is_warming_up, self.now()):
             life.probe(backend)
         self.clock.after(LOOK, life.post, self.look)
 
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -1,4 +1,5 @@
-"""The simulated plant: gateways that run the real `Host` and `choice.py`, and the wire between all parties.
+"""The simulated plant: gateways that run the real `Host` and `kestrelbend.decisions`, and the wire
+between all parties.
 
 A gateway has a life from each start to its death.  All that happens to it passes its inbox (`post`), where it
 waits while the gateway stands still or its processor is busy.
@@ -232,7 +233,7 @@
         """The call ends by an answer or by the time that this gateway waits for one, whichever is first."""
         counter, network = self.world.counter, self.world.network
         call = Call(name)
-        call.timer = self.clock.after(self.gateway.counter_wait, self.uncounted, call)
+        call.timer = self.clock.after(self.gateway.counter.timeout, self.uncounted, call)
         if counter is not None and network.open(self.party, counter.party):
             self.clock.after(
                 network.delay(self.party, counter.party),
@@ -285,7 +286,7 @@
     def probed(self, backend, result, took, load):
         super().probed(backend, result, took, load)
         if self.shares:
-            self.gateway.heed(backend, load)
+            self.gateway.background.load_reported(backend, load)
             self.member.probed(backend, load)
 
     def log(self, text, about):
--- a/kestrelbend/lab/tally.py
+++ b/kestrelbend/lab/tally.py
@@ -176,9 +176,9 @@
                     "uid": backend.uid,
                     "zone": backend.zone,
                     "done": backend.done,
-                    "room": round(sum(t.room for t in known), 2),
-                    "benched": sum(t.benched for t in known),
-                    "users": sum(getattr(t, "pooled", True) for t in known),
+                    "room": round(sum(t.capacity for t in known), 2),
+                    "benched": sum(t.ejections for t in known),
+                    "users": sum(getattr(t, "in_pool", True) for t in known),
                 }
             )
         return made
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -46,11 +46,11 @@
     owner = Owner(
         {**told.settings, "may_probe": told.settings["may_probe"] and not shares}, told.seed, clock, queue
     )
-    owner.gateway.born -= loading
+    owner.gateway.context.started_at -= loading
     sockets = tally.Sockets(told.sockets)
     owner.backend_peer = Backends(queue, clock, told.settings, sockets)
     owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_peer.renew, longest(told))
-    owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter_wait)
+    owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter.timeout)
     owner.roster = Roster(queue, told.discovery, owner.heard)
     if told.known:
         owner.on_listing(entries(told.known))
@@ -69,7 +69,7 @@
         from .news import NewsPeer  # optional, as is what follows
 
         owner.news = NewsPeer(told.news, queue, owner)
-        await owner.news.start(owner.gateway.rng.random())
+        await owner.news.start(owner.gateway.context.random.random())
     if told.members is not None:
         from .peers import Peers  # optional: nothing of it is loaded where it is off
 
--- a/kestrelbend/net/news.py
+++ b/kestrelbend/net/news.py
@@ -18,7 +18,7 @@
         self.told, self.queue, self.owner = told, queue, owner
         settings, gateway = owner.settings, owner.gateway
         self.numbers = {pair: number for number, pair in enumerate(told.peers)}
-        self.core = gateway.news = News(
+        self.core = gateway.context.usage = News(
             settings["gateways"], settings["gateway"], settings["plans"], told.most_in, gateway.now
         )
 
--- a/kestrelbend/net/owner.py
+++ b/kestrelbend/net/owner.py
@@ -110,7 +110,9 @@
     def on_probed(self, backend, result, took, load):
         self.probed(backend, result, took, load)
         if self.peers is not None and self.peers.probing is not None:
-            self.gateway.heed(backend, load)  # asked as a duty: no generator of the module waits for it
+            self.gateway.background.load_reported(
+                backend, load
+            )  # asked as a duty: no generator of the module waits for it
             self.peers.probed(backend, load)
 
     def on_datagram(self, source, data):
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/net/peers.py
@@ -82,7 +82,7 @@
         if core.conflict is not None:
             self.give_way(core.conflict)
         if self.probing is not None:
-            counters["reports_shared"] += self.probing.hear(core, self.owner.gateway.heed)
+            counters["reports_shared"] += self.probing.hear(core, self.owner.gateway.background.load_reported)
         while core.leases:
             self.leased(*core.leases.popleft())
         self.flush()
@@ -120,13 +120,13 @@
         self.core.hear(rumour, tell=False)
         if self.probing is not None:
             self.probing.me, self.probing.version = own, None
-            self.probing.hear(self.core, self.owner.gateway.heed)
+            self.probing.hear(self.core, self.owner.gateway.background.load_reported)
 
     # Probes as duties.
 
     def probes_due(self):
         """Backends that this gateway should probe now, of those that are cold."""
-        return self.probing.wanted(self.owner.listed, self.owner.gateway.cold, self.now())
+        return self.probing.wanted(self.owner.listed, self.owner.gateway.slow_start.is_warming_up, self.now())
 
     def probed(self, backend, load):
         self.probing.tell(self.core, self.now(), self.owner.backend_ids.get(backend), load)
--- a/kestrelbend/routing/pool.py
+++ b/kestrelbend/routing/pool.py
@@ -2,9 +2,9 @@
 
 Among hundreds of gateways and backends a gateway that spreads its few invocations over all backends meets
 each of them so seldom that it learns nothing of any, opens a connection for nearly every delivery, and walks
-over all of them on each event.  So each keeps to a part of them, wide enough that every member is heard of
-about every `HEARD`: a busy gateway uses many backends, an idle one few, and each member gets about the same
-from every gateway that uses it.
+over all of them on each event.  So each keeps to a part of them, wide enough that every member is sent to
+about every `SEND_INTERVAL`: a busy gateway uses many backends, an idle one few, and each member gets about
+the same from every gateway that uses it.
 
 All gateways see the backends in one order, on a ring by their keys, and each starts at a place of its own
 that it works out alone.  The places step by the golden section, so that any number of gateways cover the ring
@@ -14,92 +14,122 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Callable
+from random import Random
+from typing import TYPE_CHECKING
 
-SECOND = 1_000_000
+if TYPE_CHECKING:
+    from ..decisions.state import BackendState
+
+SECOND = 1_000_000  # microseconds
 GOLDEN = (math.sqrt(5) - 1) / 2
-HEARD = 2 * SECOND  # a member should be sent to about so often
-LEAST = 8  # members at least, so that a lost zone leaves some
-COMPARED = 24  # members looked at for one delivery
-MEMORY = 10 * SECOND  # sends are counted over about so long
-GROWS, SHRINKS = 1.25, 0.6  # the pool follows its pace by such steps, or connections would come and go
+SEND_INTERVAL = 2 * SECOND  # a member should be sent to about so often
+MIN_MEMBERS = 8  # so that a lost zone leaves some
+MAX_CANDIDATES = 24  # members looked at for one delivery
+PACE_MEMORY = 10 * SECOND  # sends are counted over about so long
+# The pool follows its pace by such steps, or connections would come and go.
+GROWTH_STEP = 1.25
+SHRINK_STEP = 0.6
 
 
 class Pool:
-    """`members` may be picked; `order` holds all ready backends, this gateway's own first, and `reach` is how
-    far down the order the members come from.  Targets have `key`, `room`, `out`, `bench` (microseconds until
-    when it is left out) and `pooled`, which is set here."""
-
-    def __init__(self, gateways, gateway, now):
-        self.gateways, self.gateway = gateways, gateway
-        self.order, self.members, self.reach = [], [], 0
-        self.rooms, self.out = 0.0, 0  # sums over the members
-        self.width, self.returns = LEAST, math.inf  # wanted members; when the next one benched is back
-        self.sends, self.since = 0, now
-
-    def listed(self, targets):
-        """The ready backends have changed; `fill` has to follow."""
-        ring = sorted(targets, key=lambda t: t.key)
+    """The backends that this gateway keeps to.
+
+    Invariant: `capacity` and `in_flight` are the sums over `members`, so every change of a member's credits
+    passes here.
+    """
+
+    def __init__(self, gateways: int, gateway: int, now: int) -> None:
+        """`gateway`: this one's number among so many; `now` in microseconds."""
+        self.gateways = gateways
+        self.gateway = gateway
+        self.order: list[BackendState] = []  # all ready backends, this gateway's own first
+        self.members: list[BackendState] = []  # that may be selected
+        self.reach = 0  # how far down the order the members come from
+        self.capacity = 0.0
+        self.in_flight = 0
+        self.size: float = MIN_MEMBERS  # wanted members
+        self.next_return_at: float = math.inf  # microseconds; the next ejected one may come back
+        self.sends: float = 0
+        self.counted_from = now  # microseconds, for `sends`
+
+    def set_endpoints(self, backends: list[BackendState]) -> None:
+        """The ready backends have changed; `refill` has to follow."""
+        ring = sorted(backends, key=lambda backend: backend.key)
         start = int(self.gateway * GOLDEN % 1.0 * len(ring))
         self.order = ring[start:] + ring[:start]
 
-    def fill(self, now, part):
-        """Take members from the order until together they can do what `width` warm ones can.  `part(t)` is
-        the share of its capacity that a backend is known to have by now."""
-        for t in self.members:
-            t.pooled = False
-        self.members, able, self.returns, self.reach = [], 0.0, math.inf, 0
-        for t in self.order:
-            if able >= self.width:
+    def refill(self, now: int, expected_capacity: Callable[[BackendState], float]) -> None:
+        """Take members from the order until together they can do what `size` warm ones can.
+
+        `expected_capacity` tells which part of its capacity a backend is known to have by now.
+        """
+        for backend in self.members:
+            backend.in_pool = False
+        self.members = []
+        self.next_return_at = math.inf
+        self.reach = 0
+        able = 0.0
+        for backend in self.order:
+            if able >= self.size:
                 break
             self.reach += 1
-            if t.bench > now:
-                self.returns = min(self.returns, t.bench)
+            if backend.ejected_until > now:
+                self.next_return_at = min(self.next_return_at, backend.ejected_until)
                 continue
-            t.pooled = True
-            self.members.append(t)
-            able += part(t)
-        self.rooms, self.out = sum(t.room for t in self.members), sum(t.out for t in self.members)
+            backend.in_pool = True
+            self.members.append(backend)
+            able += expected_capacity(backend)
+        self.capacity = sum(backend.capacity for backend in self.members)
+        self.in_flight = sum(backend.in_flight for backend in self.members)
 
-    def candidates(self, rng):
+    def candidates(self, random: Random) -> list[BackendState]:
         """Those to compare for one delivery: all members, or of many some drawn by chance, which are nearly
         as good and cost no more time in a larger fleet."""
-        return self.members if len(self.members) <= COMPARED else rng.sample(self.members, COMPARED)
+        if len(self.members) <= MAX_CANDIDATES:
+            return self.members
+        return random.sample(self.members, MAX_CANDIDATES)
 
-    def benched(self):
+    def ejected(self) -> int:
+        """How many would be members, were they not ejected."""
         return self.reach - len(self.members)
 
-    def reached(self):
-        """The members and those that would be, were they not benched."""
+    def nominal_members(self) -> list[BackendState]:
+        """The members and those that would be, were they not ejected."""
         return self.order[: self.reach]
 
-    def sharers(self):
+    def sharing_gateways(self) -> float:
         """About how many gateways use each backend that this one uses."""
         return max(1.0, self.gateways * self.reach / max(1, len(self.order)))
 
     # Credits.
 
-    def spend(self, t):
+    def spend_credit(self, backend: BackendState) -> None:
+        """A delivery goes to a backend."""
         self.sends += 1
-        t.out += 1
-        self.out += t.pooled
-
-    def give_back(self, t):
-        if t.out:
-            t.out -= 1
-            self.out -= t.pooled
-
-    def resize(self, t, room):
-        if t.pooled:
-            self.rooms += room - t.room
-        t.room = room
-
-    # Width.
-
-    def wants_width(self, now):
-        """The width that the present pace asks for, or None while the present one will do."""
-        spell = now - self.since
-        wanted = max(LEAST, self.sends / max(HEARD, spell) * HEARD)
-        if spell > MEMORY:
-            self.sends, self.since = self.sends / 2, (self.since + now) // 2
-        wanted = min(wanted, max(LEAST, len(self.order)))
-        return wanted if not SHRINKS * self.width < wanted < GROWS * self.width else None
+        backend.in_flight += 1
+        self.in_flight += backend.in_pool
+
+    def return_credit(self, backend: BackendState) -> None:
+        """It ended, or is taken to be lost."""
+        if backend.in_flight:
+            backend.in_flight -= 1
+            self.in_flight -= backend.in_pool
+
+    def set_capacity(self, backend: BackendState, credits: float) -> None:
+        """Change a backend's credits here."""
+        if backend.in_pool:
+            self.capacity += credits - backend.capacity
+        backend.capacity = credits
+
+    # Size.
+
+    def wanted_size(self, now: int) -> float | None:
+        """The members that the present pace asks for; None while the present number will do."""
+        span = now - self.counted_from
+        wanted = max(MIN_MEMBERS, self.sends / max(SEND_INTERVAL, span) * SEND_INTERVAL)
+        if span > PACE_MEMORY:
+            self.sends /= 2
+            self.counted_from = (self.counted_from + now) // 2
+        wanted = min(wanted, max(MIN_MEMBERS, len(self.order)))
+        return wanted if not SHRINK_STEP * self.size < wanted < GROWTH_STEP * self.size else None
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -392,10 +392,10 @@
             await world.until(lambda: len(world.owner.requests) == 1)
             await world.until(lambda: not world.owner.requests and not front.out, 2)
             target = world.owner.backends["s0"]
-            assert not target.out and target.times.total == 2
+            assert not target.in_flight and target.latencies.count == 2
             await asyncio.gather(*(proxy.ask(path(10 + n), f"e{n}", x_plan="plan") for n in range(8)))
             await proxy.report(*((f"e{n}", 503, 0.01) for n in range(8)))
-            await world.until(lambda: target.bench > 0)  # judged by what the proxy tells
+            await world.until(lambda: target.ejected_until > 0)  # judged by what the proxy tells
 
     run(test())
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -55,6 +55,6 @@
 
 
 def test_a_failure_of_the_module_is_reported(monkeypatch, capsys):
-    monkeypatch.setattr("kestrelbend.choice.Gateway.admit", lambda self, inv: 1 / 0)
+    monkeypatch.setattr("kestrelbend.decisions.admission.Admission.admit", lambda self, inv: 1 / 0)
     lines = play(f"{INIT}\n{ROSTER}", "accept g/0 9 op plan c 3000.5 - - - -")
     assert lines[1].startswith("bug g/0 ZeroDivisionError") and "Traceback" in capsys.readouterr().err
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -187,7 +187,7 @@
 EVENTS = 250  # for each
 
 
-def front_drawn(chance):
+def front_drawn(chance, pressed):
     """A front with drawn settings, backends and counter."""
     operations = {}
     for n, effect in enumerate(("idempotent", "deduplicated", "at_most_once")):
@@ -206,9 +206,9 @@
         instances=gateways,
         classes__count=3,
         **operations,
-        contracts__0__refill=chance.choice([0, 2, 40]),
-        contracts__0__storeSize=chance.choice([6, 60]),
-        contracts__0__concurrency=chance.choice([0, 0, 3]),
+        contracts__0__refill=2 if pressed else chance.choice([0, 2, 40]),
+        contracts__0__storeSize=60 if pressed else chance.choice([6, 60]),
+        contracts__0__concurrency=0 if pressed else chance.choice([0, 0, 3]),
         contracts__0__ceilingRate=ceiling,
         contracts__0__capDepth=12 * bool(ceiling),
         contracts__0__hardSlack=chance.choice([0, 2]) * bool(ceiling),
@@ -225,10 +225,10 @@
         policyLimits__tryLimit=chance.randint(1, 4),
         discovery=chance.choice(["automatic", "subscribe"]),
     )
-    front.gateway.called = chance.choice([1.0, 1.0, 0.5, 0.1])
+    front.gateway.counter.call_fraction = chance.choice([1.0, 1.0, 0.5, 0.1])
     if chance.random() < 0.3:
         settings = front.inst.settings
-        news = front.gateway.news = News(gateways, 0, settings["plans"], 60, front.now)
+        news = front.gateway.context.usage = News(gateways, 0, settings["plans"], 60, front.now)
         news.who, news.heard = 5, front.now
     return front, chance.choice([1, gateways])
 
@@ -238,9 +238,11 @@
 
     def __init__(self, chance, digest):
         self.chance, self.digest = chance, digest
-        self.front, self.spread = front_drawn(chance)
-        self.states = {n: (State.READY, 0) for n in range(1, chance.choice([4, 9, 40]))}
-        self.store, self.invs = {}, {}
+        self.pressed = chance.random() < 0.4  # few backends, many marked retries
+        self.front, self.spread = front_drawn(chance, self.pressed)
+        backends = chance.choice([1, 2] if self.pressed else [3, 8, 39])
+        self.states = {n: (State.READY, 0) for n in range(1, backends + 1)}
+        self.store, self.invs, self.unanswered = {}, {}, []
         self.listed()
 
     def listed(self):
@@ -251,7 +253,9 @@
         while lines := self.front.take():
             for line in lines:
                 self.digest.update(f"{self.front.now} {' '.join(line)}\n".encode())
-                if line[0] == "incr":
+                if line[0] == "incr" and self.chance.random() < 0.3:
+                    self.unanswered.append(line)  # other events come first
+                elif line[0] == "incr":
                     self.counts(line)
                 elif line[0] == "sound_out":
                     load = [self.chance.choice([0.0, 2.0]), 1.0, self.chance.random()]
@@ -270,7 +274,9 @@
         chance, front = self.chance, self.front
         out = [(n, d) for n, inv in self.invs.items() for d in inv.deliveries if d.result is None]
         draw = chance.random()
-        if draw < 0.45:
+        if self.unanswered and chance.random() < 0.4:
+            self.counts(self.unanswered.pop(0))
+        elif draw < 0.45:
             self.accept(number)
         elif draw < 0.8 and out:
             self.returned(*chance.choice(out))
@@ -286,8 +292,8 @@
         elif draw < 0.99 and out:
             n, d = chance.choice(out)
             front.tell("streaming", [], n, None, 0, d.number)
-        elif front.gateway.news is not None:
-            news = front.gateway.news
+        elif front.gateway.context.usage is not None:
+            news = front.gateway.context.usage
             news.heard = front.now
             news.shares = {key: Share(chance.random(), chance.random() < 0.5) for key in news.uses}
 
@@ -295,7 +301,8 @@
         chance, front = self.chance, self.front
         operation = chance.choice(["idempotent", "deduplicated", "at_most_once"])
         customer, until = f"c{chance.randrange(6)}", front.now + chance.choice([50, 500, 3000]) * MS
-        units, retry = float(chance.choice([0.5, 1, 1, 4])), 2 * (chance.random() < 0.2)
+        units = float(chance.choice([0.5, 1, 1, 4]))
+        retry = 2 * (chance.random() < (0.6 if self.pressed else 0.2))
         front.tell("accept", [], number, operation, "plan", customer, until, units, self.spread, 0, retry)
         if number in front.inst.invs:
             self.invs[number] = front.inst.invs[number]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -76,7 +76,7 @@
         f.accept(n, units=0.1)
         lines = f.answer_counts(result=Result.REJECTED)
         assert kinds(lines) == ["pass_on"]
-    assert f.gateway.called < 1 and not f.gateway.silent
+    assert f.gateway.counter.call_fraction < 1 and not f.gateway.counter.failures
     f.accept(3, units=0.1)
     assert [line[0] for line in f.take("incr", "pass_on")] == ["pass_on"]
 
@@ -131,7 +131,7 @@
     for n in (2, 3):
         f.returned(n, 0, Result.SUCCEEDED)
     f.answer_counts(store)
-    assert list(store.values()) == [0] and not next(iter(f.inst.customers.values())).line
+    assert list(store.values()) == [0] and not next(iter(f.inst.customers.values())).queue
 
 
 def test_a_lost_hall_is_left_after_one_refused_connection():
@@ -146,7 +146,9 @@
         f.accept(n)
         while f.take("pass_on"):
             f.returned(n, len(f.inst.invs[n].deliveries) - 1, Result.UNREACHABLE, took=0)
-    assert sum(t.bench > f.now for t in f.gateway.pool.order) == 4  # not a third at most, as by errors
+    assert (
+        sum(t.ejected_until > f.now for t in f.gateway.pool.order) == 4
+    )  # not a third at most, as by errors
 
 
 @pytest.mark.parametrize(
@@ -197,11 +199,15 @@
         while ["sound_out", "g/0", "2"] not in f.take():
             f.pass_time(500)
         f.tell("probe_result", [], 2, Result.SUCCEEDED, 1000, [queued, 1.0])
-        fresh.out, inv.deliveries = 1, []
-        fresh.slot, fresh.sent = None, 0  # the least guard starts anew: only the report is in question
-        assert f.gateway.may_send(inv, fresh) is allowed
-    fresh.out, fresh.sent, fresh.drawn, fresh.luck = 0, 200, f.gateway.now, False
-    assert not f.gateway.may_send(inv, fresh)  # a full report opens no way past the least guard
+        fresh.in_flight, inv.deliveries = 1, []
+        fresh.slow_start.slot, fresh.slow_start.sent = (
+            None,
+            0,
+        )  # the least guard starts anew: only the report is in question
+        assert f.gateway.rules.may_send(inv, fresh) is allowed
+    fresh.in_flight, fresh.slow_start.sent = 0, 200
+    fresh.slow_start.drawn_at, fresh.slow_start.drawn = f.gateway.now, False
+    assert not f.gateway.rules.may_send(inv, fresh)  # a full report opens no way past the least guard
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 220])
@@ -212,19 +218,25 @@
     for n in range(gateways):
         f = Front(seed=n, instances=gateways, familyInfo__mayCount="false", contracts__0__storeSize=10**6)
         f.roster((1, State.READY), (2, State.READY, f.now))
-        f.gateway.answers, f.gateway.answers_from = 10.0 * pace / gateways, f.now - 10_000 * MS
-        f.gateway.picks = 10 * 20.0
+        f.gateway.slow_start.warm_answers, f.gateway.slow_start.counted_from = (
+            10.0 * pace / gateways,
+            f.now - 10_000 * MS,
+        )
+        f.gateway.slow_start.selections = 10 * 20.0
         f.accept(1, left=60_000, spread=1)
         fronts.append(f)
     start = fronts[0].now
     for at in range(0, cold * 1000, 50):
         for f in fronts:
             f.gateway.now = f.now = start + at * MS
-            f.gateway.answers, f.gateway.answers_from = 10.0 * pace / gateways, f.now - 10_000 * MS
+            f.gateway.slow_start.warm_answers, f.gateway.slow_start.counted_from = (
+                10.0 * pace / gateways,
+                f.now - 10_000 * MS,
+            )
             inv, fresh = f.inst.invs[1], f.inst.backends[2]
             inv.deliveries, inv.done = [], False
-            while f.gateway.may_send(inv, fresh):
-                fresh.sent, fresh.luck = fresh.sent + 1, False
+            while f.gateway.rules.may_send(inv, fresh):
+                fresh.slow_start.sent, fresh.slow_start.drawn = fresh.slow_start.sent + 1, False
                 sent.append(at)
     for end in range(fall * 1000, cold * 1000, 50):
         within = sum(end - fall * 1000 < at <= end for at in sent)
@@ -235,7 +247,7 @@
 
 def test_a_crowded_counter_and_a_wide_set_leave_the_blameless_alone():
     f = front(instances=200, contracts__0__storeSize=6)
-    f.gateway.called = 0.5
+    f.gateway.counter.call_fraction = 0.5
     for n in range(20):  # each customer's first visit here, calls turned away
         f.accept(n, spread=200, customer=f"c{n}")
         assert kinds(f.answer_counts(result=Result.REJECTED)) == ["pass_on"]
@@ -250,7 +262,7 @@
     for n in range(1000):  # ten times the rate, over fifty gateways, for fifty seconds
         f = fronts[n * 7 % 50]
         f.now = 1_000_000 * MS + n * 50 * MS
-        f.gateway.called = 0.3
+        f.gateway.counter.call_fraction = 0.3
         f.accept(n, spread=50)
         if kinds(f.answer_counts(store)) == ["pass_on"]:
             sent += 1
@@ -266,12 +278,12 @@
     f.accept(2)
     f.counted(int(f.take("incr")[0][4]), 1.0)
     f.returned(1, 0, Result.SUCCEEDED, actual=3)
-    assert f.inst.customers["plan", "c"].left is None and f.inst.customers["plan", "c"].owed == 2
+    assert f.inst.customers["plan", "c"].remaining is None and f.inst.customers["plan", "c"].unreported == 2
 
 
 def test_uncalled_deliveries_out_survive_a_new_window():
     f, store = front(contracts__0__concurrency=8, contracts__0__refill=0), {}
-    f.gateway.silent, f.gateway.silent_until = 9, f.now + 50 * MS
+    f.gateway.counter.failures, f.gateway.counter.silent_until = 9, f.now + 50 * MS
     f.accept(1)
     f.now += 60 * MS
     f.accept(2)
@@ -283,16 +295,16 @@
 
 def test_long_work_does_not_hold_all_credits():
     f = front(familyInfo__mayCount="false", contracts__0__storeSize=1000, policyLimits__mayDuplicate="false")
-    room = f.gateway.room()
+    room = f.gateway.credits.capacity()
     for n in range(room):
         f.accept(n)
     f.accept(50)
-    assert len(f.take("pass_on")) == room and not f.gateway.free()
+    assert len(f.take("pass_on")) == room and not f.gateway.credits.available()
     while f.now < f.inst.invs[0].arrived + 1000 * MS:
         f.pass_time(1000)
-    assert f.gateway.free() and sum(t.out for t in f.gateway.pool.order) == 0
+    assert f.gateway.credits.available() and sum(t.in_flight for t in f.gateway.pool.order) == 0
     f.returned(0, 0, Result.SUCCEEDED, took=1500)
-    assert sum(t.out for t in f.gateway.pool.order) == 0
+    assert sum(t.in_flight for t in f.gateway.pool.order) == 0
 
 
 def test_customers_done_with_are_forgotten_but_no_spent_ceiling():
@@ -314,23 +326,28 @@
 def test_a_late_total_is_taken_and_spares_the_counter():
     """Seen on sockets: one call in five came after the settings' time; its customer was guessed at."""
     f = front(classes__0__objective=500)
-    assert f.gateway.counter_wait == 75 * MS  # a real gateway's calls may take so long
+    assert f.gateway.counter.timeout == 75 * MS  # a real gateway's calls may take so long
     f.accept(1, units=2)
     call = f.take("incr")[0]
     f.now += 60 * MS
     f.counted(int(call[4]), 4.0)
     acc = next(iter(f.inst.customers.values()))
-    assert acc.total == 4.0 and acc.owed == 0 and f.gateway.called < 1 and not f.gateway.silent
+    assert (
+        acc.total == 4.0
+        and acc.unreported == 0
+        and f.gateway.counter.call_fraction < 1
+        and not f.gateway.counter.failures
+    )
 
 
 def test_a_large_invocation_does_not_make_its_customers_set_wide():
     """Seen on sockets: with the counter crowded, six units wiped out what was known of their customer."""
     f = front(contracts__0__storeSize=20, instances=4)
-    f.gateway.called = 0.5
+    f.gateway.counter.call_fraction = 0.5
     for n, units in enumerate((2, 6)):
         f.accept(n, units=units, spread=4)
         f.answer_counts()
-    assert next(iter(f.inst.customers.values())).left is not None
+    assert next(iter(f.inst.customers.values())).remaining is not None
 
 
 @pytest.mark.parametrize("every, sick", [(0, False), (12, False), (12, True)])
@@ -351,7 +368,9 @@
         bad = every and n % every in (0, 1) or sick and target is f.inst.backends[1] and n > 800
         f.returned(n, 0, Result.BROKEN if bad else Result.SUCCEEDED, took=20, ended=not bad)
         if n > 400:
-            benched += sum(t.bench > f.now for t in ([f.inst.backends[1]] if sick else f.gateway.pool.order))
+            benched += sum(
+                t.ejected_until > f.now for t in ([f.inst.backends[1]] if sick else f.gateway.pool.order)
+            )
     assert bool(benched) == sick
 
 
@@ -387,7 +406,7 @@
             f.returned(n, 0, Result.ERRORED if bad else Result.SUCCEEDED, took=50)
         f.now += 50 * MS
     assert failed < 40 and late < 10  # without: half of them, 66
-    assert not any(t.bench > f.now for t in f.inst.backends.values()) and served > 80
+    assert not any(t.ejected_until > f.now for t in f.inst.backends.values()) and served > 80
 
 
 def test_no_advice_is_given_where_none_may_be():
@@ -401,7 +420,11 @@
 
 def test_use_told_in_answers_thins_a_flood_without_a_counter_and_lets_go_again():
     f = front(instances=50, familyInfo__metering=1000)
-    f.gateway.called, f.gateway.silent, f.gateway.silent_until = 0.5, 9, f.now + 10**9
+    f.gateway.counter.call_fraction, f.gateway.counter.failures, f.gateway.counter.silent_until = (
+        0.5,
+        9,
+        f.now + 10**9,
+    )
 
     def play(n, used):
         f.now += 500 * MS
@@ -425,7 +448,7 @@
     cheap, dear = (f.inst.operations[name] for name in ("op", "other"))
     acc = f.inst.account("plan", "c", 2)
     invs = [Invocation(op, acc, f.now, f.now + 9, 1.0, False) for op in (cheap, dear)]
-    assert max(invs, key=f.gateway.value) is invs[1]
+    assert max(invs, key=f.gateway.credits.backlog.value) is invs[1]
 
 
 def test_pressed_backends_are_spared_by_hundreds_of_gateways_that_hold_less_than_a_credit():
@@ -440,3 +463,22 @@
             f.returned(n, 0, Result.SUCCEEDED, took=600)
         f.now += 300 * MS
     assert sent < 120
+
+
+@pytest.mark.parametrize("left", [False, True])
+def test_a_retry_beyond_its_budget_is_let_in_when_those_that_waited_before_its_call_have_gone(left):
+    f = Front(contracts__0__storeSize=60, contracts__0__refill=2)
+    f.roster((1, State.READY))
+    for n in range(20):
+        f.accept(n, left=60_000)
+        f.answer_counts({})
+        if not f.inst.invs[n].deliveries:
+            break  # no credit is free: it waits
+    f.accept(100, retry=True)
+    for total in (20.0, 10.0):  # of the quota, of marked retries
+        (call,) = f.take("incr")
+        if total == 10.0 and left:
+            f.tell("withdrawn", [], n)
+        f.counted(int(call[4]), total)
+    denied = [line[2] for line in f.answer_counts() if line[0] == "deny"]
+    assert ("100" in denied) is not left
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,9 +4,16 @@
 
 import pytest
 
-from kestrelbend import choice
+from kestrelbend.decisions.attempts import AttemptRules
+from kestrelbend.decisions.background import BackgroundTasks
+from kestrelbend.decisions.concurrency import ConcurrencyCaps
+from kestrelbend.decisions.delivery import DeliveryLoop
+from kestrelbend.decisions.quota import Quota
+from kestrelbend.decisions.rate_limits import RateLimits
+from kestrelbend.decisions.selection import BackendSelection
+from kestrelbend.decisions.slow_start import SlowStart
 from kestrelbend.gateway_settings import toml_files
-from kestrelbend.interface import State
+from kestrelbend.interface import Log, State
 from kestrelbend.lab import plant
 from kestrelbend.lab.clock import SimClock, Stuck
 from kestrelbend.lab.emulate import run
@@ -223,10 +230,10 @@
     text = SMALL + '[[operations]]\nname = "pay"\neffect = "non-idempotent"\n'
     trouble = failure(kind="resets", at="1s", lasts="4s", part=0.4)
     assert run(scenario(trouble, text))[1]["broken"] == []
-    monkeypatch.setattr(choice.Gateway, "may_repeat", lambda self, inv: len(inv.deliveries) < 3)
+    monkeypatch.setattr(AttemptRules, "may_repeat", lambda self, inv: len(inv.deliveries) < 3)
     broken(run(scenario(trouble, text))[1], 2, "may have run and was sent on again")
     monkeypatch.undo()
-    monkeypatch.setattr(choice.Gateway, "close", lambda self, inv: self.refuse(inv, 0))
+    monkeypatch.setattr(DeliveryLoop, "close", lambda self, inv: self.reject(inv, 0))
     broken(run(scenario(trouble, text))[1], 2, "may have run and was throttled")
 
 
@@ -245,16 +252,16 @@
     def latest(self, inv):
         return max(self.pool.order, key=lambda t: t.started or 0, default=None)
 
-    monkeypatch.setattr(choice.Gateway, "cold", lambda self, t: False)
-    monkeypatch.setattr(choice.Gateway, "pick", latest)
+    monkeypatch.setattr(SlowStart, "is_warming_up", lambda self, backend: False)
+    monkeypatch.setattr(BackendSelection, "pick", latest)
     more = failure(kind="release", at="1s", lasts="1s", share=0.3, steps=1, down="100ms")
     broken(run(scenario(more, discovery__delay=100_000, backends__cold_from=0.1))[1], 4, "was overrun")
 
 
 def test_the_oracle_sees_rule_5_broken(monkeypatch):
-    monkeypatch.setattr(choice.Gateway, "ceiling_share", lambda self, acc: 1e9)
-    monkeypatch.setattr(choice.Gateway, "shortage", lambda self, acc, units: 0.0)
-    monkeypatch.setattr(choice.Gateway, "no_place", lambda self, inv: iter(()))
+    monkeypatch.setattr(RateLimits, "available", lambda self, customer: 1e9)
+    monkeypatch.setattr(Quota, "shortage", lambda self, customer, units: 0.0)
+    monkeypatch.setattr(ConcurrencyCaps, "wait_for_place", lambda self, inv: iter(()))
     more = failure(kind="flood", at="1s", lasts="4s", plan="dear", factor=30.0)
     broken(run(scenario(more, load=2.0))[1], 5, "beyond its ceiling")
 
@@ -265,9 +272,9 @@
 def test_a_generator_that_never_pauses_ends_the_run_with_its_name(monkeypatch):
     def endless(self):
         while True:
-            yield choice.Log("again")
+            yield Log("again")
 
-    monkeypatch.setattr(choice.Gateway, "chores", lambda self: [endless(self)])
+    monkeypatch.setattr(BackgroundTasks, "tasks", lambda self: [endless(self)])
     with pytest.raises(Stuck, match="endless, line"):
         run(scenario())
     clock = SimClock()
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -4,6 +4,7 @@
 import io
 import json
 import os
+import shutil
 import signal
 import subprocess
 import sys
@@ -217,18 +218,19 @@
 
 
 def test_another_checkout_decides_with_its_own_module(tmp_path):
-    """Its choice.py is run, not this one's."""
+    """Its decisions are run, not this one's."""
     other = tmp_path / "other"
     (other / "kestrelbend" / "routing").mkdir(parents=True)
-    for name in ("choice", "hosting", "interface", "keys", "routing/__init__", "routing/pool"):
+    shutil.copytree(REPO / "kestrelbend" / "decisions", other / "kestrelbend" / "decisions")
+    for name in ("hosting", "interface", "keys", "routing/__init__", "routing/pool"):
         text = (REPO / "kestrelbend" / f"{name}.py").read_text()
-        if name == "choice":
-            assert "FIRST_ROOM, LEAST_ROOM, MOST_ROOM = 6.0, 1.5, 192.0" in text
-            text = text.replace(
-                "FIRST_ROOM, LEAST_ROOM, MOST_ROOM = 6.0, 1.5, 192.0",
-                "FIRST_ROOM, LEAST_ROOM, MOST_ROOM = 0.01, 0.01, 0.01",
-            )
         (other / "kestrelbend" / f"{name}.py").write_text(text)
+    credits = other / "kestrelbend" / "decisions" / "credits.py"
+    text = credits.read_text()
+    for limit in ("INITIAL_CREDITS = 6.0", "MIN_CREDITS = 1.5", "MAX_CREDITS = 192.0"):
+        assert f"\n{limit}" in text
+        text = text.replace(f"\n{limit}", f"\n{limit.split()[0]} = 0.01")
+    credits.write_text(text)
     path = few(
         tmp_path,
         EXPERIMENT.replace('baseline = "let-all-in"', 'checkout = "other"').replace(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,6 +18,8 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict
 
+from kestrelbend.decisions.admission import Admission
+from kestrelbend.decisions.outcomes import Outcomes
 from kestrelbend.gateway_settings import model
 from kestrelbend.gateway_settings import platform as terms
 from kestrelbend.hosting import Task
@@ -355,18 +357,20 @@
             )
             listen = free_address()
             owner, serving = await start(replace(told, listen=listen, known=known, settings=settings))
-            owner.gateway.born = owner.clock() + 100_000  # its start took a while; none was dealt since
+            owner.gateway.context.started_at = (
+                owner.clock() + 100_000
+            )  # its start took a while; none was dealt since
             on = await asyncio.open_connection(*listen)
             status, headers, _ = await world.ask(on=on)
             assert status == 429 and "retry-after" not in headers  # no unit of the ceiling comes along
-            owner.gateway.born -= 10_000_000
+            owner.gateway.context.started_at -= 10_000_000
             for customer in owner.customers.values():
-                customer.share_dealt = None
+                customer.limit_dealt = None
             before = [len(b.seen) for b in world.backends]
             on = await asyncio.open_connection(*listen)
             assert (await world.ask(on=on))[0] == 200
             assert [len(b.seen) for b in world.backends] == [before[0], before[1] + 1]
-            assert not owner.backends["s0"].times.total
+            assert not owner.backends["s0"].latencies.count
             await world.end(owner, serving)
 
     run(test())
@@ -380,7 +384,7 @@
             world.backends[0].play = [b"200 OK\r\nApi-Used: %s\r\n\r\n" % used.encode()]
             assert (await world.ask())[0] == 200
             (customer,) = world.owner.customers.values()
-            assert bool(customer.asked) == (asked and metering > 0)
+            assert bool(customer.demand) == (asked and metering > 0)
 
     run(test())
 
@@ -567,7 +571,7 @@
         async with World(familyInfo__mostUnits=6) as world:
             world.backends[0].play = [b"200 OK\r\nApi-Charge: %s\r\n\r\n" % told.encode()]
             assert [(await world.ask())[0] for _ in range(2)] == [200] * 2
-            assert next(iter(world.owner.customers.values())).owed == 0.0
+            assert next(iter(world.owner.customers.values())).unreported == 0.0
 
     run(test())
 
@@ -596,13 +600,13 @@
             def broken(*_):
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(world.owner.gateway, "ended", broken)
+            monkeypatch.setattr(Outcomes, "ended", broken)
             assert (await world.ask())[0] in (200, 502)
-            monkeypatch.setattr(world.owner.gateway, "admit", broken)
+            monkeypatch.setattr(Admission, "admit", broken)
             assert (await world.ask())[0] == 502
             await world.until(lambda: not world.owner.tasks)
             monkeypatch.undo()
-            monkeypatch.setattr(world.owner.gateway, "wake", broken)  # on behalf of one, by another
+            monkeypatch.setattr(Outcomes, "wake", broken)  # on behalf of one, by another
             assert (await world.ask())[0] == 200 and counters["faults"] >= 3
 
     run(test())
@@ -650,7 +654,7 @@
             allowed, peer.sockets.most = peer.sockets.most, 40
             held, peer.sockets.held = peer.sockets.held, lambda: 39
             assert (await world.ask(wait="0.3", on=on))[0] == 429 and not world.backends[0].seen
-            assert not target.sick and not target.bench  # it is not the backend's doing
+            assert not target.failure_evidence and not target.ejected_until  # it is not the backend's doing
             peer.sockets.most, peer.sockets.held = allowed, held
             assert (await world.ask(on=on))[0] == 200 and not peer.connecting
             peer.sockets.most = 40  # a kept connection still serves
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -4,13 +4,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.choice import Target
+from kestrelbend.decisions import BackendState
 from kestrelbend.keys import stable_key
-from kestrelbend.routing.pool import LEAST, MEMORY, Pool
+from kestrelbend.routing.pool import MIN_MEMBERS, PACE_MEMORY, Pool
 
 
 def targets(count):
-    made = [Target() for _ in range(count)]
+    made = [BackendState() for _ in range(count)]
     for n, t in enumerate(made):
         t.key = stable_key(f"s-{n}")
     return made
@@ -25,35 +25,37 @@
 def test_running_totals_are_what_a_walk_over_the_members_gives(data):
     draw = data.draw
     pool, everyone, now = Pool(draw(st.sampled_from([1, 3, 200])), 0, 0), targets(30), 0
-    pool.listed(everyone)
-    pool.fill(now, whole)
+    pool.set_endpoints(everyone)
+    pool.refill(now, whole)
     for _ in range(draw(st.integers(1, 40))):
         t = draw(st.sampled_from(everyone))
         match draw(st.sampled_from(["spend", "back", "resize", "bench", "list", "width"])):
             case "spend":
-                pool.spend(t)
+                pool.spend_credit(t)
             case "back":
-                pool.give_back(t)
+                pool.return_credit(t)
             case "resize":
-                pool.resize(t, draw(st.floats(0.01, 9)))
+                pool.set_capacity(t, draw(st.floats(0.01, 9)))
             case "bench":
-                t.bench = now + draw(st.integers(0, 50))
-                pool.fill(now, whole)
+                t.ejected_until = now + draw(st.integers(0, 50))
+                pool.refill(now, whole)
             case "list":
-                pool.listed(draw(st.lists(st.sampled_from(everyone), unique=True)))
-                pool.fill(now, whole)
+                pool.set_endpoints(draw(st.lists(st.sampled_from(everyone), unique=True)))
+                pool.refill(now, whole)
             case "width":
-                pool.width = draw(st.integers(1, 40))
-                pool.fill(now, whole)
+                pool.size = draw(st.integers(1, 40))
+                pool.refill(now, whole)
         now += draw(st.integers(0, 20))
-        if pool.returns <= now:
-            pool.fill(now, whole)
-        able = [t for t in pool.order if t.bench <= now]
+        if pool.next_return_at <= now:
+            pool.refill(now, whole)
+        able = [t for t in pool.order if t.ejected_until <= now]
         assert pool.members == able[: len(pool.members)]
-        assert {t for t in everyone if t.pooled} == set(pool.members)
-        assert len(pool.members) == min(pool.width, len(able))
-        assert pool.out == sum(t.out for t in pool.members) and all(t.out >= 0 for t in everyone)
-        assert pool.rooms == pytest.approx(sum(t.room for t in pool.members))
+        assert {t for t in everyone if t.in_pool} == set(pool.members)
+        assert len(pool.members) == min(pool.size, len(able))
+        assert pool.in_flight == sum(t.in_flight for t in pool.members) and all(
+            t.in_flight >= 0 for t in everyone
+        )
+        assert pool.capacity == pytest.approx(sum(t.capacity for t in pool.members))
 
 
 @pytest.mark.parametrize("gateways, backends", [(2, 200), (20, 200), (200, 200), (200, 60), (137, 193)])
@@ -62,9 +64,9 @@
     numbers = {t: n for n, t in enumerate(everyone)}
     for gateway in range(gateways):
         pool = Pool(gateways, gateway, 0)
-        pool.listed(everyone)
-        pool.width = 20
-        pool.fill(0, whole)
+        pool.set_endpoints(everyone)
+        pool.size = 20
+        pool.refill(0, whole)
         for t in pool.members:
             uses[numbers[t]] += 1
     mean = gateways * 20 / backends
@@ -75,38 +77,38 @@
     everyone, pools = targets(200), []
     for gateway in range(10):
         pool = Pool(200, gateway, 0)
-        pool.listed(everyone)
-        pool.width = 20
-        pool.fill(0, whole)
+        pool.set_endpoints(everyone)
+        pool.size = 20
+        pool.refill(0, whole)
         pools.append(set(pool.members))
     assert len(set.union(*pools)) > 150
 
 
 def test_the_width_follows_the_pace_and_no_noise():
     pool, everyone, now, changes = Pool(200, 5, 0), targets(200), 0, []
-    pool.listed(everyone)
-    pool.fill(now, whole)
+    pool.set_endpoints(everyone)
+    pool.refill(now, whole)
     for pace, seconds in ((1, 30), (50, 40), (1, 60)):
         for _ in range(pace * seconds):
             now += 1_000_000 // pace
-            pool.spend(everyone[0])
-            if (width := pool.wants_width(now)) is not None:
-                pool.width = width
-                pool.fill(now, whole)
+            pool.spend_credit(everyone[0])
+            if (width := pool.wanted_size(now)) is not None:
+                pool.size = width
+                pool.refill(now, whole)
                 changes.append(width)
-        wanted = max(LEAST, 2 * pace)
-        assert 0.7 * wanted <= pool.width <= 1.7 * wanted
-    assert len(changes) < 25 and MEMORY < now
+        wanted = max(MIN_MEMBERS, 2 * pace)
+        assert 0.7 * wanted <= pool.size <= 1.7 * wanted
+    assert len(changes) < 25 and PACE_MEMORY < now
 
 
 def test_benched_and_cold_ones_are_made_up_for():
     pool, everyone = Pool(200, 0, 0), targets(100)
-    pool.listed(everyone)
-    pool.width = 20
+    pool.set_endpoints(everyone)
+    pool.size = 20
     for t in pool.order[:5]:
-        t.bench = 50
+        t.ejected_until = 50
     cold = set(pool.order[5:15])
-    pool.fill(0, lambda t: 0.25 if t in cold else 1.0)
-    assert pool.benched() == 5 and len(pool.members) == 28 and pool.reach == 33
-    pool.fill(50, lambda t: 1.0)
-    assert pool.members == pool.order[:20] and pool.sharers() == 40
+    pool.refill(0, lambda t: 0.25 if t in cold else 1.0)
+    assert pool.ejected() == 5 and len(pool.members) == 28 and pool.reach == 33
+    pool.refill(50, lambda t: 1.0)
+    assert pool.members == pool.order[:20] and pool.sharing_gateways() == 40
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.choice import Account
+from kestrelbend.decisions import CustomerState
 from kestrelbend.interface import Effect, Invocation, Result, Scope, State
 from kestrelbend.keys import stable_key
 
@@ -83,7 +83,9 @@
         instances=draw(st.sampled_from([1, 2, 1000])),
         familyInfo__mayCount=draw(st.sampled_from(["true", "false"])),
     )
-    front.gateway.called = draw(st.sampled_from([1.0, 0.1]))  # a counter that answers, a crowded one
+    front.gateway.counter.call_fraction = draw(
+        st.sampled_from([1.0, 0.1])
+    )  # a counter that answers, a crowded one
     spread = draw(st.sampled_from([1, 2, 3, 1000]))
     model = Model(front, front.inst.settings["plans"][0], spread)
     invs, answered, store = {}, set(), {}
@@ -136,8 +138,11 @@
             if number in front.inst.invs:
                 invs[number] = front.inst.invs[number]
             else:  # refused on the spot
-                told = [line[0] for line in front.answer_counts(store) if line[0] != "trace"]
-                assert told == ["deny"]
+                told = [line for line in front.answer_counts(store) if line[0] != "trace"]
+                assert told[0][0] == "deny" and int(told[0][2]) == number
+                # Under a cap it wakes the first that waits for a place, which goes on waiting.
+                waits = any(customer.queue for customer in front.inst.customers.values())
+                assert [line[0] for line in told[1:]] in ([], ["arm"] if waits else [])
         elif step == "end" and out:
             number, d = draw(st.sampled_from(out))
             front.returned(number, d.number, draw(st.sampled_from(RESULTS)))
@@ -155,7 +160,7 @@
             ghosts.append(Invocation(op, customer, front.now, front.now + 9, 3.0005, False))
         for inv in [*invs.values(), *ghosts]:
             for target in front.inst.backends.values():
-                assert front.gateway.may_send(inv, target) == model.allowed(inv, target)
+                assert front.gateway.rules.may_send(inv, target) == model.allowed(inv, target)
     check(front.answer_counts(store))
     while front.inst.alarms:
         front.pass_time(4000)
@@ -183,19 +188,19 @@
         for g in range(gateways)
     ]
     plan = fleet[0].inst.settings["plans"][0]
-    parts = [(f.gateway, Account(name, plan, gateways)) for f in fleet]
+    parts = [(f.gateway, CustomerState(name, plan, gateways)) for f in fleet]
     for gateway, _ in parts:
-        gateway.now = gateway.born = rng.randrange(-10_000_000, 0)
+        gateway.now = gateway.context.started_at = rng.randrange(-10_000_000, 0)
     spent, level, restart = 0, burst, rng.randrange(0, 1_500_000, 50_000)
     for now in range(0, 6_000_000, 50_000):
         level = min(burst, level + rate * 0.05)
         for at, (gateway, acc) in enumerate(parts):
             if now == restart and rng.random() < killed:
-                acc = Account(name, plan, gateways)
-                parts[at], gateway.born = (gateway, acc), now
+                acc = CustomerState(name, plan, gateways)
+                parts[at], gateway.context.started_at = (gateway, acc), now
             gateway.now = now
-            while gateway.ceiling_share(acc) >= 1:
-                acc.share, spent, level = acc.share - 1, spent + 1, level - 1
+            while gateway.limits.available(acc) >= 1:
+                acc.limit_units, spent, level = acc.limit_units - 1, spent + 1, level - 1
         assert level >= -slack - 1e-6
     # And what was bought can be had; without the steps up to 100 units went missing.
     if not killed:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -169,8 +169,8 @@
 def test_the_module_goes_by_news_where_the_counter_is_crowded():
     f = Front(contracts__0__storeSize=2, instances=40, contracts__0__refill=1)
     f.roster((1, State.READY))
-    f.gateway.called, f.gateway.news = 0.1, News(40, 0, PLANS, 60, f.now)
-    news, key = f.gateway.news, None
+    f.gateway.counter.call_fraction, f.gateway.context.usage = 0.1, News(40, 0, PLANS, 60, f.now)
+    news, key = f.gateway.context.usage, None
     f.accept(1, spread=40, retry=True)
     assert "deny" in [line[0] for line in f.answer_counts(result=Result.REJECTED)]  # not known
     (key,) = news.uses
