--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -33,9 +33,28 @@
     return code, said.getvalue()
 
 
+OWN = "KESTRELBEND_TESTS_OF"  # every process that these tests start inherits it
+
+
+@pytest.fixture(autouse=True)
+def own_processes(monkeypatch):
+    """Marks what is started here, so that gateways of tests beside these ones aren't counted."""
+    monkeypatch.setenv(OWN, str(os.getpid()))
+
+
+def is_own(pid):
+    try:
+        environment = Path(f"/proc/{pid}/environ").read_bytes().split(b"\0")
+    except (FileNotFoundError, ProcessLookupError):
+        return False
+    return f"{OWN}={os.getpid()}".encode() in environment
+
+
 def children():
+    """Gateways that these tests have started, also those that have lost their parent."""
     found = subprocess.run(["ps", "-eo", "ppid,pid,args"], capture_output=True, text=True, check=True).stdout
-    return [line for line in found.splitlines() if "-m kestrelbend" in line and "-O" in line]
+    gateways = [line for line in found.splitlines() if "-m kestrelbend" in line and "-O" in line]
+    return [line for line in gateways if is_own(line.split()[1])]
 
 
 def test_real_gateways_serve_a_scenario_through_failures_as_simulated_ones_do():
