--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -10,8 +10,8 @@
 
 from ..replication import Replica, Timing, replay
 from ..replication.group import Voters
-from ..replication.progress import NEVER
 from ..replication.messages import DurableRecord, DurableState, ReplicaId, Snapshot
+from ..replication.progress import NEVER
 
 if TYPE_CHECKING:
     from .world import Message
--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -110,10 +110,8 @@
         since = now - CONTACT_S
         if owner_contact.in_contact(replica, now):
             heard = node.contacts_since(since)
-            if replica.is_leader:
-                enough = has_quorum(replica.voters, heard.__contains__)
-            else:
-                enough = len(heard) > 1
+            asked_majority = replica.is_leader
+            enough = has_quorum(replica.voters, heard.__contains__) if asked_majority else len(heard) > 1
             require(enough, f"{node.name} claims contact and heard {sorted(heard)} lately")
         if owner_contact.is_current(replica, now):
             self.read(node.applied_index, node.committed_by(since), f"as current at {node.name}")
--- a/kestrelbend/tier/replication/durable.py
+++ b/kestrelbend/tier/replication/durable.py
@@ -2,6 +2,7 @@
 
 Invariant: after any prefix of the records, the state is one that the replica itself was in, so an
 entry that it has acknowledged is found again.
+Hazard: entries behind a snapshot that they don't follow; see `entries_after`.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -1,12 +1,14 @@
 """Elections: when a replica campaigns, whom it votes for, and how it counts its votes.
 
-Raft's elections with pre-vote (Ongaro 2014, sections 3.4 and 9.6).  The voters'
-order takes the place of chance: the earlier a voter stands in the group, the sooner it campaigns.
+Raft's elections with pre-vote (Ongaro 2014, sections 3.4 and 9.6).  The voters' order takes the place of
+chance: the earlier a voter stands in the group, the sooner it campaigns.
 
 Whoever is asked votes, also a replica that its own log doesn't name yet (4.2.2): the entry that names it
 may be the very one that waits for its vote.  A candidate counts the votes of its own group alone.
 
 Invariant: a vote leaves, and a replica's own vote counts, only once it is on its disk.
+Hazard: a replica that was cut off and comes back with a higher term would end a good leadership; its
+pre-vote is refused by voters that still hear the leader.
 """
 
 from __future__ import annotations
@@ -37,6 +39,7 @@
     granted: set[ReplicaId] = attrs.field(factory=set)
 
     def won(self, voters: Voters) -> bool:
+        """Whether a majority of the voters has granted its vote."""
         return has_quorum(voters, self.granted.__contains__)
 
 
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -1,6 +1,10 @@
 """The following side of replication: entries and snapshots from a leader into the log.
 
+Source: Ongaro 2014, sections 3.5 (log matching) and 5.1 (snapshots in place of entries).
+
 Invariant: an acknowledged index is on this replica's disk and equal to the leader's log up to there.
+Hazard: entries of an older leader that a late message would put back; what is committed here, or held
+with the same term, is never replaced.
 """
 
 from __future__ import annotations
@@ -18,7 +22,7 @@
         self._log = state.log
         self._verified_index = 0
         self._round = 0
-        self._last_reply: tuple[int, int] | None = None
+        self._last_reply: tuple[int, int] | None = None  # its round and its match index
         self._reply_pending = False
 
     def append(self, message: AppendEntries) -> None:
@@ -38,7 +42,7 @@
             self._accept()
 
     def receive_chunk(self, message: SnapshotChunk) -> None:
-        """Takes a chunk in and tells how much is here; a whole snapshot is installed.
+        """Takes a chunk in and tells how much is here; a complete snapshot is installed.
 
         An installed one is acknowledged as entries are, once it is on the disk.
         """
@@ -76,11 +80,13 @@
         self._round = max(self._round, round_number)
 
     def _log_matches(self, message: AppendEntries) -> bool:
+        """Whether this log holds the entry that the message's entries follow."""
         if message.previous_index <= self._state.commit_index:
             return True
         return self._log.term_at(message.previous_index) == message.previous_term
 
     def _store_entries(self, message: AppendEntries) -> None:
+        """Takes the entries from the first one on that differs from what is here."""
         for position, entry in enumerate(message.entries):
             if entry.index <= self._state.commit_index or self._log.term_at(entry.index) == entry.term:
                 continue
@@ -98,6 +104,7 @@
         self._reply(True, self._match_index, self._round)
 
     def _reject(self, message: AppendEntries) -> None:
+        """Tells the leader where to go on: before the term of the entry that differs, or at the log's end."""
         hint = min(message.previous_index - 1, self._log.last_index)
         if self._log.term_at(message.previous_index) is not None:
             hint = self._log.first_index_of_term_at(message.previous_index) - 1
--- a/kestrelbend/tier/replication/group.py
+++ b/kestrelbend/tier/replication/group.py
@@ -2,6 +2,8 @@
 
 Invariant: two consecutive groups differ in one voter at most, so their majorities meet (Ongaro 2014,
 section 4.1), and no two leaders of one term can both reach a quorum.
+Hazard: a voter that is taken in before it holds the log: the group would bear fewer losses than its size
+says; `is_caught_up` is asked first.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -1,4 +1,13 @@
-"""What a replica holds only while it leads the shard: its followers, its rounds, its waiting reads."""
+"""What a replica holds only while it leads the shard: its followers, its rounds, its waiting reads.
+
+Commitment by a majority's disks (Ongaro 2014, sections 3.5 and 3.6.2), check-quorum (6.2), and reads that
+a heartbeat round confirms (6.4).
+
+Invariant: nothing counts as stored by a follower but what a reply of this term has acknowledged, and
+nothing as confirmed but by a round that began after it was asked for.
+Hazard: entries of older terms that a majority holds and that a later leader may still replace; they are
+committed only along with one of this term.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +16,13 @@
 
 import attrs
 
+from .entry_sender import EntrySender
 from .group import has_quorum, quorum_size
-from .messages import AppendEntries, AppendReply, Entry, EntryKind, ReplicaId, SnapshotReply
-from .progress import NEVER, Progress, HeartbeatRounds
+from .messages import AppendReply, Entry, EntryKind, ReplicaId, SnapshotReply
+from .progress import NEVER, HeartbeatRounds, Progress
 from .read_index import LOCAL, PendingRead, PendingReads
-from .snapshot_transfer import SnapshotSender, chunk_message
 from .state import ReplicaState
 
-ENTRY_BYTES = 64  # what an entry costs beside its data, about
-
 
 @attrs.frozen
 class CommitPoint:
@@ -32,7 +39,6 @@
     """
 
     def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
-        self._announces_commits = announces_commits  # at once, not with the next entries or round
         self.first_index_of_term = state.log.last_index + 1
         self.elected_at = now
         self.followers: dict[ReplicaId, Progress] = {}
@@ -40,6 +46,7 @@
         self._log = state.log
         self._timing = state.timing
         self._rounds = HeartbeatRounds()
+        self._sender = EntrySender(state, self._rounds, now, announces_commits)
         self._reads = PendingReads()
         self._round_started_at = NEVER
         self._round_requested = False
@@ -219,76 +226,10 @@
             self._commit_history.popleft()
 
     def send_due(self, now: float) -> None:
-        """Sends the followers all that is due: heartbeats, entries, snapshots, a new commit index.
-
-        A follower that has not replied for a while gets heartbeats alone, until it does.
-        """
+        """Sends the followers all that is due, a round for waiting reads first."""
         if self._round_requested:
             self.begin_round(now)
-        for identity, progress in self.followers.items():
-            if progress.sent_round < self._rounds.current:
-                self._send_append(identity, progress, (), now)
-            if now - max(progress.last_contact_at, self.elected_at) > self._timing.reply_timeout:
-                continue
-            self._send_entries(identity, progress, now)
-            if self._announces_commits and self._lacks_commit(progress, now):
-                self._send_append(identity, progress, (), now)
-
-    def _lacks_commit(self, progress: Progress, now: float) -> bool:
-        """Whether the follower could commit more than it was told of."""
-        return progress.sent_commit_index < min(self._state.commit_index, self._previous_index(progress, now))
-
-    def _send_entries(self, identity: ReplicaId, progress: Progress, now: float) -> None:
-        while progress.transfer is None and progress.next_index <= self._log.last_index:
-            if progress.outstanding_bytes >= self._timing.window_bytes:
-                return
-            if progress.is_overtaken(now, self._timing):
-                return
-            if progress.next_index <= self._log.base_index:
-                progress.transfer = SnapshotSender(self._log.snapshot, self._timing, now)
-                break
-            entries = self._log.batch(progress.next_index, self._timing.append_bytes, ENTRY_BYTES)
-            self._send_append(identity, progress, entries, now)
-            size = sum(len(entry.data) + ENTRY_BYTES for entry in entries)
-            progress.record_sent(entries[-1].index, size, now)
-        if progress.transfer is not None:
-            self._send_chunks(identity, progress.transfer, now)
-
-    def _send_chunks(self, identity: ReplicaId, transfer: SnapshotSender, now: float) -> None:
-        state = self._state
-        for chunk in transfer.due_chunks(now):
-            message = chunk_message(
-                transfer, chunk, state.shard, state.identity, state.term, self._rounds.current
-            )
-            state.send(identity, message)
-
-    def _previous_index(self, progress: Progress, now: float) -> int:
-        """The entry that a message follows: the last one sent, unless that may come after the message."""
-        index = progress.next_index - 1
-        if progress.is_overtaken(now, self._timing):
-            index = min(index, progress.match_index)
-        return max(index, self._log.base_index)
-
-    def _send_append(
-        self, identity: ReplicaId, progress: Progress, entries: tuple[Entry, ...], now: float
-    ) -> None:
-        state = self._state
-        previous = self._previous_index(progress, now)
-        progress.sent_round = self._rounds.current
-        progress.sent_commit_index = min(state.commit_index, previous + len(entries))
-        previous_term = self._log.term_at(previous)
-        assert previous_term is not None, "entries after one that the log doesn't hold"
-        message = AppendEntries(
-            shard=state.shard,
-            sender=state.identity,
-            term=state.term,
-            previous_index=previous,
-            previous_term=previous_term,
-            entries=entries,
-            commit_index=state.commit_index,
-            round=self._rounds.current,
-        )
-        state.send(identity, message)
+        self._sender.send_due(self.followers, now)
 
     def _match_index(self, identity: ReplicaId) -> int:
         if identity == self._state.identity:
--- a/kestrelbend/tier/replication/leadership_transfer.py
+++ b/kestrelbend/tier/replication/leadership_transfer.py
@@ -2,14 +2,15 @@
 
 Invariant: the receiver is asked to campaign only once its disk holds the leader's whole log, and the
 leader takes no proposals in the meantime.
+Hazard: a transfer that nobody takes up would stop the shard; it ends after `Timing.transfer_timeout`.
 """
 
 from __future__ import annotations
 
 import attrs
 
-from .messages import ReplicaId, TransferLeadership
 from .leader import LeaderState
+from .messages import ReplicaId, TransferLeadership
 from .progress import NEVER
 from .state import ReplicaState
 
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -2,6 +2,9 @@
 
 Invariant: `durable_index` never counts an entry that the disk doesn't hold as the log does; an entry
 that is replaced is taken out of every write still under way.
+
+Source: Ongaro 2014, sections 3.5 (the log), 4.1 (the newest group counts at once) and 5 (compaction).
+Hazard: a write that ends after its entries were replaced; see `_cap_durable`.
 """
 
 from __future__ import annotations
@@ -47,10 +50,12 @@
 
     @property
     def last_index(self) -> int:
+        """The index of the newest entry, or of the snapshot where no entry follows it."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the entry at `last_index`."""
         return self.entries[-1].term if self.entries else self.base_term
 
     @property
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -1,4 +1,10 @@
-"""What replicas of a shard say to each other, what they write, and what they hold."""
+"""What replicas of a shard say to each other, what they write, and what they hold.
+
+The messages are Raft's (Ongaro 2014: AppendEntries 3.5, RequestVote 3.4, InstallSnapshot 5.1, TimeoutNow
+3.10).  Each has the name on the wire that `protocol.wire_names` gives it.
+
+Invariant: fields keep their order, and new ones come last with a default: a field travels by its position.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +20,7 @@
     """What an entry of a shard's log holds."""
 
     COMMAND = 0  # for the shard's state machine
-    GROUP = 1  # the voters from here on, as `Group` encodes them
+    GROUP = 1  # the voters from here on, as `group.encode_group` encodes them
     EMPTY = 2  # the first entry of a term
 
 
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -1,9 +1,12 @@
 """Where a shard should live: the voters and learners wished for, and the leader's steps towards them.
 
+Single-server changes (Ongaro 2014, section 4.1), with learners that catch up first (4.2.1).
+
 Invariant: one change of the group is under way at most, and none before this term has committed an
 entry; while a leadership transfer runs, the group stands still.  No step is taken towards a placement
 with a lower number than the log has seen, and none towards a target that the leader of another term
 decided by itself.
+Hazard: a placement that arrives late, from a control process that has been replaced: see `may_follow`.
 """
 
 from __future__ import annotations
@@ -11,9 +14,9 @@
 import attrs
 
 from .group import Voters, encode_group, has_quorum, next_group
+from .leader import LeaderState
 from .leadership_transfer import LeadershipTransfer
 from .messages import EntryKind, ReplicaId
-from .leader import LeaderState
 from .state import ReplicaState
 
 
@@ -27,7 +30,7 @@
 
 
 class Placement:
-    """The wishes outlive a leadership; the leadership transfer doesn't."""
+    """The target and the learners outlive a leadership; a transfer doesn't."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._target = Target()
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -2,6 +2,7 @@
 
 Invariant: a reply speaks for the moment at which its round began, never for the moment it came, so
 replies that lay in a socket while the process stood still prove nothing about now.
+Hazard: a refusal that answers an earlier message, taken for one of the last: see `fallback_round`.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 
     next_index: int
     match_index: int = 0
-    last_contact_at: float = NEVER
+    last_contact_at: float = NEVER  # when the latest acknowledged round began
     acknowledged_round: int = 0
     sent_round: int = 0
     sent_commit_index: int = 0
-    fallback_round: int = 0
+    fallback_round: int = 0  # refusals of earlier rounds count no more
     transfer: SnapshotSender | None = None
     outstanding: deque[Outstanding] = attrs.field(factory=deque)
     outstanding_bytes: int = 0
@@ -92,8 +93,8 @@
         """
         if not any(sent.size > timing.overtaken_bytes for sent in self.outstanding):
             return False
-        most = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_rate
-        return now - self.advanced_at <= most
+        longest = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_rate
+        return now - self.advanced_at <= longest
 
     def _clear_outstanding(self) -> None:
         self.outstanding.clear()
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -4,8 +4,10 @@
 begun after it.  A follower that has applied that much is as new as the shard was when it asked.
 
 Invariants: an answer counts from the moment its question was asked, by the asker's own steady clock, never
-from the moment it came; an answer counts only for a question that this process asked in this life, of the
-leader that it follows in the present term.
+from the moment it came; an answer counts only for a question that this process asked in this incarnation,
+of the leader that it follows in the present term.
+Hazard: a leader that was replaced and doesn't know it yet; it answers nothing until a majority has
+acknowledged a round begun after the question.
 """
 
 from __future__ import annotations
@@ -67,6 +69,8 @@
 
 @attrs.frozen
 class ReadIndexAnswer:
+    """A leader's answer: all up to `index` was committed when it was asked, at `requested_at` seconds."""
+
     requested_at: float
     index: int
 
@@ -74,8 +78,8 @@
 class FollowerReads:
     """The follower's side: its questions to one leader in one term, and what their answers prove.
 
-    Tickets begin at `first_ticket`, which rises with each life of the process, so that no answer to an
-    earlier life counts in this one.
+    Tickets begin at `first_ticket`, which rises with each incarnation of the process, so that no answer
+    to an earlier one counts in this one.
     """
 
     def __init__(self, first_ticket: int, interval: float) -> None:
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""A snapshot on its way from a leader to a follower, in chunks.  Pure.
+"""A snapshot on its way from a leader to a follower, in chunks.  Pure (Ongaro 2014, section 5.1).
 
 The sender keeps one snapshot until the follower has all of it, also where a newer one is made meanwhile, so
 that a transfer ends however fast the shard goes on.  A chunk that was lost is sent again from the offset that
@@ -7,6 +7,7 @@
 
 Invariant: a follower installs only bytes whose digest is the one that the leader gave with each chunk.
 Chunks of two snapshots are told apart by index, term, voters, size and digest, so they never mix.
+Hazard: late chunks of an older snapshot that begin a transfer anew; see `SnapshotReceiver._is_outdated`.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from .timing import Timing
 
 DIGEST_BYTES = 16
-MAX_SNAPSHOT_BYTES = 1 << 30
+MAX_SNAPSHOT_BYTES = 1 << 30  # a chunk of a larger one is not taken
 SMOOTHING = 0.25  # the weight of the newest round trip
-TIMEOUT_ROUND_TRIPS = 4.0
+TIMEOUT_ROUND_TRIPS = 4.0  # without progress, until what is under way counts as lost
 
 
 def digest_of(state: bytes) -> bytes:
@@ -165,7 +166,7 @@
 
 
 class SnapshotReceiver:
-    """What a replica has of a snapshot that is not whole yet; it lasts beyond the leader that sent it."""
+    """What a replica has of a snapshot that is not complete yet; it lasts beyond the leader that sent it."""
 
     def __init__(self) -> None:
         self._incoming: SnapshotIdentity | None = None
@@ -173,7 +174,7 @@
         self._bytes = HashedBytes()
 
     def receive(self, chunk: SnapshotChunk) -> Snapshot | None:
-        """Adds a chunk that follows what is here; the snapshot once it is whole and its digest is right."""
+        """Adds a chunk that follows what is here; the snapshot once it is complete and has its digest."""
         if not 0 <= chunk.size <= MAX_SNAPSHOT_BYTES or self._is_outdated(chunk):
             return None
         self._start_if_different(chunk)
@@ -183,11 +184,11 @@
             self._bytes.add(chunk.data[have - chunk.offset :])
         if len(self._bytes.state) < chunk.size:
             return None
-        whole = self._bytes
+        complete = self._bytes
         self.discard()
-        if len(whole.state) != chunk.size or not whole.has_digest(chunk.digest):
+        if len(complete.state) != chunk.size or not complete.has_digest(chunk.digest):
             return None
-        return attrs.evolve(chunk.snapshot, state=bytes(whole.state))
+        return attrs.evolve(chunk.snapshot, state=bytes(complete.state))
 
     def received(self, chunk: SnapshotChunk) -> int:
         """How many bytes of the chunk's snapshot are here."""
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -1,6 +1,10 @@
 """What every role of a replica shares: its term, its vote, its log, its disk and its effects.
 
+Raft's persistent state (Ongaro 2014, figure 3.1): the term, the vote and the log; the commit index and what
+is under way are not stored.
+
 Invariant: the term never falls, and at most one vote is given in a term.
+Hazard: a message that leaves before the write it rests on; `send_after_write` is for those.
 """
 
 from __future__ import annotations
@@ -39,10 +43,12 @@
 
     @property
     def voters(self) -> Voters:
+        """The voters that the newest entry names, committed or not."""
         return self.log.voters
 
     @property
     def is_voter(self) -> bool:
+        """Whether the replica's own log names it as a voter."""
         return self.identity in self.log.voters
 
     def other_voters(self) -> Voters:
--- a/kestrelbend/tier/replication/timing.py
+++ b/kestrelbend/tier/replication/timing.py
@@ -1,4 +1,8 @@
-"""The spans of time that a replica goes by, and its bounds on sizes."""
+"""The spans of time that a replica goes by, and its bounds on sizes.
+
+Invariant: `heartbeat` < `leader_stickiness` < `election_timeout` (Ongaro 2014, sections 3.4, 4.2.3, 6.2):
+a leader in contact neither gives up nor is voted out.
+"""
 
 from __future__ import annotations
 
