--- a/kestrelbend/tier/replication/__init__.py
+++ b/kestrelbend/tier/replication/__init__.py
@@ -40,9 +40,9 @@
   acknowledged entry always waits.
 - A candidacy stays open beside a new pre-vote, so that votes delayed by slow disks still count.
 - A leader whose own disk stalls hands over; one that can't gives up.
-- A snapshot travels in chunks that are acknowledged before they are written; a complete one counts once it is
-  on the disk.  The next leader goes on with what the follower has where the digest shows that the bytes are the
-  same.
+- A snapshot travels in chunks that are acknowledged before they are written; a complete one counts once it
+  is on the disk.  The next leader goes on with what the follower has where the digest shows that the bytes
+  are the same.
 - A replica's own snapshot is written with the journal's next checkpoint only: until then its disk has an
   older one and all entries since.
 - While a large append is under way, heartbeats follow the last acknowledged entry: they may overtake it.
--- a/kestrelbend/tier/replication/disk.py
+++ b/kestrelbend/tier/replication/disk.py
@@ -17,7 +17,7 @@
 Send = tuple[ReplicaId, ReplicaMessage]  # the receiver and the message
 
 
-@attrs.frozen
+@attrs.define
 class IssuedWrite:
     """A write under way since `issued_at`, in seconds of the steady clock."""
 
@@ -25,7 +25,7 @@
     issued_at: float
 
 
-@attrs.frozen
+@attrs.define
 class DeferredSend:
     """A message that leaves once the write `ticket` is done."""
 
--- a/kestrelbend/tier/replication/hosted.py
+++ b/kestrelbend/tier/replication/hosted.py
@@ -22,7 +22,7 @@
 SNAPSHOT_STEPS_PER_TICK = 4
 
 
-@attrs.frozen
+@attrs.define
 class PendingProposal:
     """A command that was appended in `term` and whose proposer waits."""
 
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -24,7 +24,7 @@
 from .state import ReplicaState
 
 
-@attrs.frozen
+@attrs.define
 class CommitPoint:
     """The commit index at a moment, in seconds of the steady clock."""
 
--- a/kestrelbend/tier/replication/replica_disk.py
+++ b/kestrelbend/tier/replication/replica_disk.py
@@ -20,7 +20,7 @@
 DEFERRED_RECORD_BYTES = 256 * 1024  # from which on a record is encoded by the journal's thread
 
 
-@attrs.frozen
+@attrs.define
 class PendingWrite:
     """A record on its way to the disk, and the replica's own ticket for it."""
 
