--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -101,7 +101,7 @@
     def settle(self, service, command) -> None:
         pass
 
-    def spent_locally(self, program, most, budget) -> bool:
+    def spent_locally(self, program, max_tokens, budget) -> bool:
         return False
 
 
--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -1,6 +1,6 @@
 """The data plane's ASGI application: reads a request, forwards it, answers.
 
-Invariants: nothing is held past the request's deadline or the route's timeout; when a client goes away,
+Invariants: nothing is kept past the request's deadline or the route's timeout; when a client goes away,
 nothing more is sent for it, and the send made for it ends unless what it asked for may run once only; an
 error of the gateway itself never looks like a backend's answer; what is refused for good is refused by the
 newest configuration.
@@ -12,6 +12,7 @@
 import math
 import random
 from collections.abc import Awaitable, Callable
+from typing import Any
 
 import attrs
 import logbook
@@ -45,10 +46,10 @@
 from .waiting_queue import WaitingQueues
 
 log = logbook.Logger("dataplane")
-Send = Callable[[dict], Awaitable[None]]
-TEND_S = 1.0
+Send = Callable[[dict[str, Any]], Awaitable[None]]
+MAINTENANCE_INTERVAL_S = 1.0
 START_WAIT_S = 1.5  # that a request waits for a gateway which has just been started
-NOT_EQUIPPED_RETRY_S = 0.5
+NOT_READY_RETRY_S = 0.5
 LEAVING_RETRY_S = 0.05
 BY_CONFIGURATION = frozenset((401, 403, 404, 413, 431))  # statuses that another configuration may not give
 
@@ -70,9 +71,9 @@
     split: Split
     lifecycle: Lifecycle
     may_refuse: Callable[[], bool]  # the configuration in force is known to be the newest
-    _tended: float = 0.0
+    _maintained_at: float = 0.0
 
-    async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
+    async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """One request, by ASGI."""
         if scope["type"] != "http":
             return
@@ -82,7 +83,7 @@
         finally:
             self.lifecycle.leave()
 
-    async def _serve(self, scope: dict, receive: Receive, send: Send) -> None:
+    async def _serve(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         begun = asyncio.get_running_loop().time()
         request_id = next((value for name, value in scope["headers"] if name == REQUEST_ID), None)
         client = Client(send, lambda: self.lifecycle.closes_connections, scope["http_version"], request_id)
@@ -90,7 +91,7 @@
             await self.lifecycle.wait_until_ready(self._start_wait_s(scope))
         table = self.routing.current()
         if table is None:
-            await client.answer(OwnAnswer(503, "no configuration yet", NOT_EQUIPPED_RETRY_S))
+            await client.answer(OwnAnswer(503, "no configuration yet", NOT_READY_RETRY_S))
             return
         if self.lifecycle.closed:
             await client.answer(OwnAnswer(503, "this gateway is leaving", LEAVING_RETRY_S))
@@ -106,7 +107,7 @@
         if own is not None:
             await client.answer(own)
 
-    def _start_wait_s(self, scope: dict) -> float:
+    def _start_wait_s(self, scope: dict[str, Any]) -> float:
         """How long a request waits for a gateway that is starting: no longer than it may take at all."""
         table = self.routing.current()
         head = RequestHead.of(scope)
@@ -114,9 +115,9 @@
         return START_WAIT_S if route is None else min(START_WAIT_S, head.allowed_s(route))
 
     async def _read(
-        self, scope: dict, receive: Receive, table: ports.RoutingTable, begun: float
+        self, scope: dict[str, Any], receive: Receive, table: ports.RoutingTable, begun: float
     ) -> Exchange | OwnAnswer:
-        """The request, by the configuration that is in force once it is whole.  Raises ClientGone."""
+        """The request, by the configuration that is in force once it is complete.  Raises ClientGone."""
         wrong = check_head(scope["headers"], table.limits)
         if wrong is not None:
             return wrong
@@ -128,7 +129,7 @@
         body = await read_body(receive, table.limits, within_s)
         if isinstance(body, OwnAnswer):
             return body
-        self._tend(begun)
+        self._maintain(begun)
         newest = self.routing.current() or table
         if newest is not table:
             route = head.route(newest)
@@ -139,7 +140,7 @@
         if own.status not in BY_CONFIGURATION or self.may_refuse():
             return own
         reason = "this gateway does not know that its configuration is the newest"
-        return OwnAnswer(503, reason, NOT_EQUIPPED_RETRY_S, own.closes)
+        return OwnAnswer(503, reason, NOT_READY_RETRY_S, own.closes)
 
     async def _bounded(self, exchange: Exchange, client: Client, receive: Receive) -> OwnAnswer | None:
         """Forwards until the deadline, or until the client goes."""
@@ -189,11 +190,11 @@
             lambda: self.forwarder.forward(exchange, client, progress),
         )
 
-    def _tend(self, now: float) -> None:
-        """Drops what rests too long, and what is known of backends that are no more."""
-        if now - self._tended < TEND_S:
+    def _maintain(self, now: float) -> None:
+        """Closes what is idle for too long, and drops what is known of backends that are no more."""
+        if now - self._maintained_at < MAINTENANCE_INTERVAL_S:
             return
-        self._tended = now
+        self._maintained_at = now
         table = self.routing.current()
         live = {backend.identity for service in table.services for backend in self.backends.of(service)}
         self.connections.prune(live)
@@ -214,13 +215,16 @@
         self._receive = receive
         self._client = client
         self._ends = ends
-        self._task: asyncio.Task | None = None
+        self._task: asyncio.Task[None] | None = None
 
     def start(self, bound: asyncio.Timeout) -> None:
+        """Begins to watch; `bound` ends the exchange's time."""
         self._task = asyncio.ensure_future(self._watch(bound))
 
     def stop(self) -> None:
-        self._task.cancel()
+        """The client is not watched any more."""
+        if self._task is not None:
+            self._task.cancel()
 
     async def _watch(self, bound: asyncio.Timeout) -> None:
         while (await self._receive())["type"] != "http.disconnect":
--- a/kestrelbend/tier/dataplane/attempt.py
+++ b/kestrelbend/tier/dataplane/attempt.py
@@ -41,7 +41,7 @@
     @property
     def offered(self) -> bool:
         """The request left for a backend."""
-        return any(sending.left for sending in self.sendings)
+        return any(sending.sent for sending in self.sendings)
 
     @property
     def may_have_run(self) -> bool:
@@ -112,7 +112,7 @@
         self._health.failed(identity, asyncio.get_running_loop().time())
 
     def _on_overdue(self, sending: Sending) -> None:
-        if sending.left:
+        if sending.sent:
             sending.suspected = True
             self._health.unresponsive(sending.backend.identity, asyncio.get_running_loop().time())
 
--- a/kestrelbend/tier/dataplane/client.py
+++ b/kestrelbend/tier/dataplane/client.py
@@ -1,14 +1,15 @@
 """The client's side of an exchange: the answer as it goes out, over ASGI.
 
-Invariant: an answer that was begun either ends whole or the connection breaks; it never looks complete
+Invariant: an answer that was begun either ends complete or the connection breaks; it never looks complete
 without being so.  An application that returns without the last part makes the server break the connection.
 To a client of HTTP/1.0 an end of the connection is the end of an answer without a length: it gets such an
-answer once it is whole, with its length.
+answer once it is complete, with its length.
 """
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from typing import Any
 
 import attrs
 
@@ -26,14 +27,15 @@
 
 
 @attrs.define
-class _HeldAnswer:
-    """An answer without a length that is kept until it is whole."""
+class _BufferedAnswer:
+    """An answer without a length that is buffered until it is complete."""
 
     status: int
     headers: Headers
     body: bytearray = attrs.field(factory=bytearray)
 
     def headers_with_length(self) -> Headers:
+        """Its headers, and the length of what was buffered."""
         return [*self.headers, (b"content-length", b"%d" % len(self.body))]
 
 
@@ -48,7 +50,7 @@
 
     def __init__(
         self,
-        send: Callable[[dict], Awaitable[None]],
+        send: Callable[[dict[str, Any]], Awaitable[None]],
         closing: Callable[[], bool],
         http_version: str = "1.1",
         request_id: bytes | None = None,
@@ -56,8 +58,8 @@
         self._send = send
         self._closing = closing
         self._request_id = request_id
-        self._knows_chunks = http_version != "1.0"
-        self._held: _HeldAnswer | None = None
+        self._supports_chunked = http_version != "1.0"
+        self._buffered: _BufferedAnswer | None = None
         self.started = False
         self.success = False
         self.finished = False
@@ -71,22 +73,22 @@
         self.success = 200 <= status < 300
         if self._closing():
             headers = [*headers, (b"connection", b"close")]
-        if self._knows_chunks or any(name.lower() == b"content-length" for name, _ in headers):
+        if self._supports_chunked or any(name.lower() == b"content-length" for name, _ in headers):
             await self._send_start(status, headers)
         else:
-            self._held = _HeldAnswer(status, headers)
+            self._buffered = _BufferedAnswer(status, headers)
 
     async def body(self, data: bytes, more: bool) -> None:
         """A part of the body; the last one ends the answer."""
         if not more:
             self.finished = True
             self.before_end()
-        if self._held is not None:
-            self._held.body += data
+        if self._buffered is not None:
+            self._buffered.body += data
             if more:
                 return
-            await self._send_start(self._held.status, self._held.headers_with_length())
-            data = bytes(self._held.body)
+            await self._send_start(self._buffered.status, self._buffered.headers_with_length())
+            data = bytes(self._buffered.body)
         if self.gone:
             return
         await self._send({"type": "http.response.body", "body": data, "more_body": more})
@@ -96,7 +98,7 @@
             await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def answer(self, own: OwnAnswer) -> None:
-        """Sends an own answer whole; nothing where an answer was begun."""
+        """Sends a complete answer of the gateway's own; nothing where an answer was begun."""
         if self.started:
             return
         text = own.reason.encode()
--- a/kestrelbend/tier/dataplane/connections.py
+++ b/kestrelbend/tier/dataplane/connections.py
@@ -29,7 +29,7 @@
 
     def __init__(self, origin: httpcore.Origin, stream: ports.BackendStream) -> None:
         super().__init__(origin=origin, stream=stream)
-        self.stream = stream
+        self.backend_stream = stream
         self.idle_since = 0.0
         self.idle_limit_s: float | None = None  # as the backend tells it in Keep-Alive
         self.closing = False  # the backend said so
@@ -37,7 +37,7 @@
     @property
     def surplus(self) -> bool:
         """Bytes came behind the answer."""
-        return bool(self._h11_state.trailing_data[0]) or not self.stream.usable
+        return bool(self._h11_state.trailing_data[0]) or not self.backend_stream.usable
 
     def is_reusable(self, now: float) -> bool:
         """May carry the next request: its last answer was complete, and it was not idle for too long."""
@@ -56,8 +56,8 @@
         left already, once that request is handed to it again, and is closed after it."""
         if not self.is_idle():
             raise httpcore.RemoteProtocolError("the surplus answer ended the connection")
-        self.stream.replay(bytes(self._h11_state.trailing_data[0]))
-        following = Connection(self._origin, self.stream)
+        self.backend_stream.replay(bytes(self._h11_state.trailing_data[0]))
+        following = Connection(self._origin, self.backend_stream)
         following.closing = True
         return following
 
@@ -178,7 +178,7 @@
 
     def _discard(self, pool: _Pool, connection: Connection) -> None:
         pool.open -= 1
-        connection.stream.abort()
+        connection.backend_stream.abort()
 
     def prune(self, live: set[str]) -> None:
         """Closes what is idle for too long, and every idle connection of backends that are not in `live`."""
--- a/kestrelbend/tier/dataplane/events.py
+++ b/kestrelbend/tier/dataplane/events.py
@@ -1,7 +1,7 @@
-"""Splits a text/event-stream into whole events.
+"""Splits a text/event-stream into complete events.
 
-Invariant: only whole events leave the splitter, in the order they came, and their ids rise; so that what a
-client holds is at any moment a whole number of events that a new run can continue.
+Invariant: only complete events leave the splitter, in the order they came, and their ids rise; so that what a
+client has is at any moment a sequence of complete events that a new run can continue.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Events:
-    """Whole events, as they came."""
+    """Complete events, as they came."""
 
     data: bytes
     count: int
@@ -34,27 +34,29 @@
 
     @property
     def partial(self) -> bool:
-        """Bytes of an event that is not whole yet are held."""
+        """Bytes of an event that is not complete yet are buffered."""
         return bool(self._rest.strip(b"\r\n"))
 
     def feed(self, data: bytes) -> Events:
-        """The events that `data` makes whole; raises DataPlaneError where ids do not rise."""
+        """The events that `data` completes; raises DataPlaneError where ids do not rise."""
         text = self._rest + data
         end = max(_end_of(text, b"\n\n"), _end_of(text, b"\r\n\r\n"))
-        whole, self._rest = text[:end], text[end:]
+        complete = text[:end]
+        self._rest = text[end:]
         count = 0
-        for block in whole.replace(b"\r\n", b"\n").split(b"\n\n"):
-            count += self._note(block)
-        return Events(whole, count)
+        for block in complete.replace(b"\r\n", b"\n").split(b"\n\n"):
+            count += self._record_block(block)
+        return Events(complete, count)
 
     def end(self) -> bytes:
-        """The run ended properly: blank lines that are left; raises DataPlaneError for part of an event."""
+        """The run ended properly: the blank lines that remain; raises DataPlaneError for part of an event."""
         if self.partial:
             raise DataPlaneError(ErrorCode.CUT, "the stream ended within an event")
-        rest, self._rest = self._rest, b""
+        rest = self._rest
+        self._rest = b""
         return rest
 
-    def _note(self, block: bytes) -> bool:
+    def _record_block(self, block: bytes) -> bool:
         """Whether the block is an event; comments and other fields alone are none."""
         identity = None
         has_data = False
@@ -65,17 +67,21 @@
                 has_data = True
         if identity is None and not has_data:
             return False
-        self._unnamed = identity is None or not identity.isdigit()
-        if not self._unnamed:
-            self._rise(int(identity))
+        if identity is None or not identity.isdigit():
+            self._unnamed = True
+            return True
+        self._unnamed = False
+        self._rise(int(identity))
         return True
 
     def _rise(self, number: int) -> None:
+        """Takes the next event's id; raises DataPlaneError where it does not rise."""
         if self.last_id is not None and number <= self.last_id:
             raise DataPlaneError(ErrorCode.EVENT_IDS_FALL, f"event {number} after {self.last_id}")
         self.last_id = number
 
 
-def _end_of(text: bytes, mark: bytes) -> int:
-    found = text.rfind(mark)
-    return found + len(mark) if found >= 0 else 0
+def _end_of(text: bytes, separator: bytes) -> int:
+    """The offset behind the last separator, 0 where there is none."""
+    found = text.rfind(separator)
+    return found + len(separator) if found >= 0 else 0
--- a/kestrelbend/tier/dataplane/exchange.py
+++ b/kestrelbend/tier/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request as the data plane holds it, and what its sends may come to."""
+"""One client's request as the data plane reads it, and what its sends may come to."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @attrs.define
 class Exchange:
-    """A request that was read whole.  `deadline` is on the loop's steady clock."""
+    """A request that was read completely.  `deadline` is on the loop's steady clock."""
 
     method: bytes
     target: bytes
@@ -68,7 +68,7 @@
 
     @property
     def request_id(self) -> bytes:
-        """The id of this try of the client."""
+        """The id of this attempt of the client."""
         return self.fields[REQUEST_ID]
 
     @property
@@ -87,9 +87,9 @@
         return self.route.kind == "idempotent" or (self.streaming and self.route.resumable)
 
     def headers_for(self, backend: Backend, now: float, last_event_id: bytes | None) -> Headers:
-        """The head of one send: all of the client's headers, and what concerns this send."""
+        """The headers of one send: all of the client's headers, and what concerns this send."""
         headers = [pair for pair in end_to_end(self.headers) if pair[0] not in _REPLACED]
-        headers += _deadline_left(self.deadline - now) + _instance_check(backend)
+        headers += _remaining_deadline(self.deadline - now) + _instance_check(backend)
         if last_event_id is not None:
             headers.append((LAST_EVENT_ID, last_event_id))
         if self.chunked:
@@ -99,13 +99,13 @@
         return headers
 
 
-def _deadline_left(left_s: float) -> Headers:
-    """Has the backend stop when the time is over, whenever it was sent to."""
-    return [(DEADLINE_MS, b"%d" % max(1, math.floor(left_s * 1000)))]
+def _remaining_deadline(remaining_s: float) -> Headers:
+    """Has the backend stop when the deadline is over, whenever it was sent to."""
+    return [(DEADLINE_MS, b"%d" % max(1, math.floor(remaining_s * 1000)))]
 
 
 def _instance_check(backend: Backend) -> Headers:
-    """Has any other backend that uses this one's address by now turn the request away."""
+    """Has any other backend that uses this one's address by now reject the request."""
     return [(EXPECT_INSTANCE, backend.identity.encode())]
 
 
--- a/kestrelbend/tier/dataplane/network.py
+++ b/kestrelbend/tier/dataplane/network.py
@@ -1,8 +1,8 @@
 """A lean network stream for httpcore over an asyncio transport.
 
-Writes are held until the next read, so that a request's head and body leave in one packet.  The stream keeps
-count of what a retry must know: whether any byte of a request may have reached the network, and whether any
-byte came back.  Bytes or an end that arrive between requests make the stream unusable.
+Writes are buffered until the next read, so that a request's head and body leave in one packet.  The stream
+keeps count of what a retry must know: whether any byte of a request may have reached the network, and
+whether any byte came back.  Bytes or an end that arrive between requests make the stream unusable.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
         self._outgoing: list[bytes] = []
         self._ended = False
         self._error: Exception | None = None
-        self._waiter: asyncio.Future | None = None
+        self._waiter: asyncio.Future[None] | None = None
         self._paused = False
         self._muted = False
 
@@ -98,12 +98,12 @@
         self._wake()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Holds the bytes until the next read."""
+        """Buffers the bytes until the next read."""
         if buffer and not self._muted:
             self._outgoing.append(bytes(buffer))
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Sends what is held, then waits for bytes; empty at the end.  Raises httpcore.ReadError."""
+        """Sends what is buffered, then waits for bytes; empty at the end.  Raises httpcore.ReadError."""
         self._flush()
         while not self._received and not self._ended:
             self._waiter = asyncio.get_running_loop().create_future()
@@ -127,7 +127,7 @@
             return
         data = b"".join(self._outgoing)
         self._outgoing.clear()
-        self._account.left = True
+        self._account.sent = True
         self._transport.write(data)
 
     async def aclose(self) -> None:
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -125,20 +125,20 @@
     """
 
     def reservation_name(self, request_id: str) -> str:
-        """A name for one try's reservation that no other try has, whatever ids clients send."""
+        """A name for one attempt's reservation that no other attempt has, whatever ids clients send."""
 
     async def reserve(self, service: str, command: Reserve) -> ReserveOutcome: ...
 
     def settle(self, service: str, command: Settlement) -> None: ...
 
-    def spent_locally(self, program: str, most: int, budget: int) -> bool: ...
+    def spent_locally(self, program: str, max_tokens: int, budget: int) -> bool: ...
 
 
 @attrs.define
 class WireAccount:
     """What became of one request on its connection; the next request there has an account of its own."""
 
-    left: bool = False  # a byte of the request was handed to the network
+    sent: bool = False  # a byte of the request was handed to the network
     answered: bool = False  # a byte came back since the request was begun
 
 
--- a/kestrelbend/tier/dataplane/reading.py
+++ b/kestrelbend/tier/dataplane/reading.py
@@ -1,6 +1,7 @@
-"""Reads a client's request from ASGI and checks it: the route, the headers, the body's size, the time left.
+"""Reads a client's request from ASGI and checks it: the route, the headers, the body's size, the remaining
+time.
 
-What is wrong with a request is told as an own answer, before anything is sent.
+What is wrong with a request is an answer of the gateway's own, before anything is sent.
 """
 
 from __future__ import annotations
@@ -8,6 +9,7 @@
 import asyncio
 import math
 from collections.abc import Awaitable, Callable
+from typing import Any
 
 import attrs
 
@@ -16,7 +18,7 @@
 from .exchange import DEADLINE_MS, REQUEST_ID, Exchange, Headers
 from .split import Split
 
-Receive = Callable[[], Awaitable[dict]]
+Receive = Callable[[], Awaitable[dict[str, Any]]]
 NO_SERVICE_RETRY_S = 0.5
 TIME_OVER_RETRY_S = 0.1
 HEADER_LINE_BYTES = 4  # the colon, the space and the end of a line
@@ -24,7 +26,7 @@
 
 
 class ClientGone(Exception):
-    """The client closed its connection before its request was whole."""
+    """The client closed its connection before its request was complete."""
 
 
 def check_head(headers: Headers, limits: ports.Limits) -> OwnAnswer | None:
@@ -45,31 +47,31 @@
 
 
 async def read_body(receive: Receive, limits: ports.Limits, within_s: float = math.inf) -> bytes | OwnAnswer:
-    """The whole body, or the refusal of one that is too large or comes too slowly.  Raises ClientGone."""
+    """The complete body, or the rejection of one too large or too slow.  Raises ClientGone."""
     message = await receive()
     if message["type"] == "http.request" and not message.get("more_body", False):
         body = message.get("body", b"")
         return body if len(body) <= limits.max_body_bytes else TOO_LARGE
     try:
         async with asyncio.timeout(min(limits.header_timeout_ms / 1000, within_s)):
-            return await _read_parts(message, receive, limits.max_body_bytes)
+            return await _read_chunks(message, receive, limits.max_body_bytes)
     except TimeoutError:
         return OwnAnswer(408, "the body did not come in time", closes=True)
 
 
-async def _read_parts(message: dict, receive: Receive, most: int) -> bytes | OwnAnswer:
-    parts: list[bytes] = []
+async def _read_chunks(message: dict[str, Any], receive: Receive, max_bytes: int) -> bytes | OwnAnswer:
+    chunks: list[bytes] = []
     size = 0
     while True:
         if message["type"] == "http.disconnect":
             raise ClientGone
-        part = message.get("body", b"")
-        size += len(part)
-        if size > most:
+        chunk = message.get("body", b"")
+        size += len(chunk)
+        if size > max_bytes:
             return TOO_LARGE
-        parts.append(part)
+        chunks.append(chunk)
         if not message.get("more_body", False):
-            return b"".join(parts)
+            return b"".join(chunks)
         message = await receive()
 
 
@@ -82,7 +84,8 @@
     path: str
 
     @classmethod
-    def of(cls, scope: dict) -> RequestHead:
+    def of(cls, scope: dict[str, Any]) -> RequestHead:
+        """The head of an ASGI request."""
         headers = [(name.lower(), value) for name, value in scope["headers"]]
         return cls(headers, dict(reversed(headers)), scope["raw_path"].decode("latin1"))
 
@@ -96,7 +99,7 @@
 
 
 def build_exchange(
-    scope: dict,
+    scope: dict[str, Any],
     head: RequestHead,
     table: ports.RoutingTable,
     route: ports.Route | None,
@@ -104,7 +107,7 @@
     body: bytes,
     begun: float,
 ) -> Exchange | OwnAnswer:
-    """The exchange of a request that was read whole, or its refusal."""
+    """The exchange of a request that was read completely, or its rejection."""
     fields = head.fields
     if not head.path.startswith("/"):
         return OwnAnswer(400, "the target is not a path")
--- a/kestrelbend/tier/dataplane/send.py
+++ b/kestrelbend/tier/dataplane/send.py
@@ -27,8 +27,8 @@
 )
 
 UNDECLARED_IDLE_S = 1.0  # not repeatable: idle time of a connection whose backend declares no Keep-Alive
-REFUSAL_BODY_S = 0.05  # how long the rest of a refusal is waited for, to use the connection again
-SURPLUS_ANSWERS_AT_MOST = 3  # in the place of ours
+REJECTION_BODY_TIMEOUT_S = 0.05  # for the rest of a rejection, so that the connection can be used again
+MAX_SURPLUS_ANSWERS = 3  # to other requests, that are skipped before ours
 MISDIRECTED = 421  # another instance, or other weights
 SWITCHING_PROTOCOLS = 101
 PROMISES = frozenset((408, 429, 503))  # with 421, the statuses that promise that nothing ran
@@ -40,7 +40,7 @@
     """The account of one send; it outlives a cancelled task.
 
     `last_event_id` is where a run goes on; `fresh` asks for a new connection.  `carried` are connections that
-    this try was sent on before: a late second answer there names the same request as this send's own.
+    this attempt was sent on before: a late second answer there names the same request as this send's own.
     """
 
     backend: Backend
@@ -50,17 +50,17 @@
     account: ports.WireAccount | None = None
     connection: Connection | None = None
     not_run: bool = False  # the backend says so
-    suspected: bool = False  # its silence was held against the backend
+    suspected: bool = False  # its answer was overdue, which counted against the backend
 
     @property
-    def left(self) -> bool:
+    def sent(self) -> bool:
         """A byte of the request was handed to the network."""
-        return self.account is not None and self.account.left
+        return self.account is not None and self.account.sent
 
     @property
     def may_have_run(self) -> bool:
         """Nothing excludes that the backend began work on it."""
-        return self.left and not self.not_run
+        return self.sent and not self.not_run
 
 
 class Answer:
@@ -115,10 +115,10 @@
         """Sends the request and waits for the head of its answer."""
         backend = sending.backend
         undeclared_idle_s = None if exchange.repeatable else UNDECLARED_IDLE_S
-        left_s = exchange.deadline - asyncio.get_running_loop().time()
+        remaining_s = exchange.deadline - asyncio.get_running_loop().time()
         try:
             connection = await self._connections.acquire(
-                backend, exchange.service, left_s, undeclared_idle_s, sending.fresh, sending.carried
+                backend, exchange.service, remaining_s, undeclared_idle_s, sending.fresh, sending.carried
             )
         except ConnectionRefusedError:
             return Failure.REFUSED
@@ -137,7 +137,8 @@
         return outcome
 
     async def _converse(self, exchange: Exchange, sending: Sending) -> Answer | Failure:
-        backend, stream = sending.backend, sending.connection.stream
+        backend = sending.backend
+        stream = sending.connection.backend_stream
         live = self._backends.of(exchange.service.name)
         if all(other.identity != backend.identity for other in live):
             return Failure.WITHDRAWN
@@ -151,16 +152,16 @@
         sending.account = stream.begin()
         try:
             response = await sending.connection.handle_async_request(request)
-            for _ in range(SURPLUS_ANSWERS_AT_MOST):
+            for _ in range(MAX_SURPLUS_ANSWERS):
                 if not _is_surplus(exchange, response):
                     break
                 await _skip(exchange, sending, response)
                 response = await sending.connection.handle_async_request(request)
         except BROKEN_ERRORS:
-            if not sending.account.left:
+            if not sending.account.sent:
                 return Failure.BROKEN_BEFORE_SEND
             return Failure.GARBLED if sending.account.answered else Failure.BROKEN
-        if not sending.account.left:
+        if not sending.account.sent:
             return Failure.BROKEN_BEFORE_SEND  # no answer can be ours
         return await self._judge(exchange, sending, response)
 
@@ -176,11 +177,11 @@
             return Failure.GARBLED
         if status == MISDIRECTED:
             expects_version = EXPECT_VERSION in exchange.fields
-            return await _read_out(
+            return await _drain(
                 response, Failure.OTHER_VERSION if expects_version else Failure.OTHER_INSTANCE
             )
         if status in PROMISES and NOT_EXECUTED in fields:
-            return await _read_out(response, Failure.NOT_EXECUTED)
+            return await _drain(response, Failure.NOT_EXECUTED)
         success = 200 <= status < 300
         if not _may_be_passed_on(status, fields) or success and SERVER_STAMP not in fields:
             return Failure.GARBLED
@@ -218,7 +219,7 @@
     Raises httpcore errors where the surplus answer does not end or ends the connection.
     """
     fields = {name.lower(): value for name, value in response.headers}
-    if not _tells_its_end(exchange.method, response.status, fields):
+    if not _declares_its_end(exchange.method, response.status, fields):
         raise httpcore.RemoteProtocolError("a surplus answer without an end")
     async for _ in response.stream:
         pass
@@ -226,10 +227,10 @@
     sending.connection = sending.connection.after_surplus()
 
 
-async def _read_out(response: httpcore.Response, failure: Failure) -> Failure:
-    """Reads a refusal to its end, so that the connection can be used again."""
+async def _drain(response: httpcore.Response, failure: Failure) -> Failure:
+    """Reads a rejection to its end, so that the connection can be used again."""
     try:
-        async with asyncio.timeout(REFUSAL_BODY_S):
+        async with asyncio.timeout(REJECTION_BODY_TIMEOUT_S):
             async for _ in response.stream:
                 pass
         await response.aclose()
@@ -238,7 +239,8 @@
     return failure
 
 
-def _tells_its_end(method: bytes, status: int, fields: dict[bytes, bytes]) -> bool:
+def _declares_its_end(method: bytes, status: int, fields: dict[bytes, bytes]) -> bool:
+    """Whether an answer ends otherwise than with its connection."""
     if method == b"HEAD" or status in (204, 304):
         return True
     return b"content-length" in fields or b"chunked" in fields.get(b"transfer-encoding", b"").lower()
--- a/kestrelbend/tier/dataplane/server.py
+++ b/kestrelbend/tier/dataplane/server.py
@@ -13,8 +13,8 @@
 from . import ports
 
 IDLE_FACTOR = 1.5  # of the operator's IdleTimeoutMs; clients may use a connection until that is over
-UNTOLD_IDLE_MS = 40000.0  # before the first configuration
-UNTOLD_HEADER_BYTES = 65536
+DEFAULT_IDLE_MS = 40000.0  # before the first configuration
+DEFAULT_HEADER_BYTES = 65536
 GRACE_S = 7.0
 BACKLOG = 1024
 
@@ -25,7 +25,7 @@
 class Listener:
     """An application at an address `ip:port`, served until `shutdown` returns.
 
-    `closing` is called right before the connections at rest are closed.
+    `closing` is called right before the idle connections are closed.
     """
 
     application: Callable
@@ -56,16 +56,16 @@
 
     @property
     def keep_alive_timeout(self) -> float:
-        """Seconds after which a connection at rest is closed."""
+        """Seconds after which an idle connection is closed."""
         limits = self._limits()
-        idle_ms = UNTOLD_IDLE_MS if limits is None else limits.idle_timeout_ms
+        idle_ms = DEFAULT_IDLE_MS if limits is None else limits.idle_timeout_ms
         return idle_ms * IDLE_FACTOR / 1000
 
     @property
     def h11_max_incomplete_size(self) -> int:
-        """The bytes of a head that are kept until it is whole."""
+        """The bytes of a request's head that are buffered until it is complete."""
         limits = self._limits()
-        return UNTOLD_HEADER_BYTES if limits is None else limits.max_header_bytes
+        return DEFAULT_HEADER_BYTES if limits is None else limits.max_header_bytes
 
 
 async def serve_all(listeners: Sequence[Listener], limits: CurrentLimits = lambda: None) -> None:
--- a/kestrelbend/tier/dataplane/turn.py
+++ b/kestrelbend/tier/dataplane/turn.py
@@ -1,8 +1,8 @@
 """The budget check round a turn of an agent program.
 
-Invariants: a turn is sent only after its most tokens were reserved; a 402 or a refusal by the budget is given
-only before any send; each admitted reservation is settled exactly once, however the turn ends.  One that was
-not admitted, or whose answer nobody waited for, is the budget's own to take back.
+Invariants: a turn is sent only after its upper bound of tokens was reserved; a 402 or a refusal by the
+budget is given only before any send; each admitted reservation is settled exactly once, however the turn
+ends.  One that was not admitted, or whose answer nobody waited for, is the budget's own to take back.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
         return None
     if PROGRAM not in fields or BUDGET not in fields:
         return None
-    _, _, most = fields.get(TOKEN_COUNT, b"").partition(b",")
+    _, _, max_tokens = fields.get(TOKEN_COUNT, b"").partition(b",")
     budget = fields[BUDGET].strip()
-    if not (most.strip().isdigit() and budget.isdigit()):
+    if not (max_tokens.strip().isdigit() and budget.isdigit()):
         return None
     fingerprint = zlib.crc32(fields.get(PREFIX_HASH, b""), zlib.crc32(fields[TOKEN_COUNT]))
     return Turn(
@@ -53,13 +53,13 @@
         session=fields.get(SESSION, b"").decode("latin1"),
         request_id=exchange.request_id.decode("latin1"),
         fingerprint=fingerprint,
-        max_tokens=int(most),
+        max_tokens=int(max_tokens),
         budget=int(budget),
     )
 
 
 class Turns:
-    """Puts the budget check round the sending of turns."""
+    """Reserves before a turn is sent, and settles after it."""
 
     def __init__(self, budget: ports.Budget) -> None:
         self._budget = budget
--- a/kestrelbend/tier/fleet/removals/dataplane.py
+++ b/kestrelbend/tier/fleet/removals/dataplane.py
@@ -22,8 +22,8 @@
     return True
 
 
-@guard("deadline", "dataplane.exchange:_deadline_left", "backends that go on after the time is over")
-def hand_on_a_constant(left_s):
+@guard("deadline", "dataplane.exchange:_remaining_deadline", "backends that go on after the time is over")
+def hand_on_a_constant(remaining_s):
     return [(DEADLINE_MS, b"60000")]
 
 
--- a/kestrelbend/tier/roles/gateway_budgets.py
+++ b/kestrelbend/tier/roles/gateway_budgets.py
@@ -100,6 +100,6 @@
             raise BudgetsNotPlacedError(f"{command.reservation}: settled before any shard was placed")
         self.client.settle(command)
 
-    def spent_locally(self, program: str, most: int, budget: int) -> bool:
+    def spent_locally(self, program: str, max_tokens: int, budget: int) -> bool:
         """Whether the last total seen already refuses the turn."""
-        return self.client is not None and self.client.spent_locally(program, most, budget)
+        return self.client is not None and self.client.spent_locally(program, max_tokens, budget)
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -373,7 +373,7 @@
     def settle(self, service: str, command: Settlement) -> None:
         self.settled.append(command)
 
-    def spent_locally(self, program: str, most: int, budget: int) -> bool:
+    def spent_locally(self, program: str, max_tokens: int, budget: int) -> bool:
         return program in self.spent
 
 
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -386,7 +386,7 @@
     def settle(self, service, command):
         self._client.settle(command)
 
-    def spent_locally(self, program, most, budget):
+    def spent_locally(self, program, max_tokens, budget):
         return False
 
 
