--- a/kestrelbend/tier/discovery/exchange.py
+++ b/kestrelbend/tier/discovery/exchange.py
@@ -26,6 +26,7 @@
     future: asyncio.Future[None]
 
     def finish(self) -> None:
+        """Ends the waiting, where that has not happened yet."""
         if not self.future.done():
             self.future.set_result(None)
 
--- a/kestrelbend/tier/discovery/order.py
+++ b/kestrelbend/tier/discovery/order.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from kestrelbend.tier.discovery.messages import Backend, BackendState
+from .messages import Backend, BackendState
 
 DEPARTURE_SEQUENCE = 2**62  # above every sequence that a report may have
 
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -1,4 +1,9 @@
-"""Reading a backend's heartbeat: from a JSON object of any content to a `Backend` or a rejection."""
+"""Reading a backend's heartbeat: from a JSON object of any content to a `Backend` or a rejection.
+
+Invariant: every field of a `Backend` made here is within the bounds below, so that it fits its field on the
+wire and a registry of many backends stays bounded.  Hazard: a sequence of `DEPARTURE_SEQUENCE` or more would
+stand for the report of an end that was never made.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +14,7 @@
 import attrs
 import schema
 
-from kestrelbend.tier.configuration.field_checks import (
+from ..configuration.field_checks import (
     ObjectSchema,
     is_address,
     is_number,
@@ -23,7 +28,7 @@
 MAX_MODELS_LENGTH = 16 * 1024  # characters
 MAX_WARMING_UP_MS = 2**31
 MAX_SLOTS = 2**31 - 1
-STATES = {"ready": BackendState.READY, "draining": BackendState.DRAINING}
+STATES_BY_NAME = {"ready": BackendState.READY, "draining": BackendState.DRAINING}
 
 
 class RejectionCode(enum.StrEnum):
@@ -37,7 +42,7 @@
 
 @attrs.frozen
 class HeartbeatRejected:
-    """A heartbeat that isn't taken; `reason` says what is wrong with it."""
+    """A heartbeat that isn't accepted; `reason` says what is wrong with it."""
 
     code: RejectionCode
     reason: str
@@ -49,7 +54,7 @@
 
 
 def _is_state(value: Any) -> bool:
-    return isinstance(value, str) and value in STATES
+    return isinstance(value, str) and value in STATES_BY_NAME
 
 
 def _is_slots(value: Any) -> bool:
@@ -101,7 +106,7 @@
         zone=fields["Zone"],
         software=fields.get("Ver") or "",
         slots=fields["Slots"],
-        state=int(STATES[fields["State"]]),
+        state=int(STATES_BY_NAME[fields["State"]]),
         warming_up_ms=int(fields.get("ColdLeftMs") or 0),
         sequence=fields["Seq"],
         models=models,
