--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -54,7 +54,7 @@
 
 @attrs.define
 class Answers:
-    """What the operators were told of one order."""
+    """What was answered to the operators of one order."""
 
     acknowledged: bool = False
     refused: bool = False
@@ -134,14 +134,14 @@
             self._answered(order, outcome)
 
     def _answered(self, order: str, outcome: ConfigOutcome) -> None:
-        told = self.answers[order]
+        answers = self.answers[order]
         if outcome.status == OK:
-            told.acknowledged = True
-            require(not told.refused, f"{order} is acknowledged and was refused")
+            answers.acknowledged = True
+            require(not answers.refused, f"{order} is acknowledged and was refused")
             self._check_rivals(order)
         else:
-            told.refused = True
-            require(not told.acknowledged, f"{order} is refused ({outcome.reason}) and was acknowledged")
+            answers.refused = True
+            require(not answers.acknowledged, f"{order} is refused ({outcome.reason}) and was acknowledged")
 
     def _check_rivals(self, order: str) -> None:
         for other, answers in self.answers.items():
@@ -159,7 +159,7 @@
             call.result()
 
     def work(self, node: Node) -> None:
-        """What a replica wants done, and its callers told."""
+        """Does what a replica wants done, and answers its callers."""
         self._work(node)
 
     def end(self) -> None:
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -176,20 +176,20 @@
             self._work(node)
 
     def transfer(self, name: str) -> None:
-        """A replica is asked to hand over."""
+        """A replica is asked to transfer its leadership."""
         node = self.nodes[name]
         node.replica.transfer(node.clock)
         self._work(node)
 
     def set_target(self, names: str) -> None:
-        """The group wished for; every replica is told."""
+        """The target group, set at every replica."""
         target = tuple(self.nodes[name].identity for name in names)
         for node in self.nodes.values():
             node.replica.set_target(target)
             self._work(node)
 
     def set_target_at(self, name: str, names: str) -> None:
-        """The group wished for; one replica is told."""
+        """The target group, set at one replica."""
         node = self.nodes[name]
         node.replica.set_target(tuple(self.nodes[other].identity for other in names))
         self._work(node)
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -42,7 +42,7 @@
             self._accept()
 
     def receive_chunk(self, message: SnapshotChunk) -> None:
-        """Takes a chunk in and tells how much is here; a complete snapshot is installed.
+        """Takes a chunk in and replies how much is here; a complete snapshot is installed.
 
         An installed one is acknowledged as entries are, once it is on the disk.
         """
--- a/kestrelbend/tier/replication/group.py
+++ b/kestrelbend/tier/replication/group.py
@@ -59,7 +59,8 @@
     """The next group on the way to `target`, or None where no step is safe yet or none is left.
 
     One voter is added, then one removed, the dead first: a group on its way is never larger than its
-    target by more than one, so it bears as many losses.  The leader is never removed: it hands over first.
+    target by more than one, so it bears as many losses.  The leader is never removed: it transfers its
+    leadership first.
     """
     if len(voters) <= len(target):
         group = _with_one_more(voters, target, is_live, is_caught_up)
@@ -93,7 +94,7 @@
     is_live: Callable[[ReplicaId], bool],
     is_caught_up: Callable[[ReplicaId], bool],
 ) -> Voters | None:
-    """The group without one that should leave; who lives leaves only once the others can do without."""
+    """The group without one that should leave; a live one leaves only once the others can do without."""
     surplus = [voter for voter in voters if voter not in target and voter != leader]
     for removed in sorted(surplus, key=is_live):
         group = without(voters, removed, target)
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -35,7 +35,7 @@
 class LeaderState:
     """The leader's side of replication in one term.
 
-    Invariant: nothing counts as held by a follower but what a reply of this term has acknowledged.
+    Invariant: nothing counts as stored by a follower but what a reply of this term has acknowledged.
     """
 
     def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
--- a/kestrelbend/tier/replication/leadership_transfer.py
+++ b/kestrelbend/tier/replication/leadership_transfer.py
@@ -1,6 +1,6 @@
-"""A leader's handing over to another voter (Ongaro 2014, section 3.10).
+"""Leadership transfer to another voter (Ongaro 2014, section 3.10).
 
-Invariant: the receiver is asked to campaign only once its disk holds the leader's whole log, and the
+Invariant: the receiver is asked to campaign only once its disk holds the leader's complete log, and the
 leader takes no proposals in the meantime.
 Hazard: a transfer that nobody takes up would stop the shard; it ends after `Timing.transfer_timeout`.
 """
@@ -28,7 +28,7 @@
         return now - self.began_at > state.timing.transfer_timeout
 
     def advance(self, state: ReplicaState, leader: LeaderState, now: float) -> None:
-        """Asks the most caught-up live candidate to campaign, as soon as it holds the whole log."""
+        """Asks the most caught-up live candidate to campaign, as soon as it holds the complete log."""
         receiver = self._best_candidate(leader, now)
         if receiver is None or now - self._requested_at < state.timing.reply_timeout:
             return
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -103,14 +103,14 @@
         return None
 
     def first_index_of_term_at(self, index: int) -> int:
-        """The first held entry of the run of entries that share the term of the one at `index`."""
+        """The first entry here of the run of entries that share the term of the one at `index`."""
         term = self.term_at(index)
         while index > self.base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def between(self, first: int, last: int) -> list[Entry]:
-        """The entries `first` to `last`, all of them held."""
+        """The entries `first` to `last`, all of which the log holds."""
         return self.entries[first - self.base_index - 1 : last - self.base_index]
 
     def batch(self, first: int, max_bytes: int, entry_bytes: int) -> tuple[Entry, ...]:
@@ -195,7 +195,7 @@
         self._unwritten_from = max(self._unwritten_from, snapshot.index + 1)
 
     def has_unwritten(self) -> bool:
-        """Whether anything is held that no write carries yet."""
+        """Whether anything is here that no write carries yet."""
         return self._snapshot_unwritten or self._unwritten_from <= self.last_index
 
     def begin_write(self, ticket: int) -> tuple[tuple[Entry, ...], Snapshot | None]:
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -98,8 +98,8 @@
 class SnapshotChunk:
     """Part of a snapshot in place of entries that the leader no longer keeps; answered by `SnapshotReply`.
 
-    `snapshot` is without its state; `size` and `digest` are those of the whole state.  A replica that needs
-    no more of it, and one that has installed it, answers by `AppendReply`.
+    `snapshot` is without its state; `size` and `digest` are those of the complete state.  A replica that
+    needs no more of it, and one that has installed it, answers by `AppendReply`.
     """
 
     shard: ShardId
--- a/kestrelbend/tier/replication/roles.py
+++ b/kestrelbend/tier/replication/roles.py
@@ -152,7 +152,7 @@
             follower_state.receive_chunk(message)
 
     def _accept_leader(self, message: AppendEntries | SnapshotChunk, now: float) -> FollowerState | None:
-        """The state to follow the sender with; None for a former leader, which is told of the newer term."""
+        """The state to follow the sender with; None for a former leader, which is sent the newer term."""
         state = self._state
         if self._is_of_former_leader(message):
             rejection = AppendReply(state.shard, state.identity, state.term, False, 0, message.round)
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -43,7 +43,7 @@
 class SnapshotSender:
     """One snapshot on its way to one follower.
 
-    `received` is what the follower has of it, by its own word.  At most `snapshot_window` bytes beyond that
+    `received` is what the follower has of it, by its replies.  At most `snapshot_window` bytes beyond that
     are under way.  Where nothing comes of them for several round trips, they are sent again.
     """
 
@@ -85,7 +85,7 @@
         """Takes in how far the follower is.
 
         A follower that has less than before has lost it, unless the reply is an old one: only a reply to a
-        chunk of a later round than the last one that told of progress takes the transfer back.
+        chunk of a later round than the last one that showed progress takes the transfer back.
         """
         if reply.digest != self.digest or not 0 <= reply.received <= self.size:
             return
