--- a/kestrelbend/duties/probing.py
+++ b/kestrelbend/duties/probing.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..membership.messages import State
+from ..membership.messages import MemberState
 from .deal import Deal
 
 MS = 1000
@@ -60,13 +60,13 @@
     def hear(self, core, heed):
         """What the membership core has learned: who lives, and reports, for `heed(backend, load)`; how many
         of these."""
-        if self.version != core.version:
-            self.version = core.version
-            self.members(m.name for m in core.members.values() if m.state == State.ALIVE)
+        if self.version != core.view.version:
+            self.version = core.view.version
+            self.members(m.name for m in core.members.values() if m.state == MemberState.ALIVE)
         used = 0
-        while core.heard_notes:
-            note, since = core.heard_notes.popleft()
-            if (read := self.read(note, since, core.now)) is not None:
+        while core.results.received:
+            note, since = core.results.received.popleft()
+            if (read := self.read(note, since, core.local.now_us)) is not None:
                 heed(*read)
                 used += 1
         return used
@@ -75,9 +75,8 @@
         """Others hear of a probe's report."""
         body = self.said(load)
         if uid is not None and body is not None:
-            core.now = now
-            core.tell(KIND, uid, body)
-            core.forget_notes(now - FRESH)
+            core.publish_result(now, KIND, uid, body)
+            core.results.forget_before(now - FRESH)
 
     @staticmethod
     def said(load):
@@ -86,17 +85,17 @@
 
     def read(self, note, since, now):
         """(backend, load) of another's report, or None where it is too old or about nobody known here."""
-        backend = self.backends.get(note.about)
+        backend = self.backends.get(note.subject)
         if (
             note.kind != KIND
             or backend is None
             or now - since > FRESH
-            or since <= self.heard.get(note.about, 0)
+            or since <= self.heard.get(note.subject, 0)
         ):
             return None
         try:
             load = msgspec.msgpack.decode(note.body, type=dict[str, float])
         except msgspec.DecodeError:
             return None
-        self.heard[note.about] = since
+        self.heard[note.subject] = since
         return backend, load
--- a/kestrelbend/lab/gossip.py
+++ b/kestrelbend/lab/gossip.py
@@ -10,8 +10,12 @@
 from collections import Counter
 from random import Random
 
-from ..membership.messages import Codec, State, Unreadable, packed
-from ..membership.swim import Swim, Terms
+from ..membership.addresses import pack_address
+from ..membership.codec import Codec
+from ..membership.errors import UnreadableMessage
+from ..membership.messages import MemberState
+from ..membership.parameters import SwimParameters
+from ..membership.swim import SwimNode
 from .clock import SimClock
 
 S = 1_000_000
@@ -23,7 +27,7 @@
 
     def __init__(self, fleet, number):
         self.fleet, self.number, self.name = fleet, number, f"n{number}"
-        self.address = packed((f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", 7946))
+        self.address = pack_address((f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", 7946))
         self.core, self.up, self.still, self.inbox, self.offset = None, False, False, [], 0
         self.alarm = None
         self.slow = 0
@@ -33,9 +37,15 @@
 
     def start(self, peers):
         self.up, self.still, self.inbox = True, False, []
-        life = self.time() // 1000
-        self.core = Swim(
-            self.name, self.address, life, self.fleet.terms, Random(self.fleet.random()), self.time(), peers
+        generation = self.time() // 1000
+        self.core = SwimNode(
+            self.name,
+            self.address,
+            generation,
+            self.fleet.parameters,
+            Random(self.fleet.random()),
+            self.time(),
+            peers,
         )
         self.wake()
 
@@ -59,8 +69,8 @@
             return
         try:
             message = self.fleet.codec.decode(data)
-        except Unreadable as trouble:
-            self.fleet.counts[f"unreadable {trouble.why}"] += 1
+        except UnreadableMessage as error:
+            self.fleet.counts[f"unreadable {error.reason}"] += 1
             return
         self.core.receive(self.time(), source, message)
         self.fleet.after(self)
@@ -71,7 +81,7 @@
             self.flush()
             if self.alarm is not None:
                 self.fleet.clock.cancel(self.alarm)
-            left = max(1000, self.core.due() - self.time())
+            left = max(1000, self.core.due_us() - self.time())
             self.alarm = self.fleet.clock.after(left, self.tick, self.core)
 
     def tick(self, core):
@@ -82,18 +92,18 @@
             self.wake()
 
     def flush(self):
-        while self.core.out:
-            address, message = self.core.out.popleft()
+        while self.core.outgoing:
+            address, message = self.core.outgoing.popleft()
             self.fleet.carry(self, address, self.fleet.codec.encode(message))
 
 
 class Fleet:
     """`loss`, `doubled` and `late` are chances for each datagram."""
 
-    def __init__(self, count, seed=1, loss=0.0, doubled=0.0, late=0.0, terms=None, seeds=3):
+    def __init__(self, count, seed=1, loss=0.0, doubled=0.0, late=0.0, parameters=None, seeds=3):
         self.clock, self.random = SimClock(), Random(seed).random
         self.loss, self.doubled, self.late = loss, doubled, late
-        self.terms, self.codec, self.counts = terms or Terms(), Codec(KEYS), Counter()
+        self.parameters, self.codec, self.counts = parameters or SwimParameters(), Codec(KEYS), Counter()
         self.nodes = [Node(self, n) for n in range(count)]
         self.by_address = {node.address: node for node in self.nodes}
         self.seeds = [node.address for node in self.nodes[:seeds]]
@@ -132,7 +142,7 @@
     def agree(self):
         """Whether all that are up see just those that are up."""
         names = sorted(node.name for node in self.live())
-        return bool(names) and all(sorted(node.core.alive()) == names for node in self.live())
+        return bool(names) and all(sorted(node.core.view.live_names()) == names for node in self.live())
 
     def until(self, held, seconds, step=0.1):
         """Seconds until it held, or infinity."""
@@ -144,14 +154,14 @@
         return math.inf
 
     def count(self, what):
-        return sum(node.core.counts[what] for node in self.live())
+        return sum(getattr(node.core.local.counters, what) for node in self.live())
 
     def deaths(self, since=0):
         """(when, who saw it, of whom) of deaths seen from then on."""
         return [
             (at, node, change.member.name)
             for at, node, change in self.changes
-            if at >= since and change.state == State.DEAD
+            if at >= since and change.state == MemberState.DEAD
         ]
 
 
@@ -181,8 +191,8 @@
         def all_of(least, rest=rest, name=victim.name):
             return all(node.core.members[name].state >= least for node in rest if name in node.core.members)
 
-        suspected.append(fleet.until(lambda: all_of(State.SUSPECT), 60, 0.05))
-        fleet.until(lambda: all_of(State.DEAD), 90, 0.25)
+        suspected.append(fleet.until(lambda: all_of(MemberState.SUSPECT), 60, 0.05))
+        fleet.until(lambda: all_of(MemberState.DEAD), 90, 0.25)
         dead.append((fleet.clock.now - at) / S)
     return {
         "gateways": count,
--- a/kestrelbend/lab/members.py
+++ b/kestrelbend/lab/members.py
@@ -5,14 +5,16 @@
 from random import Random
 
 from ..duties import probing
-from ..membership.messages import State, packed
-from ..membership.swim import Swim, Terms
+from ..membership.addresses import pack_address
+from ..membership.messages import MemberState
+from ..membership.parameters import SwimParameters
+from ..membership.swim import SwimNode
 
 LOOK = 100_000  # microseconds between looks at which backends have to be probed
 
 
 def address(index):
-    return packed((f"10.0.{index >> 8}.{index & 255}", 7946))
+    return pack_address((f"10.0.{index >> 8}.{index & 255}", 7946))
 
 
 def index_of(at):
@@ -26,19 +28,19 @@
         self.life, self.world, stated = life, life.world, life.world.scenario.members
         self.clock, self.chance = life.clock, life.world.chance("datagrams")
         count = self.world.scenario.fleet.gateways
-        terms = Terms(period=int(stated.period), most_per_s=stated.most_per_s)
+        parameters = SwimParameters(int(stated.period), max_datagrams_per_s=stated.most_per_s)
         seed = life.plant.seed(life.index, -life.number)
         started = life.plant.time(life.index) // 1000
-        self.core = Swim(
+        self.core = SwimNode(
             f"n{life.index}",
             address(life.index),
             started,
-            terms,
+            parameters,
             Random(seed),
             self.now(),
             [address(n) for n in range(count)],
         )
-        self.probing = probing.Probing(self.core.name) if life.shares else None
+        self.probing = probing.Probing(self.core.local.name) if life.shares else None
         self.timer = None
         self.after()
         if self.probing is not None:
@@ -60,21 +62,21 @@
         core, tally = self.core, self.world.tally
         while core.changes:
             change = core.changes.popleft()
-            if change.state == State.DEAD:
+            if change.state == MemberState.DEAD:
                 other = self.life.plant.lives[index_of(change.member.address)]
-                alive = other is not None and other.member.core.life == change.member.life
+                alive = other is not None and other.member.core.local.generation == change.member.generation
                 tally.counts["members falsely dead" if alive else "members seen dead"] += 1
         if self.probing is not None:
             tally.counts["reports shared"] += self.probing.hear(
                 core, self.life.gateway.background.load_reported
             )
-        while core.out:
-            to, message = core.out.popleft()
+        while core.outgoing:
+            to, message = core.outgoing.popleft()
             tally.counts["datagrams"] += 1
             self.carry(index_of(to), message)
         if self.timer is not None:
             self.clock.cancel(self.timer)
-        left = max(1000, core.due() - self.now())
+        left = max(1000, core.due_us() - self.now())
         self.timer = self.clock.after(left, self.life.post, self.due)
 
     def carry(self, index, message):
--- a/kestrelbend/membership/messages.py
+++ b/kestrelbend/membership/messages.py
@@ -1,165 +1,97 @@
-"""What gateways say to one another, and its form on the wire: one datagram a message, at most 256 bytes.
+"""What gateways say to one another (SWIM 2002, sections 3 and 4).
 
-A datagram is a version byte, a key number, the message in MessagePack (msgspec) and a truncated HMAC-SHA256
-(RFC 2104) over all of that.  Messages are arrays: a field that a later version adds stands behind those known
-here and is skipped; a message of another version's first byte is not read at all.
+Messages are MessagePack arrays: a field goes by its position. Fields are never reordered or removed; one that
+a later version adds stands behind those known here and is skipped.
 """
 
 from __future__ import annotations
 
-import hashlib
-import hmac
-import socket
-import struct
 from enum import IntEnum
 
-import msgspec
 from msgspec import Struct
 
-LONGEST = 256  # bytes of a datagram, by the platform's protocol
-VERSION, TAG = 1, 10  # first byte; bytes of the authentication code
-LONGEST_NAME = 40  # characters
 
+class MessageKind(IntEnum):
+    """What a message is for; the numbers are the wire's."""
 
-class Kind(IntEnum):
-    PING = 1  # are you there?
+    PING = 1
     ACK = 2
-    REQUEST = 3  # ask that one for me
-    NACK = 4  # I asked, and have heard nothing so far
-    DIGESTS = 5  # what I know, in sums by bucket
-    NEWS = 6  # rumours alone: of a bucket that differs, or at a leave
-    STALE = 7  # your life is older than one I know of
-    LEASE = 8  # a duty's lease: asked for, granted or denied
+    PING_REQUEST = 3  # an indirect probe: the receiver pings another member for the sender
+    NACK = 4  # of an indirect probe: the receiver has pinged, and has no answer so far (Lifeguard)
+    DIGESTS = 5  # the sender's view, as a sum for each bucket
+    UPDATES = 6  # updates alone: of a bucket that differs, of a suspicion or at a leave
+    STALE = 7  # the sender of the message answered has a lower generation than one known here
+    LEASE = 8  # a singleton task's lease: requested, granted, denied or released
 
 
-class State(IntEnum):
-    """In the order in which one overrides the other within one incarnation."""
+class MemberState(IntEnum):
+    """In the order in which one overrides the other within one incarnation (SWIM 2002, section 4.2)."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # by its own word
+    LEFT = 3  # by its own message
 
 
-class Rumour(Struct, array_like=True):
-    """What is said of a member.  `life` is that of its process, `incarnation` counts its refutations."""
+class LeaseVerdict(IntEnum):
+    """What a lease's message says; the numbers are the wire's."""
+
+    REQUESTED = 0
+    GRANTED = 1
+    DENIED = 2
+    RELEASED = 3
+
+
+class MembershipUpdate(Struct, array_like=True):
+    """What is said of one member.
+
+    `generation` tells the processes of one name apart: Unix milliseconds of the process's start, or one more
+    than the highest known where the clock stepped back. `incarnation` counts a process's refutations.
+    """
 
     name: str
     address: bytes  # IPv4 and port, six bytes
-    life: int
+    generation: int
     incarnation: int
     state: int
-    by: str = ""  # of a suspicion: who has it; independent ones shorten the wait
+    suspected_by: str = ""  # of a suspicion: who has it; independent ones shorten its timeout
 
 
-class Note(Struct, array_like=True):
-    """A result that others can use: whose, about what, how old it was when it was sent, and what it says."""
+class SharedResult(Struct, array_like=True):
+    """A result of one member's work that all others can use, with its age when it was sent."""
 
     kind: str
-    about: str
-    by: str
-    number: int  # by its maker, growing: the latest of one maker and one thing counts
+    subject: str
+    origin: str  # the member that made it
+    sequence: int  # of its origin, growing: the latest of one origin and one subject counts
     age_ms: int
     body: bytes
 
 
-class Lease(Struct, array_like=True):
-    duty: str
-    fence: int
+class LeaseMessage(Struct, array_like=True):
+    """A request for a singleton task's lease, its answer, or its release."""
+
+    task: str
+    fencing_token: int
     holder: str
-    life: int
-    verdict: int = 0  # 0 asked for, 1 granted, 2 denied, 3 given back
+    generation: int  # of the holder's process
+    verdict: int = LeaseVerdict.REQUESTED.value
     wait_ms: int = 0  # denied: how long it may take; granted: for how long
-    asked: int = 0  # the question's time by the holder's clock; its answer says it back
+    requested_at: int = 0  # microseconds by the holder's clock; the answer repeats it
+
 
+class GossipMessage(Struct, array_like=True):
+    """One datagram's content."""
 
-class Message(Struct, array_like=True):
     kind: int
-    name: str  # the sender's
-    life: int
-    seq: int  # grows with each message of one life: what was seen before is not taken again
+    sender: str
+    generation: int  # of the sender's process
+    sequence: int  # grows with each message of one generation, so that replays are known
     nonce: int = 0  # an answer's is that of its question
-    target: str = ""  # REQUEST: whom to ask; PING: whom it is meant for
-    digest: int = 0  # of the sender's whole view
-    rumours: list[Rumour] = []
-    notes: list[Note] = []
-    sums: list[int] = []
-    address: bytes = b""  # REQUEST: where the target is
-    lease: Lease | None = None
-
-
-class Unreadable(Exception):
-    """Not a message of a member: `why` is one of a few words, for counting."""
-
-    def __init__(self, why):
-        self.why = why
-        super().__init__(why)
-
-
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
-
-
-class Codec:
-    """`keys`: by number, 1 to 255; what comes may be of any of them, what goes is of the highest.  So a key
-    is changed in two steps: the new one is added everywhere, then the old one is taken away."""
-
-    def __init__(self, keys):
-        if not keys or any(not 0 < number < 256 or len(key) < 16 for number, key in keys.items()):
-            raise ValueError("keys have numbers from 1 to 255 and at least 16 bytes each")
-        self.keys, self.current = dict(keys), max(keys)
-
-    def tag(self, number, data):
-        return hmac.digest(self.keys[number], data, hashlib.sha256)[:TAG]
-
-    def room(self):
-        """Bytes of a message in MessagePack."""
-        return LONGEST - 2 - TAG
-
-    def encode(self, message):
-        data = bytes((VERSION, self.current)) + ENCODER.encode(message)
-        data += self.tag(self.current, data)
-        if len(data) > LONGEST:
-            raise ValueError(f"a datagram of {len(data)} bytes")
-        return data
-
-    def decode(self, data):
-        if not 2 + TAG < len(data) <= LONGEST:
-            raise Unreadable("length")
-        if data[0] != VERSION:
-            raise Unreadable("version")
-        if data[1] not in self.keys:
-            raise Unreadable("key")
-        if not hmac.compare_digest(self.tag(data[1], data[:-TAG]), data[-TAG:]):
-            raise Unreadable("forged")
-        try:
-            message = DECODER.decode(data[2:-TAG])
-            Kind(message.kind)
-        except (msgspec.DecodeError, ValueError):
-            raise Unreadable("form") from None
-        if not 0 < len(message.name) <= LONGEST_NAME:
-            raise Unreadable("form")
-        # A rumour of a kind that is not known here is passed over, not the message.
-        message.rumours = [
-            r
-            for r in message.rumours
-            if 0 <= r.state <= State.LEFT
-            and len(r.address) == 6
-            and 0 < len(r.name) <= LONGEST_NAME
-            and r.life > 0
-            and r.incarnation >= 0
-        ]
-        return message
-
-
-def size(part):
-    return len(ENCODER.encode(part))
-
-
-def packed(pair):
-    """An IPv4 address and port as six bytes."""
-    host, port = pair
-    return socket.inet_aton(host) + struct.pack("!H", port)
-
-
-def unpacked(data):
-    return socket.inet_ntoa(data[:4]), struct.unpack("!H", data[4:])[0]
+    target: str = ""  # PING_REQUEST: whom to ping; PING: whom it is meant for
+    digest: int = 0  # of the sender's complete view
+    updates: list[MembershipUpdate] = []
+    results: list[SharedResult] = []
+    bucket_sums: list[int] = []
+    target_address: bytes = b""  # PING_REQUEST: where the target is
+    lease: LeaseMessage | None = None
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/net/peers.py
@@ -8,13 +8,16 @@
 from random import Random
 
 from ..duties import leases, probing
-from ..membership.messages import Codec, Lease, State, Unreadable, packed, unpacked
-from ..membership.swim import Swim, Terms
+from ..membership.addresses import pack_address, unpack_address
+from ..membership.codec import Codec
+from ..membership.errors import UnreadableMessage
+from ..membership.messages import LeaseMessage, LeaseVerdict, MemberState
+from ..membership.parameters import SwimParameters
+from ..membership.swim import SwimNode
 from .datagrams import Carrier
 from .tally import counters
 
 log = logging.getLogger(__name__)
-GRANTED, DENIED, BACK = 1, 2, 3
 MS = 1000
 
 
@@ -24,12 +27,16 @@
     def __init__(self, told, queue, owner, seed, shares):
         self.told, self.queue, self.owner = told, queue, owner
         self.codec, self.timer, self.heard = Codec(told.keys), None, 0
-        life = time.time_ns() // 1_000_000
-        self.address = packed(told.seen_at)
-        terms = Terms(period=told.period, most_per_s=told.most_per_s, room=self.codec.room())
+        generation = time.time_ns() // 1_000_000
+        self.address = pack_address(told.seen_at)
+        parameters = SwimParameters(
+            told.period,
+            max_datagrams_per_s=told.most_per_s,
+            max_message_bytes=self.codec.message_bytes(),
+        )
         rng = Random(seed)
-        peers = [packed(pair) for pair in told.peers]
-        self.core = Swim(told.name, self.address, life, terms, rng, self.now(), peers)
+        peers = [pack_address(pair) for pair in told.peers]
+        self.core = SwimNode(told.name, self.address, generation, parameters, rng, self.now(), peers)
         self.static = [f"{host}:{port}" for host, port in told.peers]
         self.voter, self.holders = leases.Voter(self.now()), {}
         self.probing = probing.Probing(told.name) if shares else None
@@ -49,9 +56,9 @@
 
     def got(self, source, data):
         try:
-            message, at = self.codec.decode(data), packed(source)
-        except (Unreadable, OSError) as trouble:
-            why = getattr(trouble, "why", "address")
+            message, at = self.codec.decode(data), pack_address(source)
+        except (UnreadableMessage, OSError) as error:
+            why = error.reason if isinstance(error, UnreadableMessage) else "address"
             counters[f"peer_unreadable_{why}"] += 1
             if counters[f"peer_unreadable_{why}"] == 1:
                 log.warning("a datagram that is no member's", extra={"why": why, "source": "%s:%d" % source})
@@ -76,48 +83,52 @@
                 extra={
                     "name_": change.member.name,
                     "state": change.state.name.lower(),
-                    "at": "%s:%d" % unpacked(change.member.address),
+                    "at": "%s:%d" % unpack_address(change.member.address),
                 },
             )
-        if core.conflict is not None:
-            self.give_way(core.conflict)
+        if core.local.name_conflict is not None:
+            self.give_way(core.local.name_conflict)
         if self.probing is not None:
             counters["reports_shared"] += self.probing.hear(core, self.owner.gateway.background.load_reported)
-        while core.leases:
-            self.leased(*core.leases.popleft())
+        while core.received_leases:
+            self.leased(*core.received_leases.popleft())
         self.flush()
         if self.timer is not None:
             self.timer.cancel()
-        left = max(1000, core.due() - self.now()) / 1e6
+        left = max(1000, core.due_us() - self.now()) / 1e6
         self.timer = asyncio.get_running_loop().call_later(left, self.queue.put_nowait, ("members_due",))
 
     def flush(self):
-        while self.core.out:
-            to, message = self.core.out.popleft()
+        while self.core.outgoing:
+            to, message = self.core.outgoing.popleft()
             counters["peer_datagrams"] += 1
-            self.carrier.transport.sendto(self.codec.encode(message), unpacked(to))
+            self.carrier.transport.sendto(self.codec.encode(message), unpack_address(to))
 
-    def give_way(self, rumour):
+    def give_way(self, other):
         """Another one serves under this name: this one goes on under a name of its own."""
-        own = f"{self.told.name[:24]}~{self.core.life & 0xFFFFFF:x}"
+        own = f"{self.told.name[:24]}~{self.core.local.generation & 0xFFFFFF:x}"
         log.error(
             "two gateways have one name; this one takes another",
-            extra={"name_": self.core.name, "other": "%s:%d" % unpacked(rumour.address), "now": own},
+            extra={
+                "name_": self.core.local.name,
+                "other": "%s:%d" % unpack_address(other.address),
+                "now": own,
+            },
         )
         old = self.core
-        self.core = Swim(
+        self.core = SwimNode(
             own,
             self.address,
-            old.life + 1,
-            old.terms,
-            Random(old.life),
+            old.local.generation + 1,
+            old.parameters,
+            Random(old.local.generation),
             self.now(),
-            [packed(pair) for pair in self.told.peers],
+            [pack_address(pair) for pair in self.told.peers],
         )
         for member in old.members.values():
-            if member.state <= State.SUSPECT:
-                self.core.hear(member.rumour(), tell=False)
-        self.core.hear(rumour, tell=False)
+            if member.state <= MemberState.SUSPECT:
+                self.core.rules.apply(member.update(), disseminate=False)
+        self.core.rules.apply(other, disseminate=False)
         if self.probing is not None:
             self.probing.me, self.probing.version = own, None
             self.probing.hear(self.core, self.owner.gateway.background.load_reported)
@@ -135,8 +146,10 @@
 
     def hold(self, duty):
         """Try to hold a duty from now on; `holds` says whether this gateway does."""
-        chosen = [packed(pair) for pair in map(split, leases.voters(duty, self.static))]
-        self.holders[duty] = leases.Holder(duty, (self.core.name, self.core.life), len(chosen))
+        chosen = [pack_address(pair) for pair in map(split, leases.voters(duty, self.static))]
+        self.holders[duty] = leases.Holder(
+            duty, (self.core.local.name, self.core.local.generation), len(chosen)
+        )
         self.holders[duty].voters = chosen
         return self.holders[duty]
 
@@ -150,36 +163,37 @@
         if not holder.voters or not holder.due(now):
             return
         fence = holder.ask(now, time.time_ns() // 1_000_000)
-        asked = Lease(holder.duty, fence, *holder.me, asked=now)
+        asked = LeaseMessage(holder.duty, fence, *holder.me, requested_at=now)
         for voter in holder.voters:
             if voter == self.address:
                 granted, highest, wait = self.voter.ask(now, holder.duty, fence, holder.me)
                 self.answered(holder, voter, granted, highest, wait, now)
             else:
-                self.core.ask_lease(voter, asked)
+                self.core.send_lease(voter, asked)
 
     def leased(self, member, lease):
         """A lease's message: a question to this voter, or an answer to this holder."""
-        now, who = self.now(), (lease.holder, lease.life)
-        if lease.verdict in (GRANTED, DENIED):
-            holder = self.holders.get(lease.duty)
+        now, who = self.now(), (lease.holder, lease.generation)
+        if lease.verdict in (LeaseVerdict.GRANTED, LeaseVerdict.DENIED):
+            holder = self.holders.get(lease.task)
             if holder is not None and holder.me == who:
                 self.answered(
                     holder,
                     member.address,
-                    lease.verdict == GRANTED,
-                    lease.fence,
+                    lease.verdict == LeaseVerdict.GRANTED,
+                    lease.fencing_token,
                     lease.wait_ms * MS,
-                    lease.asked,
+                    lease.requested_at,
                 )
-        elif (lease.holder, lease.life) == (member.name, member.life):
-            if lease.verdict == BACK:
-                self.voter.given_back(lease.duty, lease.fence, who)
+        elif (lease.holder, lease.generation) == (member.name, member.generation):
+            if lease.verdict == LeaseVerdict.RELEASED:
+                self.voter.given_back(lease.task, lease.fencing_token, who)
                 return
-            granted, fence, wait = self.voter.ask(now, lease.duty, lease.fence, who)
-            verdict = GRANTED if granted else DENIED
-            self.core.ask_lease(
-                member.address, Lease(lease.duty, fence, *who, verdict, wait // MS, lease.asked)
+            granted, fence, wait = self.voter.ask(now, lease.task, lease.fencing_token, who)
+            verdict = LeaseVerdict.GRANTED if granted else LeaseVerdict.DENIED
+            self.core.send_lease(
+                member.address,
+                LeaseMessage(lease.task, fence, *who, int(verdict), wait // MS, lease.requested_at),
             )
 
     def answered(self, holder, voter, granted, fence, wait, asked):
@@ -192,22 +206,22 @@
 
     def view(self):
         """Rows of name, state, life, incarnation, address, seconds since its last change, duties."""
-        now, core = self.now(), self.core
+        now, core, local = self.now(), self.core, self.core.local
         duties = {}
         if self.probing is not None:
             for duty, (_, owner) in self.probing.deal.best.items():
                 duties.setdefault(owner, []).append(duty)
         rows = [
             {
-                "name": core.name,
-                "state": "left" if core.left else "alive",
-                "life": core.life,
-                "incarnation": core.incarnation,
-                "address": "%s:%d" % unpacked(core.address),
+                "name": local.name,
+                "state": local.state().name.lower(),
+                "life": local.generation,
+                "incarnation": local.incarnation,
+                "address": "%s:%d" % unpack_address(local.address),
                 "since_s": None,
-                "duties": sorted(duties.get(core.name, ())),
+                "duties": sorted(duties.get(local.name, ())),
                 "self": True,
-                "doubt": core.doubt,
+                "doubt": local.local_health,
                 "leases": {d: h.fence for d, h in self.holders.items() if h.holds(now)},
             }
         ]
@@ -216,10 +230,10 @@
                 {
                     "name": m.name,
                     "state": m.state.name.lower(),
-                    "life": m.life,
+                    "life": m.generation,
                     "incarnation": m.incarnation,
-                    "address": "%s:%d" % unpacked(m.address),
-                    "since_s": round((now - m.since) / 1e6, 1),
+                    "address": "%s:%d" % unpack_address(m.address),
+                    "since_s": round((now - m.changed_at_us) / 1e6, 1),
                     "duties": sorted(duties.get(m.name, ())),
                 }
             )
@@ -239,9 +253,9 @@
     def leave(self):
         for holder in self.holders.values():
             if holder.holds(self.now()):
-                given = Lease(holder.duty, holder.give_back(), *holder.me, BACK)
+                given = LeaseMessage(holder.duty, holder.give_back(), *holder.me, int(LeaseVerdict.RELEASED))
                 for voter in holder.voters:
-                    self.core.ask_lease(voter, given)
+                    self.core.send_lease(voter, given)
         self.core.leave(self.now())
         self.flush()
         if self.timer is not None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -193,7 +193,7 @@
         assert figures["counts"]["datagrams"] > 100 and figures["counts"]["reports shared"] > 0
         assert figures["served"] > alone["served"] - 0.1
         live = sorted(f"n{n}" for n in range(12))
-        assert all(sorted(life.member.core.alive()) == live for life in world.plant.lives)
+        assert all(sorted(life.member.core.view.live_names()) == live for life in world.plant.lives)
 
 
 # The oracle, against gateways that break each rule.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,6 +11,7 @@
 import sys
 import time
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,7 +23,12 @@
 from kestrelbend.duties.deal import Deal
 from kestrelbend.lab.gossip import KEYS, Fleet
 from kestrelbend.membership import messages as m
-from kestrelbend.membership import swim
+from kestrelbend.membership import codec as wire
+from kestrelbend.membership.addresses import pack_address
+from kestrelbend.membership.errors import UnreadableMessage
+from kestrelbend.membership.parameters import SwimParameters
+from kestrelbend.membership.swim import SwimNode
+from kestrelbend.membership.update_rules import UpdateRules
 from kestrelbend.net import configuration
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
@@ -44,43 +50,47 @@
 
 
 def message(**more):
-    return m.Message(
-        int(m.Kind.PING),
+    return m.GossipMessage(
+        int(m.MessageKind.PING),
         "n1",
         1_700_000_000_000,
         7,
         3,
         "n2",
         99,
-        [m.Rumour("n3", b"\x0a\0\0\x01\x1f\x90", 5, 1, 1, "n1")],
+        [m.MembershipUpdate("n3", b"\x0a\0\0\x01\x1f\x90", 5, 1, 1, "n1")],
         **more,
     )
 
 
 def test_a_message_comes_back_as_it_went_and_a_changed_bit_is_seen():
-    codec = m.Codec(KEYS)
-    data = codec.encode(message(notes=[m.Note("probe", "s1", "n1", 4, 20, b"x")]))
-    assert codec.decode(data) == message(notes=[m.Note("probe", "s1", "n1", 4, 20, b"x")])
+    codec = wire.Codec(KEYS)
+    data = codec.encode(message(results=[m.SharedResult("probe", "s1", "n1", 4, 20, b"x")]))
+    assert codec.decode(data) == message(results=[m.SharedResult("probe", "s1", "n1", 4, 20, b"x")])
     for at in range(8 * len(data)):
         spoilt = bytearray(data)
         spoilt[at // 8] ^= 1 << at % 8
-        with pytest.raises(m.Unreadable):
+        with pytest.raises(UnreadableMessage):
             codec.decode(bytes(spoilt))
     for length in range(len(data)):
-        with pytest.raises(m.Unreadable):
+        with pytest.raises(UnreadableMessage):
             codec.decode(data[:length])
 
 
 def test_an_old_key_is_read_until_it_is_taken_away_and_a_newer_versions_fields_are_skipped():
-    old, both, new = m.Codec({1: b"a" * 16}), m.Codec({1: b"a" * 16, 2: b"b" * 16}), m.Codec({2: b"b" * 16})
+    old, both, new = (
+        wire.Codec({1: b"a" * 16}),
+        wire.Codec({1: b"a" * 16, 2: b"b" * 16}),
+        wire.Codec({2: b"b" * 16}),
+    )
     assert both.decode(old.encode(message())) == message() == new.decode(both.encode(message()))
-    with pytest.raises(m.Unreadable, match="key"):
+    with pytest.raises(UnreadableMessage, match="key"):
         new.decode(old.encode(message()))
-    row = list(m.msgspec.to_builtins(message(), builtin_types=(bytes,)))
-    data = bytes((m.VERSION, 1)) + m.ENCODER.encode([*row, "what later versions say", {"x": 1}])
+    row = list(msgspec.to_builtins(message(), builtin_types=(bytes,)))
+    data = bytes((wire.VERSION, 1)) + wire.ENCODER.encode([*row, "what later versions say", {"x": 1}])
     assert old.decode(data + old.tag(1, data)) == message()
-    data = bytes((m.VERSION + 1, 1)) + data[2:]
-    with pytest.raises(m.Unreadable, match="version"):
+    data = bytes((wire.VERSION + 1, 1)) + data[2:]
+    with pytest.raises(UnreadableMessage, match="version"):
         old.decode(data + old.tag(1, data))
 
 
@@ -91,22 +101,22 @@
         st.none() | st.integers(-(2**63), 2**64 - 1) | st.text(max_size=9) | st.binary(max_size=9),
         lambda inner: st.lists(inner, max_size=13),
         max_leaves=30,
-    ).map(m.ENCODER.encode),
+    ).map(wire.ENCODER.encode),
     st.booleans(),
 )
 def test_whatever_comes_is_a_message_or_said_to_be_none(body, signed):
     """Also of one who has the key: nothing that was decoded can upset the core."""
-    codec = m.Codec(KEYS)
-    data = bytes((m.VERSION, 1)) + body
+    codec = wire.Codec(KEYS)
+    data = bytes((wire.VERSION, 1)) + body
     data = data + codec.tag(1, data) if signed else body
-    core = swim.Swim("n0", b"\x0a\0\0\1\0\1", 5, swim.Terms(), random.Random(1), 0)
+    core = SwimNode("n0", b"\x0a\0\0\1\0\1", 5, SwimParameters(), random.Random(1), 0)
     try:
         got = codec.decode(data)
-    except m.Unreadable:
+    except UnreadableMessage:
         return
     core.receive(1000, b"\x0a\0\0\2\0\1", got)
     core.tick(10 * S)
-    assert all(len(codec.encode(out)) <= m.LONGEST for _, out in core.out)
+    assert all(len(codec.encode(out)) <= wire.MAX_DATAGRAM_BYTES for _, out in core.outgoing)
 
 
 # The protocol.
@@ -130,20 +140,22 @@
     at = f.clock.now
     f.run(120)
     assert len({name for _, _, name in f.deaths(at)}) <= 1 and f.until(f.agree, 60) < 60
-    assert sum(node.core.counts["replayed"] for node in f.nodes) > 50
+    assert sum(node.core.local.counters.replayed for node in f.nodes) > 50
 
 
 def test_one_that_stood_still_comes_back_and_a_slow_one_doubts_itself():
     f = fleet(8, seed=2)
     f.nodes[3].stop(True)
-    assert f.until(lambda: all("n3" not in n.core.alive() for n in f.live() if n.number != 3), 40) < 30
+    assert (
+        f.until(lambda: all("n3" not in n.core.view.live_names() for n in f.live() if n.number != 3), 40) < 30
+    )
     f.nodes[3].stop(False)
-    assert f.until(f.agree, 20) < 10 and f.nodes[3].core.incarnation > 0
+    assert f.until(f.agree, 20) < 10 and f.nodes[3].core.local.incarnation > 0
     # A slow one's answers come late; it misses those of others, too, and grows patient before it accuses.
     f.nodes[5].slow = 200_000
-    accused = f.nodes[5].core.counts["suspected"]
+    accused = f.nodes[5].core.local.counters.suspected
     f.run(60)
-    assert f.nodes[5].core.counts["suspected"] - accused < 40
+    assert f.nodes[5].core.local.counters.suspected - accused < 40
     assert not [1 for _, node, name in f.deaths() if node.number == 5 and name not in ("n3",)]
 
 
@@ -156,7 +168,9 @@
 
     f.cuts.append(cut)
     names = [{f"n{n}" for n in range(5)}, {f"n{n}" for n in range(5, 10)}]
-    assert f.until(lambda: all(set(n.core.alive()) == names[n.number >= 5] for n in f.nodes), 60) < 60
+    assert (
+        f.until(lambda: all(set(n.core.view.live_names()) == names[n.number >= 5] for n in f.nodes), 60) < 60
+    )
     f.cuts.clear()
     assert f.until(f.agree, 60) < 40
 
@@ -179,7 +193,7 @@
         f.clock.after(int(f.random() * S) + 1, node.start, f.seeds)
     f.run(2)
     assert f.until(f.agree, 40) < 30
-    assert {node.core.members["n0"].life for node in f.nodes[1:]} == {f.nodes[0].core.life}
+    assert {node.core.members["n0"].generation for node in f.nodes[1:]} == {f.nodes[0].core.local.generation}
     for step in range(10):
         for node in f.nodes[step::10]:
             node.core.leave(node.time())
@@ -203,12 +217,12 @@
     node.start(f.seeds)
     f.run(1)
     assert f.until(f.agree, 30) < 20
-    assert f.nodes[0].core.members["n2"].life == node.core.life
+    assert f.nodes[0].core.members["n2"].generation == node.core.local.generation
 
 
 def test_addresses_that_are_dead_for_ever_cost_little_and_hold_up_nothing():
     f = Fleet(4, seed=8, seeds=4)
-    f.seeds += [m.packed((f"10.9.9.{n}", 7946)) for n in range(50)]
+    f.seeds += [pack_address((f"10.9.9.{n}", 7946)) for n in range(50)]
     f.start()
     f.run(3)
     assert f.until(f.agree, 30) < 30
@@ -219,29 +233,39 @@
 
 def test_no_second_sees_more_datagrams_of_one_than_allowed():
     """Whatever comes: a flood of pings, of digests, of news."""
-    core = swim.Swim(
+    core = SwimNode(
         "n0",
         b"\x0a\0\0\1\0\1",
         5,
-        swim.Terms(most_per_s=10),
+        SwimParameters(max_datagrams_per_s=10),
         random.Random(1),
         0,
-        [m.packed(("10.0.1.1", n + 1)) for n in range(30)],
+        [pack_address(("10.0.1.1", n + 1)) for n in range(30)],
     )
     sent, now = [], 0
     for n in range(4000):
         now += 2500
-        kind = (m.Kind.PING, m.Kind.DIGESTS, m.Kind.NEWS, m.Kind.REQUEST)[n % 4]
+        kind = (m.MessageKind.PING, m.MessageKind.DIGESTS, m.MessageKind.UPDATES, m.MessageKind.PING_REQUEST)[
+            n % 4
+        ]
         core.receive(
             now,
-            m.packed(("10.0.2.2", 1 + n % 9)),
-            m.Message(
-                int(kind), f"p{n % 9}", 9, n, n, "x", 0, sums=[n] * 16, address=m.packed(("10.0.3.3", 9))
+            pack_address(("10.0.2.2", 1 + n % 9)),
+            m.GossipMessage(
+                int(kind),
+                f"p{n % 9}",
+                9,
+                n,
+                n,
+                "x",
+                0,
+                bucket_sums=[n] * 16,
+                target_address=pack_address(("10.0.3.3", 9)),
             ),
         )
         core.tick(now)
-        sent += [now] * len(core.out)
-        core.out.clear()
+        sent += [now] * len(core.outgoing)
+        core.outgoing.clear()
     for at in range(0, now, 50_000):
         assert sum(at <= when < at + S for when in sent) <= 10
 
@@ -256,13 +280,13 @@
     f.run(0.5)
     f.nodes[1].start(f.seeds)
     assert f.until(f.agree, 30) < 30
-    view = [sorted(node.core.alive()) for node in f.nodes]
-    lives = [{n: x.life for n, x in node.core.members.items()} for node in f.nodes]
+    view = [sorted(node.core.view.live_names()) for node in f.nodes]
+    lives = [{n: x.generation for n, x in node.core.members.items()} for node in f.nodes]
     f.run(30)
     for source, data in kept:
         f.nodes[0].got(source, data)
-    assert [sorted(node.core.alive()) for node in f.nodes] == view
-    assert [{n: x.life for n, x in node.core.members.items()} for node in f.nodes] == lives
+    assert [sorted(node.core.view.live_names()) for node in f.nodes] == view
+    assert [{n: x.generation for n, x in node.core.members.items()} for node in f.nodes] == lives
 
 
 def test_two_with_one_name_are_told_apart_and_one_gives_way():
@@ -274,25 +298,27 @@
     double.name = "n0"
     double.start(f.seeds)
     f.run(10)
-    assert f.nodes[0].core.conflict is not None  # the older one learns that it has to give way
-    assert f.nodes[0].core.conflict.address == double.address and double.core.conflict is None
+    assert f.nodes[0].core.local.name_conflict is not None  # the older one learns that it has to give way
+    assert (
+        f.nodes[0].core.local.name_conflict.address == double.address
+        and double.core.local.name_conflict is None
+    )
 
 
 def test_what_is_told_reaches_all_with_its_age_and_old_results_are_not_told():
     f = fleet(10, seed=11)
-    f.nodes[0].core.now = f.nodes[0].time()
-    f.nodes[0].core.tell("probe", "s1", b"report")
+    f.nodes[0].core.publish_result(f.nodes[0].time(), "probe", "s1", b"report")
     f.run(4)
     for node in f.nodes[1:]:
-        note, since = node.core.heard_notes.popleft()
-        assert (note.about, note.body, note.by) == ("s1", b"report", "n0")
+        note, since = node.core.results.received.popleft()
+        assert (note.subject, note.body, note.origin) == ("s1", b"report", "n0")
         assert abs(since - (f.clock.now - 4 * S)) < 20_000
     p = probing.Probing("n1")
     p.follow({"s1": "backend"})
-    fresh = m.Note("probe", "s1", "n0", 1, 0, p.said({"queued": 2.0}))
+    fresh = m.SharedResult("probe", "s1", "n0", 1, 0, p.said({"queued": 2.0}))
     assert p.read(fresh, 5 * S, 5 * S) == ("backend", {"queued": 2.0})
     assert p.read(fresh, 5 * S, 5 * S) is None and p.read(fresh, 6 * S, 6 * S + probing.FRESH + 1) is None
-    assert p.read(m.Note("probe", "s1", "n0", 2, 0, b"\xff"), 9 * S, 9 * S) is None
+    assert p.read(m.SharedResult("probe", "s1", "n0", 2, 0, b"\xff"), 9 * S, 9 * S) is None
 
 
 class Members(RuleBasedStateMachine):
@@ -338,7 +364,8 @@
     def within_limits(self):
         if hasattr(self, "fleet"):
             for node in self.fleet.live():
-                assert node.core.level >= 0 and len(node.core.order) == len(node.core.members)
+                assert node.core.transmission.rate_limit.tokens >= 0
+                assert len(node.core.view.probe_order) == len(node.core.members)
 
     def teardown(self):
         if not hasattr(self, "fleet"):
@@ -357,7 +384,7 @@
 
 def test_a_live_member_kept_dead_would_be_seen(monkeypatch):
     """The machine above, against a core that refutes nothing."""
-    monkeypatch.setattr(swim.Swim, "hear_of_self", lambda self, rumour: False)
+    monkeypatch.setattr(UpdateRules, "apply_about_self", lambda self, update: False)
     f = fleet(5, seed=12)
     f.nodes[1].stop(True)
     f.run(30)
@@ -404,7 +431,7 @@
         for node in f.live():
             if not node.still:
                 own = duties[node.name]
-                own.members([x.name for x in node.core.members.values() if x.state == m.State.ALIVE])
+                own.members([x.name for x in node.core.members.values() if x.state == m.MemberState.ALIVE])
                 own.follow(cold)
                 probes.extend((f.clock.now, uid, node.name) for uid in own.due(f.clock.now))
         f.clock.after(100_000, look)
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -9,6 +9,7 @@
 
 from kestrelbend.benchlink import codec as simulator
 from kestrelbend.membership import messages as gossip
+from kestrelbend.membership.codec import Codec
 from kestrelbend.shares import messages as shares
 from tests.recorded import load, plain, value
 
@@ -19,14 +20,14 @@
 
 def gossip_message(values):
     """A message of gateways with the recorded values, nested ones included."""
-    *first, rumours, notes, sums, address, lease = values
-    return gossip.Message(
+    *first, updates, results, sums, address, lease = values
+    return gossip.GossipMessage(
         *first,
-        [gossip.Rumour(*map(value, rumour)) for rumour in rumours],
-        [gossip.Note(*map(value, note)) for note in notes],
+        [gossip.MembershipUpdate(*map(value, update)) for update in updates],
+        [gossip.SharedResult(*map(value, result)) for result in results],
         sums,
         value(address),
-        None if lease is None else gossip.Lease(*lease),
+        None if lease is None else gossip.LeaseMessage(*lease),
     )
 
 
@@ -37,13 +38,13 @@
     keys = {int(number): bytes.fromhex(key) for number, key in GOSSIP["keys"].items()}
     datagram = bytes.fromhex(recorded["bytes"])
     expected = gossip_message(recorded["values"])
-    assert gossip.Codec(keys).decode(datagram) == expected
+    assert Codec(keys).decode(datagram) == expected
     writers_keys = {number: key for number, key in keys.items() if number <= recorded["key"]}
-    assert gossip.Codec(writers_keys).encode(expected) == datagram
+    assert Codec(writers_keys).encode(expected) == datagram
 
 
 def test_every_kind_of_gossip_is_recorded():
-    assert {item["values"][0] for item in GOSSIP["messages"]} == {int(kind) for kind in gossip.Kind}
+    assert {item["values"][0] for item in GOSSIP["messages"]} == {int(kind) for kind in gossip.MessageKind}
 
 
 def told(read):
