--- a/kestrelbend/command/verb.py
+++ b/kestrelbend/command/verb.py
@@ -67,7 +67,7 @@
 
     def guard_taken_out(self) -> AbstractContextManager[None]:
         """Without the guard that `--without` names, for as long as the context lasts; else as it is."""
-        from kestrelbend.tier.fleet import removals  # noqa: F401  (fills the registry)
+        from kestrelbend.tier.fleet import mutations  # noqa: F401  (fills the registry)
         from kestrelbend.tier.fleet.guards import UnknownGuard, find, without
 
         name = self.option("without")
--- a/kestrelbend/tier/fleet/contact.py
+++ b/kestrelbend/tier/fleet/contact.py
@@ -1,4 +1,4 @@
-"""Which machines are in touch, as the rules count it: untroubled, with a stable core, for `ContactMs`."""
+"""Which machines are in touch, as the rules count it: no fault, and a stable core, for `ContactMs`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Contact:
-    """Notes troubles on machines; those on machines with a disk make the core unstable."""
+    """Notes faults on machines; those on machines with a disk make the core unstable."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
@@ -28,7 +28,7 @@
         self._last[machine] = self._now()
 
     def begin(self, machine: str) -> None:
-        """A trouble begins that lasts."""
+        """A fault begins that lasts."""
         self._under_way[machine] = self._under_way.get(machine, 0) + 1
         self.touched(machine)
 
@@ -43,7 +43,7 @@
         self._under_way.pop(machine, None)
 
     def core_quiet_since(self) -> float:
-        """When the last trouble of the core was over; infinite while there is one."""
+        """When the last fault of the core was over; infinite while there is one."""
         if any(self._under_way.get(machine) for machine in self._core):
             return float("inf")
         return max((self._last[machine] for machine in self._core), default=NEVER)
--- a/kestrelbend/tier/fleet/day.py
+++ b/kestrelbend/tier/fleet/day.py
@@ -1,6 +1,6 @@
-"""A day of mixed troubles, drawn by a seed; played, and shrunk where it breaks a rule.
+"""A day of mixed faults, drawn by a seed; played, and shrunk where it breaks a rule.
 
-A day is told by one line, `seed:places/kinds`: the seed, the places of the troubles that are left of it, and
+A day is told by one line, `seed:places/kinds`: the seed, the places of the faults that are left of it, and
 the kinds that it was drawn from (none: all).
 """
 
@@ -12,18 +12,18 @@
 import attrs
 
 from .fleet import Size
-from .troubles import KINDS, acknowledged, start_all
+from .faults import KINDS, acknowledged, start_all
 from .world import World, play
 
-LENGTH_S = 5.0  # troubles begin within this
-LEAST_APART_S = 4.5  # CatchupS and a little, between troubles of machines that count
-MOST_TROUBLES = 3
+LENGTH_S = 5.0  # faults begin within this
+LEAST_APART_S = 4.5  # CatchupS and a little, between faults of machines that count
+MAX_FAULTS = 3
 CLOSINGS = ("none", "none", "power_off_all", "kill_all", "wipe_after_ack")
 
 
 @attrs.frozen
-class Trouble:
-    """One trouble of a day; `place` is where it stands in the seed's whole list."""
+class Fault:
+    """One fault of a day; `place` is where it stands in the seed's whole list."""
 
     place: int
     at: float
@@ -32,23 +32,23 @@
 
 @attrs.frozen
 class Day:
-    """A seed's troubles, or those that are left of them."""
+    """A seed's faults, or those that are left of them."""
 
     seed: int
-    troubles: tuple[Trouble, ...]
+    faults: tuple[Fault, ...]
     closing: str
     kinds: tuple[str, ...] = ()  # that it was drawn from; none: all
 
     @classmethod
     def draw(cls, seed: int, kinds: tuple[str, ...] = ()) -> Day:
-        """The whole day of a seed, out of all kinds of trouble or some."""
+        """The whole day of a seed, out of all kinds of fault or some."""
         rng = random.Random(f"day {seed}")
         names = sorted(kinds or KINDS)
-        drawn = [rng.choice(names) for _ in range(rng.randint(1, MOST_TROUBLES))]
+        drawn = [rng.choice(names) for _ in range(rng.randint(1, MAX_FAULTS))]
         times = sorted(rng.uniform(0.0, LENGTH_S) for _ in drawn)
         pairs = enumerate(zip(times, drawn, strict=True))
-        troubles = tuple(Trouble(place, at, kind) for place, (at, kind) in pairs)
-        return cls(seed, troubles, rng.choice(CLOSINGS), tuple(kinds))
+        faults = tuple(Fault(place, at, kind) for place, (at, kind) in pairs)
+        return cls(seed, faults, rng.choice(CLOSINGS), tuple(kinds))
 
     @classmethod
     def read(cls, line: str) -> Day:
@@ -59,19 +59,19 @@
         if not places:
             return whole
         kept = places.split(",")
-        troubles = tuple(trouble for trouble in whole.troubles if str(trouble.place) in kept)
+        faults = tuple(fault for fault in whole.faults if str(fault.place) in kept)
         closing = whole.closing if "end" in kept else "none"
-        return attrs.evolve(whole, troubles=troubles, closing=closing)
+        return attrs.evolve(whole, faults=faults, closing=closing)
 
     def __str__(self) -> str:
-        places = [str(trouble.place) for trouble in self.troubles]
+        places = [str(fault.place) for fault in self.faults]
         places += ["end"] if self.closing != "none" else [] if places else ["none"]
         names = f"/{','.join(self.kinds)}" if self.kinds else ""
         return f"{self.seed}:{','.join(places)}{names}"
 
     def tell(self) -> str:
-        """The troubles in words."""
-        told = [f"{trouble.kind} at {trouble.at:.1f}" for trouble in self.troubles]
+        """The faults in words."""
+        told = [f"{fault.kind} at {fault.at:.1f}" for fault in self.faults]
         return "; ".join([*told, f"closing {self.closing}"])
 
 
@@ -87,7 +87,7 @@
 
 
 class _Player:
-    """Plays the troubles of a day, those of machines that count one after the other."""
+    """Plays the faults of a day, those of machines that count one after the other."""
 
     def __init__(self, world: World, day: Day) -> None:
         self._world = world
@@ -97,15 +97,15 @@
 
     async def play(self) -> None:
         began = self._world.fleet.now()
-        running = [asyncio.create_task(self._play_one(trouble, began)) for trouble in self._day.troubles]
+        running = [asyncio.create_task(self._play_one(fault, began)) for fault in self._day.faults]
         running.append(asyncio.create_task(asyncio.sleep(1.0)))
         await asyncio.gather(*running)
         await self._close(random.Random(f"closing {self._day.seed}"))
 
-    async def _play_one(self, trouble: Trouble, began: float) -> None:
-        kind = KINDS[trouble.kind]
-        rng = random.Random(f"trouble {self._day.seed} {trouble.place}")
-        await asyncio.sleep(began + trouble.at - self._world.fleet.now())
+    async def _play_one(self, fault: Fault, began: float) -> None:
+        kind = KINDS[fault.kind]
+        rng = random.Random(f"trouble {self._day.seed} {fault.place}")
+        await asyncio.sleep(began + fault.at - self._world.fleet.now())
         if not kind.counted:
             await self._run(kind, rng)
             return
@@ -156,7 +156,7 @@
 
 
 def shrink(day: Day) -> Day:
-    """Leaves troubles out for as long as the day still breaks a rule."""
+    """Leaves faults out for as long as the day still breaks a rule."""
     smaller = True
     while smaller:
         smaller = False
@@ -171,7 +171,7 @@
     days = []
     if day.closing != "none":
         days.append(attrs.evolve(day, closing="none"))
-    for left_out in day.troubles:
-        kept = tuple(trouble for trouble in day.troubles if trouble is not left_out)
-        days.append(attrs.evolve(day, troubles=kept))
+    for left_out in day.faults:
+        kept = tuple(fault for fault in day.faults if fault is not left_out)
+        days.append(attrs.evolve(day, faults=kept))
     return days
--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -109,7 +109,7 @@
             file.lasts = True
         self._lasting = kept
 
-    # Troubles
+    # Faults
 
     def lose_power(self) -> None:
         """Keeps what lasts, and of everything else any part, or nothing at all."""
--- a/kestrelbend/tier/fleet/troubles/__init__.py
+++ b/kestrelbend/tier/fleet/faults/__init__.py
@@ -1,7 +1,7 @@
-"""The troubles of a day: what each does to the world, and how it ends.
+"""The faults of a day: what each does to the world, and how it ends.
 
-Each is drawn by its own generator, so that leaving others out changes nothing about it.  A trouble of
-machines whose loss is counted keeps to what `Tolerate` allows; `day.py` keeps such troubles apart in time.
+Each is drawn by its own generator, so that leaving others out changes nothing about it.  A fault of
+machines whose loss is counted keeps to what `Tolerate` allows; `day.py` keeps such faults apart in time.
 """
 
 from . import backends, disks, machines, network, orders, pairs
--- a/kestrelbend/tier/fleet/troubles/disks.py
+++ b/kestrelbend/tier/fleet/faults/disks.py
@@ -6,11 +6,11 @@
 import random
 
 from ..world import World
-from .kinds import trouble
+from .kinds import fault
 from .picking import acknowledged, pick_counted, start_all, taken
 
 
-@trouble("after_ack_wipe", counted=True)
+@fault("after_ack_wipe", counted=True)
 async def after_ack_wipe(world: World, rng: random.Random) -> None:
     """The machine that acknowledged a change, or another one, loses its disk right after it."""
     machine = await acknowledged(world)
@@ -21,7 +21,7 @@
     world.fleet.start(machine)
 
 
-@trouble("wipe_and_power", counted=True)
+@fault("wipe_and_power", counted=True)
 async def wipe_and_power(world: World, rng: random.Random) -> None:
     """A machine loses its disk while all others that count lose power."""
     machine = await (acknowledged(world) if rng.random() < 0.5 else taken(world, rng))
@@ -35,7 +35,7 @@
     await start_all(world, rng, [machine, *others], rng.uniform(0.5, 2.0))
 
 
-@trouble("disk_trouble", counted=True)
+@fault("disk_trouble", counted=True)
 async def disk_trouble(world: World, rng: random.Random) -> None:
     """A disk answers nothing, is slow, or takes no more bytes."""
     machine = pick_counted(world, rng)
--- a/kestrelbend/tier/fleet/troubles/kinds.py
+++ b/kestrelbend/tier/fleet/faults/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of trouble that a day may hold."""
+"""The kinds of fault that a day may hold."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 @attrs.frozen
-class Kind:
-    """One kind of trouble; `counted`: it takes a machine of those whose loss is counted."""
+class FaultKind:
+    """One kind of fault; `counted`: it takes a machine of those whose loss is counted."""
 
     name: str
     counted: bool
     play: Play
 
 
-KINDS: dict[str, Kind] = {}
+KINDS: dict[str, FaultKind] = {}
 
 
-def trouble(name: str, counted: bool) -> Callable[[Play], Play]:
+def fault(name: str, counted: bool) -> Callable[[Play], Play]:
     """Adds a kind."""
 
     def add(play: Play) -> Play:
-        KINDS[name] = Kind(name, counted, play)
+        KINDS[name] = FaultKind(name, counted, play)
         return play
 
     return add
--- a/kestrelbend/tier/fleet/troubles/machines.py
+++ b/kestrelbend/tier/fleet/faults/machines.py
@@ -8,13 +8,13 @@
 from ..fleet import GRACE_S, ZONES
 from ..machines import Machine
 from ..world import World
-from .kinds import trouble
+from .kinds import fault
 from .picking import acknowledged, owner_machine, pick_counted, plain_gateways, start_all, taken
 
 LONG_S = 9.0  # long enough for others to take the place of what is gone
 
 
-@trouble("kill", counted=True)
+@fault("kill", counted=True)
 async def kill(world: World, rng: random.Random) -> None:
     """SIGKILL to a machine's processes or one of them, and back after a while, a long one at times."""
     machine = pick_counted(world, rng)
@@ -23,7 +23,7 @@
     world.fleet.start(machine)
 
 
-@trouble("power", counted=True)
+@fault("power", counted=True)
 async def power(world: World, rng: random.Random) -> None:
     """No power for a while."""
     machine = pick_counted(world, rng)
@@ -32,7 +32,7 @@
     world.fleet.start(machine)
 
 
-@trouble("after_ack_kill", counted=True)
+@fault("after_ack_kill", counted=True)
 async def after_ack_kill(world: World, rng: random.Random) -> None:
     """The machine that acknowledged a change loses power right after it."""
     machine = await acknowledged(world)
@@ -44,7 +44,7 @@
     world.fleet.start(machine)
 
 
-@trouble("owner_killed_midway", counted=True)
+@fault("owner_killed_midway", counted=True)
 async def owner_killed_midway(world: World, rng: random.Random) -> None:
     """The owner goes down while a change is under way."""
     machine = owner_machine(world) or pick_counted(world, rng)
@@ -56,7 +56,7 @@
     await change
 
 
-@trouble("store_taken_power", counted=True)
+@fault("store_taken_power", counted=True)
 async def store_taken_power(world: World, rng: random.Random) -> None:
     """A store loses power, or its disk, right after a reservation."""
     machine = await taken(world, rng)
@@ -70,7 +70,7 @@
     world.fleet.start(machine)
 
 
-@trouble("herd_kill", counted=True)
+@fault("herd_kill", counted=True)
 async def herd_kill(world: World, rng: random.Random) -> None:
     """All processes of the core, or of all machines, are killed or without power at once."""
     machines = rng.choice((world.fleet.core(), world.fleet.counted(), list(world.fleet.machines.values())))
@@ -81,7 +81,7 @@
     await start_all(world, rng, machines, rng.uniform(0.2, 1.0))
 
 
-@trouble("freeze", counted=True)
+@fault("freeze", counted=True)
 async def freeze(world: World, rng: random.Random) -> None:
     """A machine stands still and goes on."""
     machine = pick_counted(world, rng)
@@ -90,7 +90,7 @@
     world.fleet.thaw(machine)
 
 
-@trouble("replace_core", counted=True)
+@fault("replace_core", counted=True)
 async def replace_core(world: World, rng: random.Random) -> None:
     """A machine is replaced by an empty one at another address, planned or not."""
     old = pick_counted(world, rng)
@@ -106,13 +106,13 @@
         await asyncio.sleep(GRACE_S)
 
 
-@trouble("add_store", counted=True)
+@fault("add_store", counted=True)
 async def add_store(world: World, rng: random.Random) -> None:
     """A storage machine comes."""
     world.fleet.add_machine("storage", rng.choice(ZONES), True, ("store",))
 
 
-@trouble("core_term", counted=True)
+@fault("core_term", counted=True)
 async def core_term(world: World, rng: random.Random) -> None:
     """SIGTERM to a machine that counts, which starts again."""
     await restart(world, pick_counted(world, rng))
@@ -129,7 +129,7 @@
     world.fleet.start(machine)
 
 
-@trouble("clock_step", counted=True)
+@fault("clock_step", counted=True)
 async def clock_step(world: World, rng: random.Random) -> None:
     """The time of day jumps on some machines and back later; processes may start meanwhile."""
     step = rng.choice((-1, 1)) * rng.uniform(1.0, 3.0)
@@ -146,7 +146,7 @@
         world.fleet.step_clock(machine, -step)
 
 
-@trouble("gateway_kill", counted=False)
+@fault("gateway_kill", counted=False)
 async def gateway_kill(world: World, rng: random.Random) -> None:
     """Gateways without a disk are killed, lose power, or stand still."""
     machines = [machine for machine in plain_gateways(world) if rng.random() < 0.6]
@@ -161,14 +161,14 @@
         (world.fleet.thaw if how == "freeze" else world.fleet.start)(machine)
 
 
-@trouble("gateway_term", counted=False)
+@fault("gateway_term", counted=False)
 async def gateway_term(world: World, rng: random.Random) -> None:
     """Gateways without a disk are restarted in turn."""
     for machine in plain_gateways(world):
         await restart(world, machine)
 
 
-@trouble("add_gateway", counted=False)
+@fault("add_gateway", counted=False)
 async def add_gateway(world: World, rng: random.Random) -> None:
     """A front machine without a disk comes."""
     world.fleet.add_machine("front", rng.choice(ZONES), False, ("gateway",))
--- a/kestrelbend/tier/fleet/troubles/network.py
+++ b/kestrelbend/tier/fleet/faults/network.py
@@ -8,11 +8,11 @@
 from ..fleet import ZONES
 from ..machines import Machine
 from ..world import World
-from .kinds import trouble
+from .kinds import fault
 from .picking import owner_machine, pick_counted, plain_gateways
 
 
-@trouble("core_cut", counted=True)
+@fault("core_cut", counted=True)
 async def core_cut(world: World, rng: random.Random) -> None:
     """A machine is cut off from the others that count, one way or both; orders race meanwhile."""
     machine = pick_counted(world, rng)
@@ -28,7 +28,7 @@
         world.fleet.join(machine, others)
 
 
-@trouble("seed_turnover", counted=True)
+@fault("seed_turnover", counted=True)
 async def seed_turnover(world: World, rng: random.Random) -> None:
     """New seeds that begin with a machine that is cut off, and a restart under them."""
     machine = rng.choice(world.fleet.core())
@@ -46,7 +46,7 @@
     world.fleet.join(machine, others)
 
 
-@trouble("gateway_cut", counted=False)
+@fault("gateway_cut", counted=False)
 async def gateway_cut(world: World, rng: random.Random) -> None:
     """A gateway without a disk is cut off from the machines that count."""
     machine = rng.choice(plain_gateways(world))
@@ -56,7 +56,7 @@
     world.fleet.join(machine, others)
 
 
-@trouble("reset_conns", counted=False)
+@fault("reset_conns", counted=False)
 async def reset_conns(world: World, rng: random.Random) -> None:
     """Connections are reset."""
     for machine in list(world.fleet.machines.values()):
@@ -67,7 +67,7 @@
 LONG_CUT_S = (18.0, 22.0)
 
 
-@trouble("long_cut", counted=True)
+@fault("long_cut", counted=True)
 async def long_cut(world: World, rng: random.Random) -> None:
     """A control machine is cut off for about 20 s, either way or both; others begin and change beside it."""
     machine = (owner_machine(world) if rng.random() < 0.5 else None) or rng.choice(world.fleet.core())
--- a/kestrelbend/tier/fleet/troubles/orders.py
+++ b/kestrelbend/tier/fleet/faults/orders.py
@@ -7,14 +7,14 @@
 
 from ..fleet import ZONES
 from ..world import World
-from .kinds import trouble
+from .kinds import fault
 from .picking import owner_machine
 
 RETIRE_S = 20.0
 ABSENT_CHANGES = 30
 
 
-@trouble("retire", counted=True)
+@fault("retire", counted=True)
 async def retire(world: World, rng: random.Random) -> None:
     """A storage machine is emptied and taken away; right after, another one may lose its disk."""
     if len(world.fleet.stores()) < 4:
@@ -31,7 +31,7 @@
         world.fleet.start(other)
 
 
-@trouble("config_change", counted=False)
+@fault("config_change", counted=False)
 async def config_change(world: World, rng: random.Random) -> None:
     """Some changes, one after the other; the last one goes out again."""
     order = None
@@ -42,7 +42,7 @@
         await world.operator.send(order)
 
 
-@trouble("config_race", counted=False)
+@fault("config_race", counted=False)
 async def config_race(world: World, rng: random.Random) -> None:
     """Pairs of changes on the same version."""
     for _ in range(rng.randint(1, 3)):
@@ -50,14 +50,14 @@
         await asyncio.sleep(rng.uniform(0.0, 0.5))
 
 
-@trouble("bad_config", counted=False)
+@fault("bad_config", counted=False)
 async def bad_config(world: World, rng: random.Random) -> None:
     """Invalid configurations."""
     for _ in range(rng.randint(1, 3)):
         await world.operator.send(world.operator.invalid())
 
 
-@trouble("ack_lost", counted=False)
+@fault("ack_lost", counted=False)
 async def ack_lost(world: World, rng: random.Random) -> None:
     """Acknowledgements are lost on their way, and the same orders sent again."""
     world.operator.lost_acknowledgements = 0.7
@@ -67,7 +67,7 @@
     world.operator.lost_acknowledgements = 0.0
 
 
-@trouble("lost_answers", counted=True)
+@fault("lost_answers", counted=True)
 async def lost_answers(world: World, rng: random.Random) -> None:
     """Two operators race under one number, at every control node, with lost answers and a change of owner."""
     world.operator.lost_acknowledgements = 0.5
@@ -86,7 +86,7 @@
             await world.operator.send(order)
 
 
-@trouble("absent", counted=True)
+@fault("absent", counted=True)
 async def absent(world: World, rng: random.Random) -> None:
     """A control machine is away for many changes, and killed again at some moment of its catching up."""
     machine = rng.choice(world.fleet.core())
--- a/kestrelbend/tier/fleet/troubles/pairs.py
+++ b/kestrelbend/tier/fleet/faults/pairs.py
@@ -8,7 +8,7 @@
 from ..watch import CATCH_UP_S
 from ..world import World
 from .disks import after_ack_wipe
-from .kinds import Play, trouble
+from .kinds import Play, fault
 from .machines import core_term, kill, replace_core
 from .orders import retire
 
@@ -16,7 +16,7 @@
 MATTERS = (kill, after_ack_wipe, replace_core, retire, core_term)
 
 
-@trouble("pair", counted=True)
+@fault("pair", counted=True)
 async def pair(world: World, rng: random.Random) -> None:
     """Any two of loss, repair, replacement, retirement and restart, `CatchupS` apart."""
     first, second = rng.choice(MATTERS), rng.choice(MATTERS)
@@ -26,7 +26,7 @@
     await _play(world, rng, second)
 
 
-@trouble("retire_beside_loss", counted=True)
+@fault("retire_beside_loss", counted=True)
 async def retire_beside_loss(world: World, rng: random.Random) -> None:
     """A store is emptied while another machine is lost or restarted."""
     retiring = asyncio.create_task(retire(world, rng))
--- a/kestrelbend/tier/fleet/troubles/picking.py
+++ b/kestrelbend/tier/fleet/faults/picking.py
@@ -1,4 +1,4 @@
-"""Which machine a trouble takes, and the moments at which it strikes."""
+"""Which machine a fault takes, and the moments at which it strikes."""
 
 from __future__ import annotations
 
--- a/kestrelbend/tier/fleet/fleet.py
+++ b/kestrelbend/tier/fleet/fleet.py
@@ -1,6 +1,6 @@
 """The world: machines, network, callers from outside, and what has been noted of them.
 
-Troubles are methods here, so that `Contact` knows of each of them.
+Faults are methods here, so that `Contact` knows of each of them.
 """
 
 from __future__ import annotations
@@ -152,7 +152,7 @@
         if error is not None:
             self.broken(f"unhandled: {context['message']}: {error!r}")
 
-    # Beginning, and troubles
+    # Beginning, and faults
 
     def start_all(self, order=None) -> None:
         """The first start, within 0.3 s, in any order."""
--- a/kestrelbend/tier/fleet/guards.py
+++ b/kestrelbend/tier/fleet/guards.py
@@ -1,9 +1,9 @@
 """Guards of the tier: in the laboratory one of them is taken out, and a search must notice.
 
-A guard is a check without which a promise fails.  Its removal puts another function in the place of the one
+A guard is a check without which a promise fails.  Its mutation puts another function in the place of the one
 that keeps it, for as long as `without` lasts; the code that serves knows nothing of this.
 
-Invariant: a removal whose function is gone is an error, never a silent nothing.
+Invariant: a mutation whose function is gone is an error, never a silent nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import attrs
 
 PACKAGE = "kestrelbend."
-REMOVALS = f"{__package__}.removals"  # these may call what they take the place of
+MUTATIONS = f"{__package__}.mutations"  # these may call what they take the place of
 
 
 class UnknownGuard(Exception):
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class Guard:
-    """`target` is `module:Name.name` below `kestrelbend.tier`; `removal` takes the place of what is there."""
+    """`target` is `module:Name.name` below `kestrelbend.tier`; `mutation` takes its place."""
 
     name: str
     target: str
     excludes: str  # what can go wrong without it
-    removal: Any
+    mutation: Any
 
 
 @attrs.frozen
@@ -47,11 +47,11 @@
 
 
 def guard(name: str, target: str, excludes: str) -> Callable[[Any], Any]:
-    """Adds the decorated function (or property) as the removal of a guard."""
+    """Adds the decorated function (or property) as the mutation of a guard."""
 
-    def add(removal: Any) -> Any:
-        GUARDS[name] = Guard(name, target, excludes, removal)
-        return removal
+    def add(mutation: Any) -> Any:
+        GUARDS[name] = Guard(name, target, excludes, mutation)
+        return mutation
 
     return add
 
@@ -84,7 +84,7 @@
     places = [place, *_imported(place)]
     try:
         for one in places:
-            setattr(one.holder, one.attribute, removed.removal)
+            setattr(one.holder, one.attribute, removed.mutation)
         yield
     finally:
         for one in places:
@@ -92,7 +92,7 @@
 
 
 def _imported(place: _Place) -> list[_Place]:
-    """Other modules that hold the same function under any name, but for the removals themselves."""
+    """Other modules that hold the same function under any name, but for the mutations themselves."""
     found = []
     for name, module in list(sys.modules.items()):
         if _may_be_patched(name) and module is not place.holder:
@@ -102,4 +102,4 @@
 
 
 def _may_be_patched(module_name: str) -> bool:
-    return module_name.startswith(PACKAGE) and not module_name.startswith(REMOVALS)
+    return module_name.startswith(PACKAGE) and not module_name.startswith(MUTATIONS)
--- a/kestrelbend/tier/fleet/removals/__init__.py
+++ b/kestrelbend/tier/fleet/mutations/__init__.py
@@ -1,4 +1,4 @@
-"""The removal of each guard.  A removal does what the code would do if the guard had been forgotten.
+"""The mutation of each guard.  A mutation does what the code would do if the guard had been forgotten.
 
 Invariant: whoever imports this package has all of them in the registry.
 """
--- a/kestrelbend/tier/fleet/removals/contact.py
+++ b/kestrelbend/tier/fleet/mutations/contact.py
@@ -1,4 +1,4 @@
-"""Removals at contact, reads and orders."""
+"""Mutations at contact, reads and orders."""
 
 from __future__ import annotations
 
--- a/kestrelbend/tier/fleet/removals/dataplane.py
+++ b/kestrelbend/tier/fleet/mutations/dataplane.py
@@ -1,4 +1,4 @@
-"""Removals at the data plane."""
+"""Mutations at the data plane."""
 
 from __future__ import annotations
 
--- a/kestrelbend/tier/fleet/removals/gateways.py
+++ b/kestrelbend/tier/fleet/mutations/gateways.py
@@ -1,4 +1,4 @@
-"""Removals at gateways, budgets and replies between processes."""
+"""Mutations at gateways, budgets and replies between processes."""
 
 from __future__ import annotations
 
--- a/kestrelbend/tier/fleet/removals/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -1,4 +1,4 @@
-"""Removals at groups, placements and the emptying of stores."""
+"""Mutations at groups, placements and the emptying of stores."""
 
 from __future__ import annotations
 
--- a/kestrelbend/tier/fleet/removals/log.py
+++ b/kestrelbend/tier/fleet/mutations/log.py
@@ -1,4 +1,4 @@
-"""Removals at elections, the log and what a follower is sent."""
+"""Mutations at elections, the log and what a follower is sent."""
 
 from __future__ import annotations
 
--- a/tests/tier/fleet_story.py
+++ b/tests/tier/fleet_story.py
@@ -5,7 +5,7 @@
 import logbook
 import testtools
 
-from kestrelbend.tier.fleet.troubles import KINDS
+from kestrelbend.tier.fleet.faults import KINDS
 from kestrelbend.tier.fleet.world import play
 
 
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -10,7 +10,7 @@
 from kestrelbend.tier.fleet.fleet import GRACE_S, Size
 from kestrelbend.tier.fleet.http import Reply
 from kestrelbend.tier.fleet.loop import run
-from kestrelbend.tier.fleet.troubles import owner_machine
+from kestrelbend.tier.fleet.faults import owner_machine
 from kestrelbend.tier.fleet.world import World
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD, budget_shards
 from tests.tier.fleet_story import FleetStory
--- a/tests/tier/test_fleet_stories.py
+++ b/tests/tier/test_fleet_stories.py
@@ -7,7 +7,7 @@
 
 
 from kestrelbend.tier.fleet.fleet import Size
-from kestrelbend.tier.fleet.troubles import KINDS, owner_machine, pick_counted, start_all
+from kestrelbend.tier.fleet.faults import KINDS, owner_machine, pick_counted, start_all
 from tests.tier.fleet_story import FleetStory
 
 
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -12,7 +12,7 @@
 
 from kestrelbend.tier.budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.budgets.shards import shard_of
-from kestrelbend.tier.fleet.troubles import owner_machine
+from kestrelbend.tier.fleet.faults import owner_machine
 from kestrelbend.tier.membership.directory import DirectoryView
 from kestrelbend.tier.membership.messages import Directory, ShardReport
 from kestrelbend.tier.membership.placement import BUDGET_SHARDS
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -11,7 +11,7 @@
 
 from kestrelbend.tier.budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.fleet.fleet import Size
-from kestrelbend.tier.fleet.troubles import owner_machine
+from kestrelbend.tier.fleet.faults import owner_machine
 from tests.tier.fleet_story import FleetStory
 
 CUT_S = 20.0
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -20,10 +20,10 @@
 from kestrelbend.tier.configuration.shard_service import NOT_OWNER
 from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.control.retirement import HEARD_ALL_S, NOT_FOUND, Retirement
-from kestrelbend.tier.fleet import removals  # noqa: F401  (fills the registry)
+from kestrelbend.tier.fleet import mutations  # noqa: F401  (fills the registry)
 from kestrelbend.tier.fleet.day import Day, play_day
 from kestrelbend.tier.fleet.guards import GUARDS, UnknownGuard, find, locate, without
-from kestrelbend.tier.fleet.removals import groups
+from kestrelbend.tier.fleet.mutations import groups
 from kestrelbend.tier.membership import placement
 from kestrelbend.tier.membership.messages import ConfigAck, Hello
 from kestrelbend.tier.membership.table import MemberTable
@@ -179,8 +179,8 @@
     def test_a_removal_takes_what_the_function_takes(self):
         for guard in GUARDS.values():
             present = locate(guard.target).present
-            self.assertEqual(isinstance(present, property), isinstance(guard.removal, property), guard.name)
-            self.assertIn(parameter_count(guard.removal), (None, parameter_count(present)), guard.name)
+            self.assertEqual(isinstance(present, property), isinstance(guard.mutation, property), guard.name)
+            self.assertIn(parameter_count(guard.mutation), (None, parameter_count(present)), guard.name)
 
     def test_a_removal_may_call_the_function_that_it_takes_the_place_of(self):
         place = locate(find("emptied-identity").target)
@@ -248,7 +248,7 @@
 def is_of_the_removal(problem):
     """Whether the removal itself broke: that would show nothing of the guard."""
     frames = [line for line in problem.splitlines() if line.lstrip().startswith('File "')]
-    return "RecursionError" in problem or "fleet/removals/" in frames[-1]
+    return "RecursionError" in problem or "fleet/mutations/" in frames[-1]
 
 
 def parameter_count(function):
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -18,7 +18,7 @@
 )
 from kestrelbend.tier.fleet.http import Reply
 from kestrelbend.tier.fleet.operator import BASE_VERSION
-from kestrelbend.tier.fleet.troubles import owner_machine
+from kestrelbend.tier.fleet.faults import owner_machine
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD
 from kestrelbend.tier.protocol.codec import decode
 from tests.tier.test_configuration_state import put
--- a/tests/tier/test_standing.py
+++ b/tests/tier/test_standing.py
@@ -9,7 +9,7 @@
 
 from kestrelbend.tier.fleet.http import Reply
 from kestrelbend.tier.fleet.operator import BASE_VERSION
-from kestrelbend.tier.fleet.troubles import owner_machine
+from kestrelbend.tier.fleet.faults import owner_machine
 from kestrelbend.tier.membership.owner_contact import CONTACT_S, in_contact, is_current
 from tests.tier.fleet_story import FleetStory
 
