--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -20,7 +20,7 @@
 
 
 class Promises:
-    """What must hold whatever fails: one owner in an epoch, one history, nothing acknowledged is lost."""
+    """What must hold whatever fails: one leader in a term, one history, nothing acknowledged is lost."""
 
     def __init__(self, founders):
         self.history = []
@@ -28,14 +28,14 @@
         self.group = founders
         self._leaders = {}
 
-    def owns(self, replica):
+    def becomes_leader(self, replica):
         leader = self._leaders.setdefault(replica.term, replica.identity)
-        assert leader == replica.identity, f"two owners of epoch {replica.term}"
+        assert leader == replica.identity, f"two leaders of term {replica.term}"
         held = replica.durable_record()
         entries = {entry.index: entry for entry in held.entries}
         for entry, term in zip(self.history, self.committed_in, strict=True):
             if held.snapshot.index < entry.index and term < replica.term:
-                assert entries.get(entry.index) == entry, f"the owner lacks committed {entry}"
+                assert entries.get(entry.index) == entry, f"the leader lacks committed {entry}"
 
     def applied(self, entry, term):
         if entry.index <= len(self.history):
@@ -178,7 +178,7 @@
     def stall_disk(self, name):
         self.nodes[name].stalled = True
 
-    def mend_disk(self, name):
+    def resume_disk(self, name):
         node = self.nodes[name]
         node.stalled = False
         for ticket, _ in node.unsynced:
@@ -191,13 +191,13 @@
         for other in self.nodes:
             self.links.cut |= {(name, other), (other, name)}
 
-    def join(self):
+    def heal(self):
         self.links.cut.clear()
 
     # What is asked of replicas
 
     def leader(self):
-        """The owner that is in touch with a majority, if there is one."""
+        """The leader that is in contact with a majority, if there is one."""
         leaders = [node for node in self.nodes.values() if node.up and node.replica.is_leader]
         leaders = [node for node in leaders if node.replica.in_touch(self.now)]
         return max(leaders, key=lambda node: node.replica.term, default=None)
@@ -222,21 +222,21 @@
         node.replica.transfer(self.now)
         self._work(node)
 
-    def aim(self, names, number=0):
-        """Tells every replica the voters wished for by the placement `number`."""
+    def set_target(self, names, number=0):
+        """Sets at every replica the target group of the placement `number`."""
         target = tuple(self.nodes[name].identity for name in names)
         for node in self.nodes.values():
             if node.up:
                 node.replica.set_target(target, number)
                 self._work(node)
 
-    def aims(self, node, names, **rest):
-        """Tells one replica the voters wished for."""
+    def set_target_at(self, node, names, **rest):
+        """Sets the target group at one replica."""
         node.replica.set_target(tuple(self.nodes[name].identity for name in names), **rest)
         self._work(node)
 
     def group_is(self, names):
-        """Whether an owner has exactly these voters, all of it committed, and lives."""
+        """Whether a leader has exactly these voters, all of it committed, and lives."""
         leader = self.leader()
         wanted = {self.nodes[name].identity for name in names}
         return leader is not None and set(leader.replica.committed_voters) == wanted == set(
@@ -308,7 +308,7 @@
     def _work(self, node):
         effects = node.replica.drain_effects()
         if effects.leadership_changed and node.replica.is_leader:
-            self.promises.owns(node.replica)
+            self.promises.becomes_leader(node.replica)
         for ticket, record in effects.writes:
             node.unsynced.append((ticket, record))
             self._schedule(node.disk_delay, node, node.incarnation, "written", ticket)
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -1,4 +1,4 @@
-"""Stories of a replica's currency: only an owner confirmed after the question makes a follower current."""
+"""Stories of a replica's currency: only a leader confirmed after the question makes a follower current."""
 
 import attrs
 import testtools
@@ -48,7 +48,7 @@
 
 class LaggingReplicaStories(testtools.TestCase):
     def given_a_replica_far_behind(self):
-        """Its log ends at entry 5; the owner's heartbeat of entry 400 comes, and is refused."""
+        """Its log ends at entry 5; the leader's heartbeat of entry 400 comes, and is refused."""
         entries = [Entry(index, 1, 0, b"") for index in range(1, 6)]
         self.replica = Replica(
             shard=SHARD,
@@ -155,7 +155,7 @@
         self.assertEqual((False, False), standing(cluster, "c"))
         cluster.propose(b"second")
         cluster.run(20.0)
-        cluster.join()
+        cluster.heal()
         while not standing(cluster, "c")[1]:
             self.assertTrue(cluster.now < 30.0)
             cluster.run(TICK)
@@ -251,7 +251,7 @@
         if chance < 0.01 and node.up and sum(other.up for other in cluster.nodes.values()) == 3:
             cluster.random.choice((cluster.lose_power, cluster.freeze, cluster.isolate))(name)
         elif chance < 0.05:
-            cluster.join()
+            cluster.heal()
             cluster.links.delay = cluster.random.choice((0.001, 0.05, 0.2))
             cluster.links.spread = cluster.random.choice((0.0, 0.3))
             cluster.links.double = 0.2
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -2,7 +2,7 @@
 
 A run's script is: the first replica campaigns, then two commands are proposed.  Messages and finished
 writes wait in one queue.  At every step a fault may come instead: the head message is lost, doubled or
-put last, a replica loses power (its unsynced writes lost, or kept), or its patience with the owner
+put last, a replica loses power (its unsynced writes lost, or kept), or its election timeout
 ends.  States reached twice are searched once.  At the end of each run, calm must bring a further
 command through.
 
@@ -22,8 +22,8 @@
 COMMANDS = (b"first", b"second")
 FAULTS = 1
 CALM_TICKS = 100  # 2 s
-PATIENCE_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
-MEANWHILE_S = 0.31  # that passes for the others: voters let go of the owner, the owner itself doesn't
+TIME_OUT_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
+OTHERS_TIME_OUT_S = 0.31  # that passes for the others: voters let go of the leader, the leader itself doesn't
 
 
 class World:
@@ -115,7 +115,7 @@
 
     def lose_patience(self, name):
         for other in NAMES:
-            spans = (PATIENCE_S, PATIENCE_S) if other == name else (MEANWHILE_S,)
+            spans = (TIME_OUT_S, TIME_OUT_S) if other == name else (OTHERS_TIME_OUT_S,)
             for span in spans:
                 self.clocks[other] += span
                 self.replicas[other].tick(self.clocks[other])
@@ -138,7 +138,7 @@
         replica = self.replicas[name]
         effects = replica.drain_effects()
         if effects.leadership_changed and replica.is_leader:
-            self.promises.owns(replica)
+            self.promises.becomes_leader(replica)
         for write in effects.writes:
             self.unsynced[name].append(write)
             self.queue.append(("written", name, self.incarnations[name], None))
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -1,4 +1,4 @@
-"""What a replica's log and its disk's records promise, and when an owner may count an entry."""
+"""What a replica's log and its disk's records promise, and when a leader may count an entry."""
 
 import attrs
 import testtools
@@ -133,7 +133,7 @@
 
 class CommitRule(testtools.TestCase):
     def candidate(self):
-        """A candidate for epoch 3 whose log ends with an uncommitted entry of epoch 2."""
+        """A candidate for term 3 whose log ends with an uncommitted entry of term 2."""
         replica = voter(term=2, voted_for="a", entries=[entry(1, 1), entry(2, 2)])
         replica.tick(0.3)
         replica.tick(0.6)
--- a/tests/tier/test_replication_placement.py
+++ b/tests/tier/test_replication_placement.py
@@ -17,7 +17,7 @@
 
 
 class PlacementStory(testtools.TestCase):
-    """A cluster with an owner and some commands."""
+    """A cluster with a leader and some commands."""
 
     def given(self, names="abc", others="", **rest):
         cluster = Cluster(names, others, **rest)
@@ -40,9 +40,9 @@
     def moved(self):
         """A group that was moved from `abc` to `abd` by the second placement."""
         cluster = self.given(others="d")
-        cluster.aim("abc", number=1)
+        cluster.set_target("abc", number=1)
         cluster.run(0.5)
-        cluster.aim("abd", number=2)
+        cluster.set_target("abd", number=2)
         self.assertTrue(cluster.run_until(lambda: cluster.group_is("abd"), within=2.0))
         return cluster
 
@@ -52,17 +52,17 @@
         for name in "abd":
             cluster.start(name)
         cluster.run_until(lambda: cluster.leader() is not None, within=2.0)
-        cluster.aim("abc", number=1)
+        cluster.set_target("abc", number=1)
         cluster.run(3.0)
         self.assertTrue(cluster.group_is("abd"))
         self.assertEqual(2, cluster.leader().replica.committed_placement_number)
 
     def test_given_an_owner_that_knows_a_later_placement_when_an_old_one_comes_then_it_is_not_followed(self):
         cluster = self.moved()
-        cluster.aim("abc", number=1)
+        cluster.set_target("abc", number=1)
         cluster.run(2.0)
         self.assertTrue(cluster.group_is("abd"))
-        cluster.aim("abc", number=3)
+        cluster.set_target("abc", number=3)
         self.assertTrue(cluster.run_until(lambda: cluster.group_is("abc"), within=2.0))
 
     def test_given_a_snapshot_and_no_entries_of_the_group_when_an_old_one_comes_then_the_group_stays(self):
@@ -77,25 +77,25 @@
         for name in "abd":
             cluster.start(name)
         cluster.run_until(lambda: cluster.leader() is not None, within=2.0)
-        cluster.aim("abc", number=1)
+        cluster.set_target("abc", number=1)
         cluster.run(3.0)
         self.assertTrue(cluster.group_is("abd"))
 
     def test_given_an_installed_snapshot_then_its_replica_holds_the_number_of_the_group(self):
         cluster = self.given(others="d")
-        cluster.aim("abc", number=4)
+        cluster.set_target("abc", number=4)
         for count in range(600):
             cluster.propose(b"%d" % count)
         cluster.run(1.0)
         for name in "abc":
             cluster.compact(name)
-        cluster.aim("abcd", number=5)
+        cluster.set_target("abcd", number=5)
         self.assertTrue(cluster.run_until(lambda: cluster.group_is("abcd"), within=2.0))
         self.assertEqual(5, cluster.nodes["d"].replica.placement_number)
 
     def test_given_a_placement_that_the_group_meets_already_then_its_number_is_noted_once(self):
         cluster = self.given()
-        cluster.aim("abc", number=1)
+        cluster.set_target("abc", number=1)
         cluster.run(2.0)
         groups = [entry for entry in cluster.promises.history if entry.kind == EntryKind.GROUP]
         self.assertEqual([1], [decode_placement_number(entry.data) for entry in groups])
@@ -105,10 +105,10 @@
         cluster = self.given(others="d")
         first = cluster.leader()
         cluster.isolate(first.name)
-        cluster.aims(first, "abd", term=first.replica.term)
+        cluster.set_target_at(first, "abd", term=first.replica.term)
         cluster.run(1.5)
         self.assertNotEqual(first, cluster.leader())
-        cluster.join()
+        cluster.heal()
         cluster.run(0.5)
         cluster.transfer()
         self.assertTrue(cluster.run_until(lambda: cluster.leader() is first, within=3.0))
@@ -128,7 +128,7 @@
         for lost in "bc":
             cluster = self.given(others="d")
             cluster.stall_disk("d")
-            cluster.aim("abd")
+            cluster.set_target("abd")
             cluster.run(1.0)
             cluster.lose_power(lost)
             self.write(cluster, b"with one lost")
@@ -137,7 +137,7 @@
         cluster = self.given("abcde", others="fg")
         cluster.lose_power("d", "e")
         cluster.lose_power("g")
-        cluster.aim("abcfg")
+        cluster.set_target("abcfg")
         cluster.run(CATCHUP_S)
         leader = cluster.leader()
         cluster.lose_power(next(name for name in "abc" if name != leader.name))
@@ -145,7 +145,7 @@
 
     def test_given_live_ones_to_be_replaced_then_the_group_is_never_larger_by_two(self):
         cluster = self.given("abc", others="xyz")
-        cluster.aim("xyz")
+        cluster.set_target("xyz")
         self.assertTrue(cluster.run_until(lambda: cluster.group_is("xyz"), within=CATCHUP_S))
         groups = [
             decode_group(entry.data) for entry in cluster.promises.history if entry.kind == EntryKind.GROUP
@@ -169,7 +169,7 @@
 
     def lose_one_amid(self, group, target, others, lost, tick):
         cluster = self.given(group, others)
-        cluster.aim(target)
+        cluster.set_target(target)
         cluster.run(tick * TICK)
         cluster.lose_power(lost)
         try:
@@ -185,7 +185,7 @@
             ticks = (rng.randrange(30), rng.randrange(30))
             with _Named(f"seed {seed}: {lost} lost after {ticks} ticks"):
                 cluster = self.given("abcde", "x", seed=seed)
-                cluster.aim("abcdx")
+                cluster.set_target("abcdx")
                 for name, count in zip(lost, ticks, strict=True):
                     cluster.run(count * TICK)
                     cluster.lose_power(name)
@@ -199,7 +199,7 @@
         for tick in range(0, 40):
             with _Named(f"handed over after {tick} ticks"):
                 cluster = self.given("abc", others="xy")
-                cluster.aim("xyc", number=1)
+                cluster.set_target("xyc", number=1)
                 cluster.run(tick * TICK)
                 if cluster.leader() is not None:
                     cluster.transfer()
@@ -208,11 +208,11 @@
 
     def test_given_the_owner_is_to_be_replaced_when_it_dies_at_each_moment_then_the_others_go_on(self):
         for tick in range(0, 40):
-            with _Named(f"the owner lost after {tick} ticks"):
+            with _Named(f"the leader lost after {tick} ticks"):
                 cluster = self.given("abc", others="x")
                 leader = cluster.leader().name
                 rest = "abc".replace(leader, "") + "x"
-                cluster.aim(rest, number=1)
+                cluster.set_target(rest, number=1)
                 cluster.run(tick * TICK)
                 cluster.lose_power(leader)
                 self.write(cluster, b"after", within=2.0)
@@ -226,7 +226,7 @@
                 leaving = cluster.leader().name
                 cluster.nodes[lagging].disk_delay = 0.2
                 target = "".join(sorted("abcx".replace(leaving, "")))
-                cluster.aim(target, number=1)
+                cluster.set_target(target, number=1)
                 for count in range(40):
                     cluster.propose(b"%d" % count)
                     cluster.run(TICK)
@@ -248,7 +248,7 @@
             cluster = self.given("abc", others="xy")
             wished = {1: "abx", 2: "axy"}
             for number in order:
-                cluster.aim(wished[number], number=number)
+                cluster.set_target(wished[number], number=number)
                 cluster.run(0.04)
             self.assertTrue(cluster.run_until(lambda c=cluster: c.group_is("axy"), within=CATCHUP_S))
             self.assertEqual(2, cluster.leader().replica.committed_placement_number)
@@ -276,17 +276,17 @@
         for other in others:
             cluster.cut(leader.name, other)
             cluster.cut(other, leader.name)
-        cluster.aims(leader, "abcxy")
+        cluster.set_target_at(leader, "abcxy")
         cluster.propose(b"on the smaller side", leader)
         cluster.run(1.5)
         self.assertFalse(cluster.committed(b"on the smaller side"))
         self.write(cluster, b"on the larger side")
-        cluster.join()
+        cluster.heal()
         cluster.run(2.0)
 
 
 class TestSettled(PlacementStory):
-    """What an owner says of its group: that nothing is under way and every live voter holds everything."""
+    """What a leader says of its group: that nothing is under way and every live voter holds everything."""
 
     def test_given_a_change_that_is_not_committed_then_the_group_before_is_told_and_it_is_not_settled(self):
         cluster = self.given("abc", others="x")
@@ -295,18 +295,18 @@
         self.assertTrue(leader.replica.is_stable(cluster.now))
         for other in "abc".replace(leader.name, ""):
             cluster.stall_disk(other)
-        cluster.aim("abx", number=1)
+        cluster.set_target("abx", number=1)
         cluster.run_until(lambda: len(leader.replica.voters) == 4, within=1.0)
         self.assertEqual(4, len(leader.replica.voters))
-        self.assertEqual((cluster.founders, 0), self.told(leader))
+        self.assertEqual((cluster.founders, 0), self.reported(leader))
         self.assertFalse(leader.replica.is_stable(cluster.now))
         for other in "abc".replace(leader.name, ""):
-            cluster.mend_disk(other)
+            cluster.resume_disk(other)
         self.assertTrue(
             cluster.run_until(lambda: cluster.leader().replica.is_stable(cluster.now), within=2.0)
         )
 
-    def told(self, node):
+    def reported(self, node):
         return node.replica.committed_voters, node.replica.committed_placement_number
 
     def test_given_a_live_voter_whose_disk_lags_then_the_group_is_not_settled_until_it_has_caught_up(self):
@@ -317,7 +317,7 @@
         self.write(cluster, b"that one lacks this")
         cluster.run(0.7)
         self.assertFalse(leader.replica.is_stable(cluster.now))
-        cluster.mend_disk(lagging)
+        cluster.resume_disk(lagging)
         self.assertTrue(cluster.run_until(lambda: leader.replica.is_stable(cluster.now), within=1.0))
 
     def test_given_a_voter_that_is_down_then_the_others_are_settled_and_without_a_majority_nobody_is(self):
@@ -350,7 +350,7 @@
             node.disk_delay = disk_delay
         prepare(cluster)
         begun = cluster.now
-        cluster.aim(target, number=1)
+        cluster.set_target(target, number=1)
 
         def is_complete():
             cluster.propose(b"load")
--- a/tests/tier/test_replication_search.py
+++ b/tests/tier/test_replication_search.py
@@ -11,7 +11,7 @@
 from tests.tier.replication_harness import Cluster
 
 SEEDS = 200
-HURRIED = Timing(  # more owners and snapshots in the same time
+HURRIED = Timing(  # more leaders and snapshots in the same time
     heartbeat=0.04,
     election_timeout=0.2,
     rank_step=0.04,
@@ -78,9 +78,9 @@
         elif node.frozen:
             cluster.thaw(name)
         elif node.stalled:
-            cluster.mend_disk(name)
+            cluster.resume_disk(name)
         elif cluster.links.cut and self.random.random() < 0.5:
-            cluster.join()
+            cluster.heal()
         else:
             self.break_one(name)
 
@@ -96,8 +96,8 @@
             "isolate",
             "cut",
             "transfer",
-            "aim",
-            "aim",
+            "set_target",
+            "set_target",
         )
         kind = self.random.choice((*kinds, "blackout", "wipe"))
         if kind == "power":
@@ -115,8 +115,8 @@
             cluster.cut(name, self.random.choice(list(cluster.nodes)))
         elif kind == "transfer" and cluster.leader():
             cluster.transfer()
-        elif kind == "aim":
-            self.aim()
+        elif kind == "set_target":
+            self.set_target()
         elif kind == "blackout":
             self.blackout()
         elif kind == "wipe":
@@ -138,15 +138,15 @@
             self.cluster.wipe(name)
             self.cluster.start(name)
 
-    def aim(self):
+    def set_target(self):
         names = list(self.cluster.nodes)
         self.random.shuffle(names)
-        self.cluster.aim(names[: self.random.choice((3, 3, 4, 5))])
+        self.cluster.set_target(names[: self.random.choice((3, 3, 4, 5))])
 
     def calm(self):
         """All machines run, links and disks are sound; lost disks stay lost."""
         cluster = self.cluster
-        cluster.join()
+        cluster.heal()
         cluster.links.loss = cluster.links.double = 0.0
         cluster.links.spread = 0.005
         for node in cluster.nodes.values():
@@ -155,7 +155,7 @@
                 cluster.start(node.name)
             if node.frozen:
                 cluster.thaw(node.name)
-            cluster.mend_disk(node.name)
+            cluster.resume_disk(node.name)
 
     def check_progress(self):
         cluster = self.cluster
@@ -168,16 +168,16 @@
         assert cluster.committed(command), f"no progress in {PROGRESS_S} s of calm"
 
     def check_group(self):
-        """In calm, the group becomes the one wished for, and all of it holds the whole history."""
+        """In calm, the group becomes its target, and all of it holds the whole history."""
         cluster = self.cluster
         names = self.random.sample(list(cluster.nodes), 3)
         target = tuple(cluster.nodes[name].identity for name in names)
-        cluster.aim(names)
+        cluster.set_target(names)
         assert cluster.run_until(lambda: cluster.promises.group == target, PROGRESS_S), (
             "not the group wished for"
         )
         cluster.run(0.5)
-        assert cluster.leader().identity in target, "an owner outside of the group"
+        assert cluster.leader().identity in target, "a leader outside of the group"
         for name in names:
             held = cluster.nodes[name].applied_index
             assert held == len(cluster.promises.history), f"{name} lags in calm"
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -1,4 +1,4 @@
-"""Stories of a replicated shard: ownership, losses, disks, groups and reads."""
+"""Stories of a replicated shard: leadership, losses, disks, groups and reads."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 def settled(names="abc", **options):
-    """A cluster whose first owner has committed a command."""
+    """A cluster whose first leader has committed a command."""
     cluster = Cluster(names, **options)
     cluster.run(1.0)
     cluster.propose(b"first")
@@ -41,7 +41,7 @@
         cluster = settled()
         cluster.isolate("c")
         cluster.run(3.0)
-        cluster.join()
+        cluster.heal()
         cluster.run(1.0)
         self.assertEqual(("a", 1), (cluster.leader().name, cluster.leader().replica.term))
 
@@ -51,7 +51,7 @@
         cluster.propose(b"unheard", cluster.nodes["a"])
         self.assertTrue(cluster.run_until(lambda: not cluster.nodes["a"].replica.is_leader, 0.6))
         cluster.run(1.0)
-        cluster.join()
+        cluster.heal()
         cluster.run(1.0)
         self.assertFalse(cluster.committed(b"unheard"))
 
@@ -93,7 +93,7 @@
         cluster.propose(b"held")
         cluster.run(0.5)
         self.assertFalse(cluster.committed(b"held"))
-        cluster.mend_disk("c")
+        cluster.resume_disk("c")
         self.assertTrue(cluster.run_until(lambda: cluster.committed(b"held"), 0.2))
 
     def test_the_owner_counts_its_own_disk_only_once_written(self):
@@ -110,7 +110,7 @@
         cluster.stall_disk("c")
         cluster.run(1.5)
         self.assertIsNone(cluster.leader())
-        cluster.mend_disk("c")
+        cluster.resume_disk("c")
         self.assertTrue(cluster.run_until(cluster.leader, 0.1))
 
     def test_a_vote_asked_for_twice_is_given_and_counts_once(self):
@@ -175,7 +175,7 @@
         cluster = settled()
         cluster.wipe("c")
         cluster.start("c")
-        cluster.aim("abc")
+        cluster.set_target("abc")
         cluster.run(1.0)
         self.assertEqual(("a#1", "b#1", "c#2"), cluster.leader().replica.voters)
         self.assertEqual([b"first"], cluster.nodes["c"].commands)
@@ -185,7 +185,7 @@
 
     def test_a_group_moves_wholly_and_the_owner_goes_last(self):
         cluster = settled("abc", others="def")
-        cluster.aim("def")
+        cluster.set_target("def")
         cluster.run(3.0)
         self.assertEqual("d", cluster.leader().name)
         self.assertEqual(("d#1", "e#1", "f#1"), cluster.leader().replica.voters)
@@ -194,7 +194,7 @@
     def test_a_dead_newcomer_does_not_become_a_voter(self):
         cluster = settled("abc", others="d")
         cluster.lose_power("d")
-        cluster.aim("abd")
+        cluster.set_target("abd")
         cluster.run(2.0)
         self.assertEqual(("a#1", "b#1", "c#1"), cluster.leader().replica.voters)
 
@@ -202,7 +202,7 @@
         cluster = settled("abc")
         cluster.lose_power("b")
         cluster.run(1.0)
-        cluster.aim("ab")
+        cluster.set_target("ab")
         cluster.run(2.0)
         self.assertEqual(("a#1", "b#1", "c#1"), cluster.leader().replica.voters)
 
@@ -213,17 +213,17 @@
         cluster.lose_power("c")
         cluster.cut("a", "b")
         cluster.cut("a", "d")
-        cluster.aim("abcd")
+        cluster.set_target("abcd")
         cluster.run(0.06)
         self.assertEqual((4, 0), tuple(len(cluster.nodes[name].replica.voters) for name in "ad"))
         cluster.lose_power("a")
         cluster.start("a")
-        cluster.join()
+        cluster.heal()
         self.assertTrue(cluster.run_until(cluster.leader, 2.0))
 
     def test_who_left_learns_of_it_and_asks_for_no_votes(self):
         cluster = settled("abcd")
-        cluster.aim("abc")
+        cluster.set_target("abc")
         cluster.run(1.0)
         self.assertEqual(("a#1", "b#1", "c#1"), cluster.nodes["d"].replica.voters)
         cluster.sent.clear()
@@ -234,15 +234,15 @@
         cluster = settled("abcd")
         cluster.cut("a", "b")
         cluster.cut("a", "c")
-        cluster.aim("abc")
+        cluster.set_target("abc")
         cluster.run(0.06)
         cluster.wipe("a")
-        cluster.join()
+        cluster.heal()
         self.assertTrue(cluster.run_until(cluster.leader, 2.0))
 
     def test_a_new_order_changes_who_owns_next(self):
         cluster = settled()
-        cluster.aim("acb")
+        cluster.set_target("acb")
         cluster.run(0.5)
         cluster.lose_power("a")
         self.assertTrue(cluster.run_until(cluster.leader, 1.0))
@@ -282,9 +282,9 @@
         cluster.start("c")
         cluster.run(0.5)
         self.assertEqual(cluster.promises.commands(), cluster.nodes["c"].commands)
-        pieces = [message for _, _, message in cluster.sent if isinstance(message, SnapshotChunk)]
-        self.assertEqual(1, len({piece.snapshot.index for piece in pieces}))
-        self.assertEqual(pieces[0].size, sum(len(piece.data) for piece in pieces))
+        chunks = [message for _, _, message in cluster.sent if isinstance(message, SnapshotChunk)]
+        self.assertEqual(1, len({chunk.snapshot.index for chunk in chunks}))
+        self.assertEqual(chunks[0].size, sum(len(chunk.data) for chunk in chunks))
 
     def test_a_replica_goes_on_from_its_snapshot_after_a_restart(self):
         cluster = settled()
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -42,7 +42,7 @@
         return Entry(index, self.term, EntryKind.COMMAND, b"%d of %d" % (index, self.term))
 
     def replace(self):
-        """Another owner's entries come in place of what is not committed."""
+        """Another leader's entries come in place of what is not committed."""
         if self.log.last_index > self.commit:
             self.term += 1
             first = self.chance.randint(self.commit + 1, self.log.last_index)
@@ -57,7 +57,7 @@
             self.log.compact(index, b"state %d" % index, TIMING, index)
 
     def install(self):
-        """An owner's snapshot, of an entry that the log holds, or of one that it lacks or holds otherwise."""
+        """A leader's snapshot, of an entry that the log holds, or of one that it lacks or holds otherwise."""
         index = self.commit + self.chance.randint(1, 6)
         term = self.log.term_at(index)
         if term is None or self.chance.random() < 0.5:
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -94,7 +94,7 @@
             if took > wire + CATCH_UP_S:
                 fleet.broken("the store has not caught up in time")
             if owner_of(world, SHARD) is not owner or owner.replica(SHARD).term != epoch:
-                fleet.broken("the owner was voted out meanwhile")
+                fleet.broken("the leader was voted out meanwhile")
             await load
             fleet.network.widen(store.place.ip)
             await asyncio.sleep(1.0)
@@ -106,7 +106,7 @@
 
 
 def longest_silence(machine, now):
-    """Of all replicas there that have heard an owner in this life."""
+    """Of all replicas there that have heard a leader in this life."""
     process = machine.processes["store"]
     if process.instance is None:
         return 0.0
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Stories of snapshots: sent in pieces, resumed, checked, followed by what was committed meanwhile."""
+"""Stories of snapshots: sent in chunks, resumed, checked, followed by what was committed meanwhile."""
 
 import copy
 
@@ -80,7 +80,7 @@
         cluster.run(0.4)
         cluster.isolate("c")
         cluster.run(2.0)
-        cluster.join()
+        cluster.heal()
         self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
         chunks = pieces_sent(cluster)
         sent = sum(len(chunk.data) for chunk in chunks)
@@ -208,7 +208,7 @@
         cluster.run(0.1)
         cluster._events = [event for event in cluster._events if event[2][2] != "message"]
         cluster.links.free_at.clear()
-        cluster.join()
+        cluster.heal()
         leader = cluster.nodes["a"]
         for name in "bc":
             leader.replica.reconnected(cluster.nodes[name].identity)
@@ -306,7 +306,7 @@
 
 
 def chunks_of(state, index=7, chunk_bytes=2):
-    """All pieces of a snapshot, as messages of one owner."""
+    """All chunks of a snapshot, as messages of one leader."""
     sender = sender_of(state, index, chunk_bytes)
     messages = []
     while not sender.is_complete:
