--- a/kestrelbend/lab/members.py
+++ b/kestrelbend/lab/members.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from ..duties import probing
+from ..duties.probing import SharedProbing
 from ..membership.addresses import pack_address
 from ..membership.messages import MemberState
 from ..membership.parameters import SwimParameters
@@ -40,7 +40,7 @@
             self.now(),
             [address(n) for n in range(count)],
         )
-        self.probing = probing.Probing(self.core.local.name) if life.shares else None
+        self.probing = SharedProbing(self.core.local.name) if life.shares else None
         self.timer = None
         self.after()
         if self.probing is not None:
@@ -67,7 +67,7 @@
                 alive = other is not None and other.member.core.local.generation == change.member.generation
                 tally.counts["members falsely dead" if alive else "members seen dead"] += 1
         if self.probing is not None:
-            tally.counts["reports shared"] += self.probing.hear(
+            tally.counts["reports shared"] += self.probing.receive(
                 core, self.life.gateway.background.load_reported
             )
         while core.outgoing:
@@ -95,10 +95,12 @@
 
     def look(self):
         life = self.life
-        for backend in self.probing.wanted(life.listed, life.gateway.slow_start.is_warming_up, self.now()):
+        for backend in self.probing.due_backends(
+            life.listed, life.gateway.slow_start.is_warming_up, self.now()
+        ):
             life.probe(backend)
         self.clock.after(LOOK, life.post, self.look)
 
     def probed(self, backend, load):
-        self.probing.tell(self.core, self.now(), self.life.backend_ids.get(backend), load)
+        self.probing.publish(self.core, self.now(), self.life.backend_ids.get(backend), load)
         self.after()
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/net/peers.py
@@ -7,7 +7,8 @@
 import time
 from random import Random
 
-from ..duties import leases, probing
+from ..duties.leases import HolderId, LeaseHolder, Voter, voters_for
+from ..duties.probing import SharedProbing
 from ..membership.addresses import pack_address, unpack_address
 from ..membership.codec import Codec
 from ..membership.errors import UnreadableMessage
@@ -38,8 +39,8 @@
         peers = [pack_address(pair) for pair in told.peers]
         self.core = SwimNode(told.name, self.address, generation, parameters, rng, self.now(), peers)
         self.static = [f"{host}:{port}" for host, port in told.peers]
-        self.voter, self.holders = leases.Voter(self.now()), {}
-        self.probing = probing.Probing(told.name) if shares else None
+        self.voter, self.holders = Voter(self.now()), {}
+        self.probing = SharedProbing(told.name) if shares else None
 
     @staticmethod
     def now():
@@ -89,7 +90,9 @@
         if core.local.name_conflict is not None:
             self.give_way(core.local.name_conflict)
         if self.probing is not None:
-            counters["reports_shared"] += self.probing.hear(core, self.owner.gateway.background.load_reported)
+            counters["reports_shared"] += self.probing.receive(
+                core, self.owner.gateway.background.load_reported
+            )
         while core.received_leases:
             self.leased(*core.received_leases.popleft())
         self.flush()
@@ -130,53 +133,53 @@
                 self.core.rules.apply(member.update(), disseminate=False)
         self.core.rules.apply(other, disseminate=False)
         if self.probing is not None:
-            self.probing.me, self.probing.version = own, None
-            self.probing.hear(self.core, self.owner.gateway.background.load_reported)
+            self.probing.rename(own)
+            self.probing.receive(self.core, self.owner.gateway.background.load_reported)
 
-    # Probes as duties.
+    # Probes as singleton tasks.
 
     def probes_due(self):
         """Backends that this gateway should probe now, of those that are cold."""
-        return self.probing.wanted(self.owner.listed, self.owner.gateway.slow_start.is_warming_up, self.now())
+        return self.probing.due_backends(
+            self.owner.listed, self.owner.gateway.slow_start.is_warming_up, self.now()
+        )
 
     def probed(self, backend, load):
-        self.probing.tell(self.core, self.now(), self.owner.backend_ids.get(backend), load)
+        self.probing.publish(self.core, self.now(), self.owner.backend_ids.get(backend), load)
 
-    # Exclusive duties.
+    # Singleton tasks under a lease.
 
-    def hold(self, duty):
-        """Try to hold a duty from now on; `holds` says whether this gateway does."""
-        chosen = [pack_address(pair) for pair in map(split, leases.voters(duty, self.static))]
-        self.holders[duty] = leases.Holder(
-            duty, (self.core.local.name, self.core.local.generation), len(chosen)
-        )
-        self.holders[duty].voters = chosen
-        return self.holders[duty]
+    def hold(self, task):
+        """Try to hold a singleton task from now on; `holds` says whether this gateway does."""
+        voters = [pack_address(split(peer)) for peer in voters_for(task, self.static)]
+        identity = HolderId(self.core.local.name, self.core.local.generation)
+        self.holders[task] = LeaseHolder(task, identity, voters)
+        return self.holders[task]
 
-    def holds(self, duty):
-        """Its fencing number, or None."""
-        holder = self.holders.get(duty)
-        return holder.fence if holder is not None and holder.holds(self.now()) else None
+    def holds(self, task):
+        """Its fencing token, or None."""
+        holder = self.holders.get(task)
+        return holder.fencing_token if holder is not None and holder.holds(self.now()) else None
 
     def claim(self, holder):
         now = self.now()
-        if not holder.voters or not holder.due(now):
+        if not holder.voters or not holder.is_request_due(now):
             return
-        fence = holder.ask(now, time.time_ns() // 1_000_000)
-        asked = LeaseMessage(holder.duty, fence, *holder.me, requested_at=now)
+        token = holder.begin_request(now, time.time_ns() // 1_000_000)
+        asked = LeaseMessage(holder.task, token, *holder.identity, requested_at=now)
         for voter in holder.voters:
             if voter == self.address:
-                granted, highest, wait = self.voter.ask(now, holder.duty, fence, holder.me)
+                granted, highest, wait = self.voter.request(now, holder.task, token, holder.identity)
                 self.answered(holder, voter, granted, highest, wait, now)
             else:
                 self.core.send_lease(voter, asked)
 
     def leased(self, member, lease):
         """A lease's message: a question to this voter, or an answer to this holder."""
-        now, who = self.now(), (lease.holder, lease.generation)
+        now, who = self.now(), HolderId(lease.holder, lease.generation)
         if lease.verdict in (LeaseVerdict.GRANTED, LeaseVerdict.DENIED):
             holder = self.holders.get(lease.task)
-            if holder is not None and holder.me == who:
+            if holder is not None and holder.identity == who:
                 self.answered(
                     holder,
                     member.address,
@@ -187,20 +190,20 @@
                 )
         elif (lease.holder, lease.generation) == (member.name, member.generation):
             if lease.verdict == LeaseVerdict.RELEASED:
-                self.voter.given_back(lease.task, lease.fencing_token, who)
+                self.voter.release(lease.task, lease.fencing_token, who)
                 return
-            granted, fence, wait = self.voter.ask(now, lease.task, lease.fencing_token, who)
+            granted, token, wait = self.voter.request(now, lease.task, lease.fencing_token, who)
             verdict = LeaseVerdict.GRANTED if granted else LeaseVerdict.DENIED
             self.core.send_lease(
                 member.address,
-                LeaseMessage(lease.task, fence, *who, int(verdict), wait // MS, lease.requested_at),
+                LeaseMessage(lease.task, token, *who, int(verdict), wait // MS, lease.requested_at),
             )
 
-    def answered(self, holder, voter, granted, fence, wait, asked):
+    def answered(self, holder, voter, granted, token, wait, requested_at):
         if granted:
-            holder.granted(voter, fence, asked)
+            holder.record_grant(voter, token, requested_at)
         else:
-            holder.denied(self.now(), voter, fence, wait)
+            holder.record_denial(self.now(), token, wait)
 
     # The view, and the end.
 
@@ -209,8 +212,8 @@
         now, core, local = self.now(), self.core, self.core.local
         duties = {}
         if self.probing is not None:
-            for duty, (_, owner) in self.probing.deal.best.items():
-                duties.setdefault(owner, []).append(duty)
+            for task in self.probing.assignment.assignments:
+                duties.setdefault(self.probing.assignment.owner(task), []).append(task)
         rows = [
             {
                 "name": local.name,
@@ -222,7 +225,7 @@
                 "duties": sorted(duties.get(local.name, ())),
                 "self": True,
                 "doubt": local.local_health,
-                "leases": {d: h.fence for d, h in self.holders.items() if h.holds(now)},
+                "leases": {d: h.fencing_token for d, h in self.holders.items() if h.holds(now)},
             }
         ]
         for m in sorted(core.members.values(), key=lambda m: m.name):
@@ -253,7 +256,9 @@
     def leave(self):
         for holder in self.holders.values():
             if holder.holds(self.now()):
-                given = LeaseMessage(holder.duty, holder.give_back(), *holder.me, int(LeaseVerdict.RELEASED))
+                given = LeaseMessage(
+                    holder.task, holder.release(), *holder.identity, int(LeaseVerdict.RELEASED)
+                )
                 for voter in holder.voters:
                     self.core.send_lease(voter, given)
         self.core.leave(self.now())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
 from kestrelbend.gateway_settings import toml_files
 from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.duties import leases, probing
-from kestrelbend.duties.deal import Deal
+from kestrelbend.duties.rendezvous import RendezvousAssignment
 from kestrelbend.lab.gossip import KEYS, Fleet
 from kestrelbend.membership import messages as m
 from kestrelbend.membership import codec as wire
@@ -313,11 +313,14 @@
         note, since = node.core.results.received.popleft()
         assert (note.subject, note.body, note.origin) == ("s1", b"report", "n0")
         assert abs(since - (f.clock.now - 4 * S)) < 20_000
-    p = probing.Probing("n1")
-    p.follow({"s1": "backend"})
-    fresh = m.SharedResult("probe", "s1", "n0", 1, 0, p.said({"queued": 2.0}))
+    p = probing.SharedProbing("n1")
+    p.set_backends({"s1": "backend"})
+    fresh = m.SharedResult("probe", "s1", "n0", 1, 0, p.encode_load({"queued": 2.0}))
     assert p.read(fresh, 5 * S, 5 * S) == ("backend", {"queued": 2.0})
-    assert p.read(fresh, 5 * S, 5 * S) is None and p.read(fresh, 6 * S, 6 * S + probing.FRESH + 1) is None
+    assert (
+        p.read(fresh, 5 * S, 5 * S) is None
+        and p.read(fresh, 6 * S, 6 * S + probing.MAX_REPORT_AGE_US + 1) is None
+    )
     assert p.read(m.SharedResult("probe", "s1", "n0", 2, 0, b"\xff"), 9 * S, 9 * S) is None
 
 
@@ -397,43 +400,45 @@
 
 @given(st.sets(st.integers(0, 60), min_size=1, max_size=20), st.integers(0, 60))
 def test_a_death_moves_the_duties_of_the_dead_alone(numbers, dead):
-    deal, names = Deal(), [f"n{n}" for n in numbers]
+    deal, names = RendezvousAssignment(), [f"n{n}" for n in numbers]
     deal.set_members(dict.fromkeys(names, 1.0))
     for duty in range(50):
         deal.add(f"s{duty}")
-    before = {duty: deal.owner(duty) for duty in deal.best}
+    before = {duty: deal.owner(duty) for duty in deal.assignments}
     deal.set_members({name: 1.0 for name in names if name != f"n{dead}"})
     for duty, owner in before.items():
         if owner != f"n{dead}":
             assert deal.owner(duty) == owner
-    plain = Deal()
+    plain = RendezvousAssignment()
     plain.set_members(deal.members)
     for duty in before:
         plain.add(duty)
-    assert plain.best == deal.best
+    assert plain.assignments == deal.assignments
 
 
 def test_duties_are_dealt_out_by_weight():
-    deal = Deal()
+    deal = RendezvousAssignment()
     deal.set_members({"a": 1.0, "b": 3.0})
     for duty in range(4000):
         deal.add(f"s{duty}")
-    assert 2800 < len(deal.of("b")) < 3200
+    assert 2800 < len(deal.tasks_of("b")) < 3200
 
 
 def test_probes_are_taken_over_at_once_and_asked_as_often_as_by_one():
     f = fleet(5, seed=13)
     cold = {f"s{n}": n for n in range(6)}
-    duties = {node.name: probing.Probing(node.name) for node in f.nodes}
+    duties = {node.name: probing.SharedProbing(node.name) for node in f.nodes}
     probes = []
 
     def look():
         for node in f.live():
             if not node.still:
                 own = duties[node.name]
-                own.members([x.name for x in node.core.members.values() if x.state == m.MemberState.ALIVE])
-                own.follow(cold)
-                probes.extend((f.clock.now, uid, node.name) for uid in own.due(f.clock.now))
+                own.set_members(
+                    [x.name for x in node.core.members.values() if x.state == m.MemberState.ALIVE]
+                )
+                own.set_backends(cold)
+                probes.extend((f.clock.now, uid, node.name) for uid in own.due_ids(f.clock.now))
         f.clock.after(100_000, look)
 
     look()
@@ -458,13 +463,17 @@
     def __init__(self):
         self.now, self.stamp = 100, 1
         self.voters = [leases.Voter(self.now - self.LENGTH, self.LENGTH) for _ in range(3)]
-        self.holders = [leases.Holder("d", (f"h{n}", 1), 3, self.LENGTH) for n in range(2)]
-        self.mail, self.fence = [], leases.Fence()
+        self.holders = [
+            leases.LeaseHolder("d", leases.HolderId(f"h{n}", 1), range(3), self.LENGTH) for n in range(2)
+        ]
+        self.mail, self.fence = [], leases.FencingGuard()
 
     def moves(self):
         yield ("wait",)
         for n in range(2):
-            if self.holders[n].due(self.now) and not any(x[0] == "ask" and x[2] == n for x in self.mail):
+            if self.holders[n].is_request_due(self.now) and not any(
+                x[0] == "ask" and x[2] == n for x in self.mail
+            ):
                 yield "ask", n
         for at in range(len(self.mail)):
             yield "deliver", at
@@ -479,7 +488,7 @@
             self.now += self.STEP
         elif what == "ask":
             holder = self.holders[args[0]]
-            fence = holder.ask(self.now, self.stamp)
+            fence = holder.begin_request(self.now, self.stamp)
             self.mail += [("ask", v, args[0], fence, self.now) for v in range(3)]
         elif what == "lose":
             self.mail.pop(0)
@@ -488,12 +497,14 @@
         else:
             kind, v, n, fence, asked = self.mail.pop(args[0])
             if kind == "ask":
-                granted, highest, wait = self.voters[v].ask(self.now, "d", fence, self.holders[n].me)
+                granted, highest, wait = self.voters[v].request(
+                    self.now, "d", fence, self.holders[n].identity
+                )
                 self.mail.append(("granted" if granted else "denied", v, n, highest, asked))
             elif kind == "granted":
-                self.holders[n].granted(v, fence, asked)
+                self.holders[n].record_grant(v, fence, asked)
             else:
-                self.holders[n].denied(self.now, v, fence, 0)
+                self.holders[n].record_denial(self.now, fence, 0)
 
     def state(self):
         def ahead(at):
@@ -502,14 +513,19 @@
         return (
             tuple(
                 (
-                    ahead(v.mute_until),
-                    v.highest.get("d", 0),
-                    (g.fence, g.holder, ahead(g.until)) if (g := v.grants.get("d")) else None,
+                    ahead(v.mute_until_us),
+                    v.highest_tokens.get("d", 0),
+                    (g.fencing_token, g.holder, ahead(g.expires_at_us)) if (g := v.grants.get("d")) else None,
                 )
                 for v in self.voters
             ),
             tuple(
-                (h.fence, h.known, ahead(h.ask_at), tuple(sorted((v, ahead(t)) for v, t in h.grants.items())))
+                (
+                    h.fencing_token,
+                    h.highest_known_token,
+                    ahead(h.next_request_us),
+                    tuple(sorted((v, ahead(t)) for v, t in h.grants.items())),
+                )
                 for h in self.holders
             ),
             tuple((*each[:4], self.now - each[4]) for each in self.mail),
@@ -560,63 +576,66 @@
 @pytest.mark.parametrize("what", ["later question", "no mute", "no wait", "no majority"])
 def test_each_part_of_the_leases_is_needed(what, monkeypatch):
     if what == "later question":  # counted from the newest question, which may have been lost
-        asked, ask = {}, leases.Holder.ask
+        asked, ask = {}, leases.LeaseHolder.begin_request
 
         def noted(self, now, stamp):
             asked[id(self)] = now
             return ask(self, now, stamp)
 
-        granted = leases.Holder.granted
-        monkeypatch.setattr(leases.Holder, "ask", noted)
+        granted = leases.LeaseHolder.record_grant
+        monkeypatch.setattr(leases.LeaseHolder, "begin_request", noted)
         monkeypatch.setattr(
-            leases.Holder,
-            "granted",
+            leases.LeaseHolder,
+            "record_grant",
             lambda self, v, fence, at: granted(self, v, fence, max(at, asked.get(id(self), 0))),
         )
     elif what == "no mute":
         made = leases.Voter.__init__
 
-        def talkative(self, now, length=leases.LENGTH):
+        def talkative(self, now, length=leases.LEASE_US):
             made(self, now, length)
-            self.mute_until = 0
+            self.mute_until_us = 0
 
         monkeypatch.setattr(leases.Voter, "__init__", talkative)
     elif what == "no wait":
-        ask = leases.Voter.ask
+        ask = leases.Voter.request
 
         def careless(self, now, duty, fence, holder):
             if duty in self.grants:
-                self.grants[duty].until = 0
+                self.grants[duty].expires_at_us = 0
             return ask(self, now, duty, fence, holder)
 
-        monkeypatch.setattr(leases.Voter, "ask", careless)
+        monkeypatch.setattr(leases.Voter, "request", careless)
     else:
-        monkeypatch.setattr(leases.Holder, "majority", lambda self: 1)
+        monkeypatch.setattr(leases.LeaseHolder, "majority", lambda self: 1)
     assert walks(3000)
 
 
 def test_a_duty_is_held_again_within_a_bound_and_under_a_higher_number():
     """Its holder dies: the next one gets it once the lease has run out, and a late write of the first one is
     refused."""
-    now, length = 0, leases.LENGTH
+    now, length = 0, leases.LEASE_US
     voters = [leases.Voter(-length) for _ in range(5)]
-    first, second = (leases.Holder("renew", (name, 1), 5) for name in ("a", "b"))
-    fence = leases.Fence()
+    first, second = (leases.LeaseHolder("renew", leases.HolderId(name, 1), range(5)) for name in ("a", "b"))
+    fence = leases.FencingGuard()
 
     def tick(holder):
-        if holder.due(now):
-            number = holder.ask(now, 1000 + now // 1000)
+        if holder.is_request_due(now):
+            number = holder.begin_request(now, 1000 + now // 1000)
             for at, voter in enumerate(voters):
-                granted, highest, wait = voter.ask(now, "renew", number, holder.me)
-                holder.granted(at, number, now) if granted else holder.denied(now, at, highest, wait)
+                granted, highest, wait = voter.request(now, "renew", number, holder.identity)
+                if granted:
+                    holder.record_grant(at, number, now)
+                else:
+                    holder.record_denial(now, highest, wait)
 
     tick(first)
-    assert first.holds(now) and fence.accepts(first.fence)
+    assert first.holds(now) and fence.accepts(first.fencing_token)
     while now < 3 * length and not second.holds(now):
         now += 100_000
         tick(second)
     assert second.holds(now) and not first.holds(now) and now <= length + length // 2
-    assert fence.accepts(second.fence) and not fence.accepts(first.fence)
+    assert fence.accepts(second.fencing_token) and not fence.accepts(first.fencing_token)
 
 
 # Configuration.
