--- a/kestrelbend/tier/fleet/answers.py
+++ b/kestrelbend/tier/fleet/answers.py
@@ -11,11 +11,11 @@
 UNAVAILABLE = 503
 
 
-def check_contact(fleet: Fleet, address: str, asked_at: float, reply: Reply | Failure) -> None:
+def check_contact(fleet: Fleet, address: str, requested_at: float, reply: Reply | Failure) -> None:
     """A control node that was cut off when it was asked confirms nothing and refuses nothing."""
     if not isinstance(reply, Reply) or reply.status == UNAVAILABLE:
         return
-    if fleet.is_cut_off(address.partition(":")[0], asked_at - CONTACT_S - SLACK_S):
+    if fleet.is_cut_off(address.partition(":")[0], requested_at - CONTACT_S - SLACK_S):
         fleet.broken(f"{address} is cut off and answers {reply.status}: {reply.body[:80]!r}")
 
 
--- a/kestrelbend/tier/fleet/backends.py
+++ b/kestrelbend/tier/fleet/backends.py
@@ -64,10 +64,10 @@
             addresses.insert(0, self._target)
         path = f"/api/Instances.{call}/{self.identity}"
         for address in addresses[:tries]:
-            asked_at = self.fleet.now()
+            requested_at = self.fleet.now()
             reply = await self.fleet.http.call(address, "POST", path, (), body, CALL_TIMEOUT_S)
             if self.state != "ready":
-                check_contact(self.fleet, address, asked_at, reply)
+                check_contact(self.fleet, address, requested_at, reply)
             if isinstance(reply, Reply) and 200 <= reply.status < 300:
                 self._target = address
                 return True
--- a/kestrelbend/tier/fleet/operator.py
+++ b/kestrelbend/tier/fleet/operator.py
@@ -179,9 +179,9 @@
     async def _call(self, address: str, order: Order) -> Reply | Failure:
         headers = [(BASE_VERSION, str(order.base).encode())]
         path = f"/api/Config.{order.kind}"
-        asked_at = self.fleet.now()
+        requested_at = self.fleet.now()
         reply = await self.fleet.http.call(address, "POST", path, headers, order.body, CALL_TIMEOUT_S)
-        check_contact(self.fleet, address, asked_at, reply)
+        check_contact(self.fleet, address, requested_at, reply)
         if self._random.random() < self.lost_acknowledgements:
             return Failure.SILENT
         return reply
@@ -256,9 +256,9 @@
     async def _until_clear(self, method: str, path: str, body: bytes, within: float) -> Reply | None:
         ends = self.fleet.now() + within
         for address in self._addresses():
-            asked_at = self.fleet.now()
+            requested_at = self.fleet.now()
             reply = await self.fleet.http.call(address, method, path, (), body, CALL_TIMEOUT_S)
-            check_contact(self.fleet, address, asked_at, reply)
+            check_contact(self.fleet, address, requested_at, reply)
             if isinstance(reply, Reply) and (reply.status == 200 or 400 <= reply.status < 500):
                 return reply
             if self.fleet.now() > ends:
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -38,7 +38,7 @@
     gateway: str
     life: Execution  # of the gateway's process
     verdict: Verdict | None = None
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     answered_at: float | None = None
     handed: int = 0
     ended_whole_at: float | None = None
@@ -108,7 +108,7 @@
             return None
         gateway = self._random.choice(gateways)
         turn = Turn(f"{self.name}-{name}", most, gateway.machine.name, gateway.execution)
-        turn.asked_at = self._fleet.now()
+        turn.requested_at = self._fleet.now()
         self.tries.append(turn)
         reserve = Reserve(self.name, session, turn.reservation, number, most, self.budget, True)
         life = gateway.execution
@@ -210,7 +210,7 @@
         """In touch, a reservation is answered within a second."""
         if turn.answered_at is not None or turn.reservation in self._silent_told:
             return
-        since = max(turn.asked_at, self.fleet.contact.in_touch_since(gateway.machine.name))
+        since = max(turn.requested_at, self.fleet.contact.in_touch_since(gateway.machine.name))
         if self.fleet.now() - since > RESERVE_BOUND_S:
             self._silent_told.add(turn.reservation)
             self.fleet.broken(
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -18,13 +18,13 @@
 from ..budgets.shard_service import BudgetShards
 from ..configuration.messages import ConfigOrder, ConfigOutcome, ReadRequest
 from ..configuration.operator_api import OperatorApi
+from ..configuration.shard_ports import HostedShards
 from ..configuration.shard_service import (
     FORWARD_TIMEOUT_S,
     NOT_OWNER,
     ConfigurationMachine,
     ConfigurationService,
 )
-from ..configuration.shard_ports import HostedShards
 from ..configuration.stream import ConfigStream
 from ..control.backend_reports import BackendReports
 from ..control.directory_stream import DirectoryStream
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -1,7 +1,7 @@
-"""What a process says to the control nodes: that it runs, and which of their streams it wants.
+"""What a process sends to the control nodes: that it runs, and which of their streams it wants.
 
 Invariant: what a control node was asked for last on a connection is what the process wants of it, or the
-connection has ended and the next one begins with a new word.
+connection has ended and the next one begins with a new subscription.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 class ControlReports:
     """Heartbeats and subscriptions of one process, to the nodes that `choice` names.
 
-    `on_unfollowed(address)` is told of a node whose streams are not wanted whole any more.
+    `on_unfollowed(address)` is told of a node whose complete streams are not wanted any more.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._choice = choice
         self._connections = connections
         self._on_unfollowed = on_unfollowed
-        self._wanted_whole: dict[PeerConnection, bool] = {}
+        self._wants_complete: dict[PeerConnection, bool] = {}
 
     def answered(self, connection: PeerConnection, answer: HeartbeatAck) -> None:
         """A control node has answered a heartbeat."""
@@ -35,7 +35,7 @@
 
     def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
-        self._wanted_whole.pop(connection, None)
+        self._wants_complete.pop(connection, None)
 
     def subscribe(self, order: Sequence[str], wish: Callable[[bool], Subscribe], now: float) -> None:
         """Asks the nearest stable of the control nodes for all of its streams, the others for notices."""
@@ -43,9 +43,9 @@
         for address in order:
             connection = self._connections.to(address)
             complete = address in chosen
-            if connection is None or self._wanted_whole.get(connection) is complete:
+            if connection is None or self._wants_complete.get(connection) is complete:
                 continue
-            self._wanted_whole[connection] = complete
+            self._wants_complete[connection] = complete
             connection.send(wish(complete))
             if not complete:
                 self._on_unfollowed(address)
--- a/kestrelbend/tier/roles/environment.py
+++ b/kestrelbend/tier/roles/environment.py
@@ -77,46 +77,58 @@
     """The operating system's, see `Environment`."""
 
     def now(self) -> float:
+        """The operating system's steady clock."""
         return time.monotonic()
 
     def new_incarnation(self) -> int:
+        """Microseconds of the day's clock: higher than before as long as that is not set back."""
         return time.time_ns() // 1000
 
     def new_disk_identity(self) -> str:
+        """Drawn by chance."""
         return secrets.token_hex(IDENTITY_BYTES)
 
     def disk(self) -> Disk:
+        """The operating system's files."""
         return OsDisk()
 
     def journal(self, folder: str, capacity_bytes: int, written: Written) -> DiskJournal:
+        """A journal whose writer is a thread."""
         loop = asyncio.get_running_loop()
         return DiskJournal(folder, capacity_bytes, written, loop.call_soon_threadsafe)
 
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
+        """Waits for the writer's thread beside the loop."""
         await asyncio.to_thread(journal.close, within)
 
     async def run_off_loop(self, function: Callable[[], T]) -> T:
+        """In a thread of its own."""
         return await asyncio.to_thread(function)
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
+        """SIGTERM and SIGINT, and SIGHUP."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stop)
         loop.add_signal_handler(signal.SIGINT, stop)
         loop.add_signal_handler(signal.SIGHUP, reload)
 
     def settings_changed_at(self, path: str) -> int:
+        """The file's time of change, in nanoseconds."""
         try:
             return os.stat(path).st_mtime_ns
         except OSError:
             return 0
 
     def read_settings(self, path: str) -> Settings:
+        """The file's settings."""
         return Settings.read(path)
 
     async def serve(self, listeners: Sequence[Listener], limits: CurrentLimits = no_limits) -> None:
+        """By hypercorn."""
         from ..dataplane.server import serve_all  # stores serve nothing and don't load it
 
         await serve_all(listeners, limits)
 
     def abort(self) -> None:
+        """Without any clean-up, with the status of a broken invariant."""
         os._exit(BROKEN_INVARIANT)
--- a/kestrelbend/tier/roles/gateway_contact.py
+++ b/kestrelbend/tier/roles/gateway_contact.py
@@ -131,7 +131,7 @@
         if sent is None or sent.address != address:
             return
         del self._sent_requests[reply.ticket]
-        self._note_answer(address, sent.requested_at_running)
+        self._record_answer(address, sent.requested_at_running)
         if reply.in_contact:
             tells_version = reply.version > 0
             self._configuration.confirm(address if tells_version else "", sent.requested_at_running)
@@ -143,7 +143,7 @@
     def replied(self, address: str, shard: str, owner: bool, requested_at: float) -> None:
         """A budget request of that time was answered; `owner`: by a committed entry."""
         running = requested_at - self._stood_still
-        self._note_answer(address, running)
+        self._record_answer(address, running)
         if owner:
             self._confirm_shard(shard, address, running)
 
@@ -173,7 +173,7 @@
 
     # How it follows
 
-    def _note_answer(self, address: str, running: float) -> None:
+    def _record_answer(self, address: str, running: float) -> None:
         self._answered_at[address] = max(self._answered_at.get(address, NEVER), running)
 
     def _confirm_shard(self, shard: str, address: str, running: float) -> None:
--- a/kestrelbend/tier/roles/local_shards.py
+++ b/kestrelbend/tier/roles/local_shards.py
@@ -13,8 +13,8 @@
 from typing import Any, Protocol
 
 from ..membership.messages import ContactReply, ShardPlacement, ShardReport
-from ..membership.placement import CONFIGURATION_SHARD, address_of
 from ..membership.owner_contact import ConfirmedReplica, in_contact, is_current
+from ..membership.placement import CONFIGURATION_SHARD, address_of
 from ..protocol.codec import decode, encode
 from ..replication.host import ShardHost
 from ..replication.interfaces import StateMachine
@@ -105,7 +105,7 @@
             replica.transfer(now)
             self.host.flush(replica.shard)
         deadline = now + within
-        while self._now() < deadline and self._owns_any():
+        while self._now() < deadline and self._owns_any():  # noqa: ASYNC110  replicas set no event
             await asyncio.sleep(HAND_OVER_CHECK_INTERVAL_S)
 
     async def close(self, environment: Environment) -> None:
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -12,6 +12,7 @@
 
     heartbeats say `leaving` -> the role's `stop` (hands over, finishes what runs) -> no more ticks
     -> connections closed -> the journal writes what waits, for a bounded time
+    -> the tasks left over are cancelled
 """
 
 from __future__ import annotations
@@ -285,6 +286,7 @@
         ticker.stop()
         await self.connections.close()
         await self.shards.close(self.environment)
+        self._tasks.cancel()
 
     def open_replicas(self) -> None:
         """Opens the replicas that the disk holds."""
--- a/kestrelbend/tier/roles/settings.py
+++ b/kestrelbend/tier/roles/settings.py
@@ -133,7 +133,7 @@
 
 def _load(data: bytes, name: str) -> dict[Any, Any]:
     try:
-        values = yaml.load(data, Loader=_Loader)  # noqa: S506  a safe loader either way
+        values = yaml.load(data, Loader=_Loader)  # a safe loader either way
     except _YAML_ERRORS as error:
         text = " ".join(str(error).split())
         raise SettingsError("not_yaml", (f"{name}: cannot be read as YAML: {text}",)) from None
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -78,9 +78,9 @@
 
     async def timed(self, answering):
         loop = asyncio.get_running_loop()
-        asked_at = loop.time()
+        requested_at = loop.time()
         outcome = await answering
-        return outcome, loop.time() - asked_at
+        return outcome, loop.time() - requested_at
 
     def heartbeat(self, **changes):
         return self.timed(self.reports.heartbeat("i-1", READY | changes))
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -52,7 +52,7 @@
 class Taken:
     """A reply that a gateway got."""
 
-    asked_at: float
+    requested_at: float
     address: str
     shard: str
     owner: bool
@@ -88,11 +88,11 @@
         send = gateway.budgets.client._send
 
         async def noting(address, request):
-            asked_at = world.fleet.now()
+            requested_at = world.fleet.now()
             reply = await send(address, request)
             if reply is not None:
                 names = tuple(reserve.reservation for reserve in request.reserves)
-                taken.append(Taken(asked_at, address, reply.shard, reply.owner, reply.epoch, names))
+                taken.append(Taken(requested_at, address, reply.shard, reply.owner, reply.epoch, names))
             return reply
 
         for queue in gateway.budgets.client._queues.values():
@@ -123,14 +123,14 @@
         return verdicts
 
     def check(self, taken, former, cut_at, joined_at):
-        of_shard = [one for one in taken if one.shard == SHARD and one.asked_at > cut_at]
+        of_shard = [one for one in taken if one.shard == SHARD and one.requested_at > cut_at]
         admitted = [one for one in of_shard if one.owner]
         self.assertGreater(len(admitted), 10)
-        old = [one for one in admitted if one.address.startswith(former) and one.asked_at < joined_at]
+        old = [one for one in admitted if one.address.startswith(former) and one.requested_at < joined_at]
         self.assertEqual([], old, "a former owner's word was taken")
         first = min(one.epoch for one in admitted)
         self.assertTrue(all(one.epoch >= first for one in admitted))
-        by_time = sorted(admitted, key=lambda one: one.asked_at)
+        by_time = sorted(admitted, key=lambda one: one.requested_at)
         self.assertEqual(sorted(one.epoch for one in by_time), [one.epoch for one in by_time])
 
     def test_an_owner_is_cut_off_from_its_group_and_gateways_reach_both(self):
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -40,40 +40,40 @@
     def setUp(self):
         super().setUp()
         self.stream = ConfigStream()
-        self.link = FakeConnection()
+        self.connection = FakeConnection()
 
     def test_given_a_subscriber_when_versions_come_late_or_twice_then_they_only_rise(self):
-        self.stream.subscribe(self.link, 0)
+        self.stream.subscribe(self.connection, 0)
         for version in (3, 3, 2, 5):
             self.stream.stream(version, b"{}", current=True)
-        self.assertEqual([3, 5], [update.version for update in self.link.sent])
+        self.assertEqual([3, 5], [update.version for update in self.connection.sent])
 
     def test_given_a_version_told_as_not_current_when_it_is_confirmed_then_that_is_told_once(self):
-        self.stream.subscribe(self.link, 0)
+        self.stream.subscribe(self.connection, 0)
         self.stream.stream(3, b"{}", current=False)
         self.stream.stream(3, b"{}", current=True)
         self.stream.stream(3, b"{}", current=True)
         expected = [ConfigUpdate(3, False, b"{}"), ConfigUpdate(3, True, b"")]
-        self.assertEqual(expected, self.link.sent)
+        self.assertEqual(expected, self.connection.sent)
 
     def test_given_a_subscriber_ahead_of_this_node_when_streamed_then_it_is_not_told_to_be_current(self):
-        self.stream.subscribe(self.link, 9)
+        self.stream.subscribe(self.connection, 9)
         self.stream.stream(3, b"{}", current=True)
-        self.assertEqual([], self.link.sent)
+        self.assertEqual([], self.connection.sent)
 
     def test_given_a_gateway_that_takes_bodies_elsewhere_then_it_is_told_the_number_alone(self):
-        self.stream.subscribe(self.link, 2, with_bodies=False)
+        self.stream.subscribe(self.connection, 2, with_bodies=False)
         self.stream.stream(3, b"{}", current=True)
-        self.assertEqual([ConfigUpdate(3, True, b"")], self.link.sent)
+        self.assertEqual([ConfigUpdate(3, True, b"")], self.connection.sent)
 
     def test_given_two_gateways_when_both_acknowledge_or_leave_then_the_wait_ends(self):
         async def play():
             other = FakeConnection()
-            for link in (self.link, other):
-                self.stream.subscribe(link, 0)
+            for connection in (self.connection, other):
+                self.stream.subscribe(connection, 0)
             waiting = asyncio.ensure_future(self.stream.until_acknowledged(4))
             await asyncio.sleep(0)
-            self.stream.acknowledged(self.link, 4)
+            self.stream.acknowledged(self.connection, 4)
             await asyncio.sleep(0)
             self.assertFalse(waiting.done())
             self.stream.lost(other)
