--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -28,8 +28,8 @@
 from .forward import Forwarder
 from .health import Health
 from .hedge import Hedger
-from .lifecycle import Lifecycle
 from .latency import LatencyRatios
+from .lifecycle import Lifecycle
 from .reading import (
     TIME_OVER_RETRY_S,
     ClientGone,
@@ -129,8 +129,8 @@
         body = await read_body(receive, table.limits, within_s)
         if isinstance(body, OwnAnswer):
             return body
-        self._maintain(begun)
         newest = self.routing.current() or table
+        self._maintain(newest, begun)
         if newest is not table:
             route = head.route(newest)
         return build_exchange(scope, head, newest, route, self.split, body, begun)
@@ -190,12 +190,11 @@
             lambda: self.forwarder.forward(exchange, client, progress),
         )
 
-    def _maintain(self, now: float) -> None:
+    def _maintain(self, table: ports.RoutingTable, now: float) -> None:
         """Closes what is idle for too long, and drops what is known of backends that are no more."""
         if now - self._maintained_at < MAINTENANCE_INTERVAL_S:
             return
         self._maintained_at = now
-        table = self.routing.current()
         live = {backend.identity for service in table.services for backend in self.backends.of(service)}
         self.connections.prune(live)
         self.health.keep_only(live)
--- a/kestrelbend/tier/dataplane/network.py
+++ b/kestrelbend/tier/dataplane/network.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import socket
+from typing import Any, cast
 
 import httpcore
 
@@ -21,11 +22,15 @@
 
 
 class TcpStream(asyncio.Protocol, ports.BackendStream):
-    """One TCP connection.  Reads and writes are made by one task at a time."""
+    """One TCP connection.  Reads and writes are made by one task at a time.
+
+    The event loop calls `connection_made` before anyone else gets the stream.
+    """
+
+    _transport: asyncio.Transport
 
     def __init__(self) -> None:
         self._account = ports.WireAccount()
-        self._transport: asyncio.Transport | None = None
         self._received = bytearray()
         self._outgoing: list[bytes] = []
         self._ended = False
@@ -38,7 +43,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The transport is up."""
-        self._transport = transport
+        self._transport = cast(asyncio.Transport, transport)  # of a TCP socket: both directions
 
     def data_received(self, data: bytes) -> None:
         """Bytes came, asked for or not."""
@@ -78,7 +83,7 @@
         return not self._transport.get_write_buffer_size()
 
     def begin(self) -> ports.WireAccount:
-        """The account of a new request."""
+        """The account of a new request; the one before is not written to any more."""
         self._account = ports.WireAccount()
         self._muted = False
         return self._account
@@ -98,12 +103,16 @@
         self._wake()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Buffers the bytes until the next read."""
+        """Buffers the bytes until the next read; drops them after `replay`.  Never waits."""
         if buffer and not self._muted:
             self._outgoing.append(bytes(buffer))
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Sends what is buffered, then waits for bytes; empty at the end.  Raises httpcore.ReadError."""
+        """Sends what is buffered, then waits for at most `max_bytes`; empty at the peer's proper end.
+
+        Raises httpcore.ReadError where the connection broke or was closed here.  `timeout` is not used: the
+        exchange's deadline bounds every wait, and the socket's own limits find a peer that is gone.
+        """
         self._flush()
         while not self._received and not self._ended:
             self._waiter = asyncio.get_running_loop().create_future()
@@ -134,8 +143,9 @@
         """Closes at once: a request that is given up should not go on leaving."""
         self.abort()
 
-    def get_extra_info(self, info: str):
-        """`is_readable` as httpcore asks for it; all else from the transport."""
+    def get_extra_info(self, info: str) -> Any:
+        """`is_readable` as httpcore asks for it (it gives up such an idle connection); all else from the
+        transport."""
         if info == "is_readable":
             return not self.usable
         return self._transport.get_extra_info(info)
--- a/kestrelbend/tier/dataplane/send.py
+++ b/kestrelbend/tier/dataplane/send.py
@@ -7,6 +7,8 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import AsyncIterable, AsyncIterator
+from typing import cast
 
 import attrs
 import httpcore
@@ -63,31 +65,28 @@
         return self.sent and not self.not_run
 
 
+@attrs.define(eq=False)
 class Answer:
-    """An answer to our request whose head is in.  It must be closed; then its connection is free."""
-
-    def __init__(
-        self,
-        status: int,
-        headers: Headers,
-        events: bool,
-        backend: Backend,
-        response: httpcore.Response,
-        connection: Connection,
-        connections: Connections,
-    ) -> None:
-        self.status = status
-        self.headers = headers  # end to end
-        self.events = events  # a text/event-stream
-        self._backend = backend
-        self._response = response
-        self._body = aiter(response.stream)
-        self._connection = connection
-        self._connections = connections
-        self._closed = False
+    """An answer to our request whose head is in: the request has run, or runs.
+
+    It must be closed, whatever happens; then its connection is free.
+    """
+
+    status: int
+    headers: Headers  # end to end
+    events: bool  # a text/event-stream
+    _backend: Backend
+    _response: httpcore.Response
+    _body: AsyncIterator[bytes]  # of the response
+    _connection: Connection
+    _connections: Connections
+    _closed: bool = attrs.field(default=False, init=False)
 
     async def next(self) -> bytes | None:
-        """The next bytes of the body; None at its proper end.  Raises DataPlaneError where it breaks."""
+        """The next bytes of the body; None at its proper end.
+
+        Raises DataPlaneError (`CUT`) where it breaks: the run may have ended, or may still go on.
+        """
         try:
             data = await anext(self._body)
         except StopAsyncIteration:
@@ -112,7 +111,12 @@
         self._connections = connections
 
     async def send(self, exchange: Exchange, sending: Sending) -> Answer | Failure:
-        """Sends the request and waits for the head of its answer."""
+        """Sends the request and waits for the head of its answer.
+
+        An `Answer` says that the request has run or runs.  A `Failure` says by `certainly_not_run` whether it
+        may have: only `BROKEN` and `GARBLED` leave that open.  `sending` says the same at any moment, also
+        where this is cancelled: then what has left may have run.
+        """
         backend = sending.backend
         undeclared_idle_s = None if exchange.repeatable else UNDECLARED_IDLE_S
         remaining_s = exchange.deadline - asyncio.get_running_loop().time()
@@ -129,16 +133,19 @@
         outcome: Answer | Failure | None = None
         sending.connection = connection
         try:
-            outcome = await self._converse(exchange, sending)
+            outcome = await self._converse(exchange, sending, connection)
         finally:
             if not isinstance(outcome, Answer):
                 self._connections.release(backend, sending.connection)
         sending.not_run = isinstance(outcome, Failure) and outcome.certainly_not_run
         return outcome
 
-    async def _converse(self, exchange: Exchange, sending: Sending) -> Answer | Failure:
+    async def _converse(
+        self, exchange: Exchange, sending: Sending, connection: Connection
+    ) -> Answer | Failure:
+        """The request and its answer on `connection`; `sending.connection` is always the one in use."""
         backend = sending.backend
-        stream = sending.connection.backend_stream
+        stream = connection.backend_stream
         live = self._backends.of(exchange.service.name)
         if all(other.identity != backend.identity for other in live):
             return Failure.WITHDRAWN
@@ -151,26 +158,31 @@
         )
         sending.account = stream.begin()
         try:
-            response = await sending.connection.handle_async_request(request)
+            response = await connection.handle_async_request(request)
             for _ in range(MAX_SURPLUS_ANSWERS):
                 if not _is_surplus(exchange, response):
                     break
-                await _skip(exchange, sending, response)
-                response = await sending.connection.handle_async_request(request)
+                connection = await _skip(exchange, connection, response)
+                sending.connection = connection
+                response = await connection.handle_async_request(request)
         except BROKEN_ERRORS:
             if not sending.account.sent:
                 return Failure.BROKEN_BEFORE_SEND
             return Failure.GARBLED if sending.account.answered else Failure.BROKEN
         if not sending.account.sent:
             return Failure.BROKEN_BEFORE_SEND  # no answer can be ours
-        return await self._judge(exchange, sending, response)
+        return await self._judge(exchange, sending.backend, connection, response)
 
     async def _judge(
-        self, exchange: Exchange, sending: Sending, response: httpcore.Response
+        self, exchange: Exchange, backend: Backend, connection: Connection, response: httpcore.Response
     ) -> Answer | Failure:
+        """What a response comes to, by its head alone.
+
+        A 421 promises that the request has not run and will not; so does a 408, 429 or 503 with the header
+        `NOT_EXECUTED`.  Without that header these three promise nothing, so the request may have run.
+        """
         headers = [(name.lower(), value) for name, value in response.headers]
         fields = dict(headers)
-        connection = sending.connection
         connection.apply_headers(headers)
         status = response.status
         if not _names_only(exchange.request_id, headers):
@@ -187,7 +199,9 @@
             return Failure.GARBLED
         events = success and fields.get(b"content-type", b"").startswith(b"text/event-stream")
         kept = end_to_end(headers)
-        return Answer(status, kept, events, sending.backend, response, connection, self._connections)
+        return Answer(
+            status, kept, events, backend, response, aiter(_body(response)), connection, self._connections
+        )
 
 
 def _is_surplus(exchange: Exchange, response: httpcore.Response) -> bool:
@@ -213,25 +227,26 @@
     return not (b"content-length" in fields and b"transfer-encoding" in fields)
 
 
-async def _skip(exchange: Exchange, sending: Sending, response: httpcore.Response) -> None:
-    """Drops a surplus answer; what follows it is read as the answer to our request, which has left already.
+async def _skip(exchange: Exchange, connection: Connection, response: httpcore.Response) -> Connection:
+    """Drops a surplus answer; what follows it is read, on the connection returned, as the answer to our
+    request, which has left already.
 
     Raises httpcore errors where the surplus answer does not end or ends the connection.
     """
     fields = {name.lower(): value for name, value in response.headers}
     if not _declares_its_end(exchange.method, response.status, fields):
         raise httpcore.RemoteProtocolError("a surplus answer without an end")
-    async for _ in response.stream:
+    async for _ in _body(response):
         pass
     await response.aclose()
-    sending.connection = sending.connection.after_surplus()
+    return connection.after_surplus()
 
 
 async def _drain(response: httpcore.Response, failure: Failure) -> Failure:
     """Reads a rejection to its end, so that the connection can be used again."""
     try:
         async with asyncio.timeout(REJECTION_BODY_TIMEOUT_S):
-            async for _ in response.stream:
+            async for _ in _body(response):
                 pass
         await response.aclose()
     except (*BROKEN_ERRORS, TimeoutError):
@@ -239,6 +254,11 @@
     return failure
 
 
+def _body(response: httpcore.Response) -> AsyncIterable[bytes]:
+    """The stream of an asynchronous connection's response; its type allows synchronous ones besides."""
+    return cast(AsyncIterable[bytes], response.stream)
+
+
 def _declares_its_end(method: bytes, status: int, fields: dict[bytes, bytes]) -> bool:
     """Whether an answer ends otherwise than with its connection."""
     if method == b"HEAD" or status in (204, 304):
--- a/kestrelbend/tier/dataplane/server.py
+++ b/kestrelbend/tier/dataplane/server.py
@@ -19,6 +19,7 @@
 BACKLOG = 1024
 
 CurrentLimits = Callable[[], ports.Limits | None]
+Application = Callable[..., Awaitable[None]]  # an ASGI application: scope, receive, send
 
 
 @attrs.frozen
@@ -28,7 +29,7 @@
     `closing` is called right before the idle connections are closed.
     """
 
-    application: Callable
+    application: Application
     address: str
     shutdown: Callable[[], Awaitable[None]]
     closing: Callable[[], None] = lambda: None
@@ -54,22 +55,29 @@
         self.accesslog = None
         self.errorlog = None
 
+    # Hypercorn never sets the two below; it reads the first when a connection gets idle, the second when one
+    # is accepted.
+
     @property
-    def keep_alive_timeout(self) -> float:
+    def keep_alive_timeout(self) -> float:  # type: ignore[override]
         """Seconds after which an idle connection is closed."""
         limits = self._limits()
         idle_ms = DEFAULT_IDLE_MS if limits is None else limits.idle_timeout_ms
         return idle_ms * IDLE_FACTOR / 1000
 
     @property
-    def h11_max_incomplete_size(self) -> int:
+    def h11_max_incomplete_size(self) -> int:  # type: ignore[override]
         """The bytes of a request's head that are buffered until it is complete."""
         limits = self._limits()
         return DEFAULT_HEADER_BYTES if limits is None else limits.max_header_bytes
 
 
 async def serve_all(listeners: Sequence[Listener], limits: CurrentLimits = lambda: None) -> None:
-    """Serves all listeners; returns when all are shut down.  `limits` gives those in force."""
+    """Serves all listeners; returns when all are shut down.  `limits` gives those in force.
+
+    A listener that fails (an OSError where its address is taken) ends the others, and their errors are
+    raised as one ExceptionGroup.
+    """
     await anyio.lowlevel.checkpoint()  # loads what httpcore would load within its first request
     async with asyncio.TaskGroup() as group:
         for listener in listeners:
--- a/kestrelbend/tier/dataplane/turn.py
+++ b/kestrelbend/tier/dataplane/turn.py
@@ -14,9 +14,9 @@
 
 from ..budgets.messages import Reserve, Settlement, TurnEnd, Verdict
 from . import ports
+from .attempt import Progress
 from .client import Client, OwnAnswer
 from .exchange import BUDGET, PREFIX_HASH, PROGRAM, SESSION, TOKEN_COUNT, Exchange
-from .attempt import Progress
 
 SPENT = 402
 TOO_MANY = 429
