--- a/kestrelbend/benchlink/host.py
+++ b/kestrelbend/benchlink/host.py
@@ -35,13 +35,13 @@
     def fail(self, inv):
         self.out.append(codec.fail(self.name, self.inv_ids[inv]))
 
-    def alarm(self, task, until):
+    def set_alarm(self, task, until):
         self.handles += 1
         self.alarms[self.handles] = task, until
         self.out.append(codec.alarm(self.name, self.handles, max(0, until - self.gateway.now)))
         return self.handles
 
-    def quiet(self, alarm):
+    def cancel_alarm(self, alarm):
         self.alarms.pop(alarm, None)
 
     def count(self, name, add, life):
@@ -56,16 +56,16 @@
     def log(self, text, about):
         self.out.append(codec.log(self.name, f"{text} {about}".strip()))
 
-    def forgotten(self, inv):
+    def released(self, inv):
         self.invs.pop(self.inv_ids.pop(inv, None), None)
 
     # Events, by their wire names.
 
     def roster_change(self, entries, _version, kind, _count):
         if kind == "broken":
-            self.unlisted()
+            self.discovery_failed()
         else:
-            self.listing(entries, kind != "patch")
+            self.endpoints_listed(entries, kind != "patch")
 
     def accept(self, _, number, operation, plan, name, until, units, spread, _first, flags):
         op = self.operations.get(operation)
@@ -73,21 +73,21 @@
             raise Malformed(f"'accept': unknown operation or plan: {operation!r}, {plan!r}")
         inv = i.Invocation(
             op,
-            self.account(plan, name, spread),
+            self.customer_state(plan, name, spread),
             self.gateway.now,
             until,
             units,
             bool(flags & codec.RETRY_FLAG),
         )
         self.invs[number], self.inv_ids[inv] = inv, number
-        self.take(inv)
+        self.start_invocation(inv)
 
     def returned(self, _, number, trial, _backend, result, took, ended, used, actual, load):
         inv = self.invs.get(number)
         if inv is None or trial >= len(inv.deliveries) or inv.deliveries[trial].result is not None:
             return
         used = (used - 1) / 100 if used else None  # 1 more than the percent, so that 0 is none told
-        self.ended(inv.deliveries[trial], result, took, ended, self.load(load), actual, used)
+        self.delivery_ended(inv.deliveries[trial], result, took, ended, self.load(load), actual, used)
 
     def streaming(self, _, number, _backend, _took, _trial):
         inv = self.invs.get(number)
@@ -97,7 +97,7 @@
 
     def withdrawn(self, _, number):
         if number in self.invs:
-            self.left(self.invs[number])
+            self.client_gone(self.invs[number])
 
     def reminder(self, _, handle):
         task, _ = self.alarms.pop(handle, (None, 0))
@@ -105,7 +105,7 @@
             self.run(task)
 
     def counter_reply(self, _, name, _took, result, total):
-        self.counted(name, result, total)
+        self.counter_replied(name, result, total)
 
     def probe_result(self, _, backend, result, took, load):
         self.probed(self.backends.get(backend), result, took, self.load(load))
--- a/kestrelbend/hosting.py
+++ b/kestrelbend/hosting.py
@@ -1,63 +1,79 @@
-"""Runs the module's generators; what both front ends share.
+"""Runs the decisions' generators; what every front end shares.
 
-A front end derives from `Host`, turns its protocol's ids into objects before it calls in here, and carries
-out each effect in the method of that name.
+A front end (the gateway in service, the simulator's adapter, the emulator) derives from `Host`, turns its
+protocol's ids into objects before it calls in here, and carries out each effect in the method of that name.
+
+Invariant: one event is worked on at a time, and `Gateway.now` is set before it.  A generator is resumed only
+by what it waits for: its alarm, the end of one of its deliveries, the reply to its counter call or its probe.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict, deque
+from collections.abc import Hashable, Iterable, Mapping
+from typing import Any, TypeAlias
 
 from . import interface as i
 from .decisions import BackendState, CustomerState, Gateway
 from .keys import stable_key
 
-SWEEP = 1024  # customers held before those that the module is done with are first looked for
+MIN_SWEEP = 1024  # customers known before those that may be forgotten are first looked for
+
+EndpointRow: TypeAlias = "tuple[Any, str, str, int, i.State, float, int | None]"
+"""A backend as discovery tells it: (id, zone, kind, group, state, weight, start in microseconds or None)."""
 
 
 class Task:
-    """A running generator and what it waits for."""
+    """A running generator and the handle of the alarm that it waits for, if any."""
 
     __slots__ = ("work", "inv", "alarm")
 
-    def __init__(self, work, inv=None):
-        self.work, self.inv, self.alarm = work, inv, None
+    def __init__(self, work: i.Steps[Any], inv: i.Invocation | None = None) -> None:
+        self.work = work
+        self.inv = inv  # that it serves; None for the generators beside invocations
+        self.alarm: Any = None
 
 
 class Host:
-    """One gateway: its module, its objects by the ids of the other side, its running tasks."""
+    """One gateway: its decisions, its objects by the ids of the other side, its running tasks."""
 
-    module = Gateway  # the laboratory puts baselines in its place
+    gateway_type: type[Gateway] = Gateway  # the emulator compares with others
 
-    def __init__(self, settings, seed, now):
+    def __init__(self, settings: Mapping[str, Any], seed: int | str, now: int) -> None:
         self.settings = settings
-        self.gateway = self.module(settings, seed, now)
-        self.operations = {op.name: op for op in settings["operations"]}
-        self.plans = {plan.name: plan for plan in settings["plans"]}
-        self.backends, self.backend_ids, self.listed = {}, {}, {}
-        self.customers, self.tasks, self.sweep_at = {}, {}, SWEEP
-        self.counts, self.probes = defaultdict(deque), defaultdict(deque)
-
-    def start(self):
+        self.gateway = self.gateway_type(settings, seed, now)
+        self.operations: dict[str, i.Operation] = {op.name: op for op in settings["operations"]}
+        self.plans: dict[str, i.Plan] = {plan.name: plan for plan in settings["plans"]}
+        self.backends: dict[Hashable, BackendState] = {}  # by id, also those no longer listed
+        self.backend_ids: dict[BackendState, Any] = {}
+        self.listed: dict[Hashable, BackendState] = {}  # what discovery lists, in any state
+        self.customers: dict[tuple[str, str], CustomerState] = {}  # by plan and name
+        self.sweep_at = MIN_SWEEP
+        self.tasks: dict[i.Invocation, Task] = {}
+        self.counts: defaultdict[int, deque[Task]] = defaultdict(deque)  # counter calls in flight, by name
+        self.probes: defaultdict[i.Backend, deque[Task]] = defaultdict(deque)
+
+    def start(self) -> None:
+        """Start the background tasks; once."""
         for work in self.gateway.background.tasks():
             self.run(Task(work))
 
-    def run(self, task, value=None):
-        """Resume a task until it waits or ends."""
+    def run(self, task: Task, value: Any = None) -> None:
+        """Resume a task with the answer to its last effect, until it waits or ends."""
         task.alarm = None
         while True:
             try:
                 effect = task.work.send(value)
             except StopIteration:
                 if task.inv is not None:
-                    self.over(task.inv)
+                    self._invocation_ended(task.inv)
                 return
             value = None
             match effect:
-                case i.Deliver(d):
-                    self.deliver(d)
-                case i.Cancel(d):
-                    self.cancel(d)
+                case i.Deliver(delivery):
+                    self.deliver(delivery)
+                case i.Cancel(delivery):
+                    self.cancel(delivery)
                 case i.Throttle(inv, retry_after):
                     self.throttle(inv, retry_after)
                     inv.done = True
@@ -65,11 +81,11 @@
                     self.fail(inv)
                     inv.done = True
                 case i.Pause(until):
-                    task.alarm = self.alarm(task, until)
+                    task.alarm = self.set_alarm(task, until)
                     return
-                case i.Count(name, add, life):
+                case i.Count(name, amount, lifetime):
                     self.counts[name].append(task)
-                    self.count(name, add, life)
+                    self.count(name, amount, lifetime)
                     return
                 case i.Probe(backend):
                     self.probes[backend].append(task)
@@ -86,83 +102,159 @@
                 case _:
                     raise TypeError(f"not an effect: {effect!r}")
 
-    def resume(self, inv, value=None):
+    def resume(self, inv: i.Invocation, value: i.Delivery | None = None) -> None:
         """Resume an invocation that pauses; one that waits for a count sees `inv.done` by itself."""
         task = self.tasks.get(inv)
         if task is not None and task.alarm is not None:
-            self.quiet(task.alarm)
+            self.cancel_alarm(task.alarm)
             self.run(task, value)
 
-    def take(self, inv):
+    # Events, as the front end tells them.
+
+    def start_invocation(self, inv: i.Invocation) -> None:
+        """A request came in."""
         self.tasks[inv] = task = Task(self.gateway.invocation(inv), inv)
         self.run(task)
 
-    def account(self, plan, name, spread):
-        customer = self.customers.get((plan, name))
-        if customer is None:
-            if len(self.customers) >= self.sweep_at:  # they would fill the memory in the end
-                kept = {k: acc for k, acc in self.customers.items() if not self.gateway.may_forget(acc)}
-                self.customers, self.sweep_at = kept, max(SWEEP, 2 * len(kept))
-            spread = spread or self.settings["gateways"]
-            customer = self.customers[plan, name] = CustomerState(name, self.plans[plan], spread)
-        return customer
-
-    def over(self, inv):
-        """The generator has ended; ids stay while deliveries are out."""
-        if not inv.done:
-            raise RuntimeError("an invocation ended without an answer")
-        self.tasks.pop(inv, None)
-        self.forget(inv)
-
-    def forget(self, inv):
-        if inv not in self.tasks and all(d.result is not None for d in inv.deliveries):
-            self.forgotten(inv)
-
-    def listing(self, entries, whole):
-        """What discovery told: entries are (id, zone, kind, group, state, weight, started or None)."""
-        if whole:
-            for target in self.listed.values():
-                target.state = i.State.GONE
-            self.listed = {}
-        for number, zone, machine, group, state, weight, started in entries:
-            target = self.backends.get(number)
-            if target is None:
-                target = self.backends[number] = BackendState()
-                target.key = stable_key(str(number))
-                self.backend_ids[target] = number
-            target.zone, target.kind, target.group, target.state = zone, machine, group, state
-            target.weight, target.started = weight if weight > 0 else 1.0, started or None
-            if state is i.State.GONE:
-                self.listed.pop(number, None)
-            else:
-                self.listed[number] = target
-        self.gateway.endpoints_changed(list(self.listed.values()), False)
+    def delivery_ended(
+        self,
+        delivery: i.Delivery,
+        result: i.Result,
+        took: int,
+        final: bool,
+        load: dict[str, float] | None,
+        actual: float,
+        used: float | None = None,
+    ) -> None:
+        """A delivery ended after `took` microseconds; `final`: its client has its answer by it.
 
-    def unlisted(self):
-        """A call to discovery failed, or its watch ended."""
-        self.gateway.endpoints_changed(list(self.listed.values()), True)
-
-    def ended(self, delivery, result, took, final, load, actual, used=None):
-        delivery.result, delivery.took = result, took
+        `load`, `actual`, `used`: what the answer tells (`Outcomes.ended`).
+        """
+        delivery.result = result
+        delivery.took = took
         inv = delivery.inv
         inv.done = inv.done or final
         self.run(Task(self.gateway.outcomes.ended(delivery, load, actual, used)))
         self.resume(inv, delivery)
-        self.forget(inv)
+        self.release_if_complete(inv)
 
-    def left(self, inv):
+    def client_gone(self, inv: i.Invocation) -> None:
+        """Its client waits no longer."""
         if not inv.done:
             inv.done = True
             self.resume(inv)
 
-    def counted(self, name, result, total):
-        """Answers for one name come in the order of the calls."""
+    def counter_replied(self, name: int, result: i.Result, total: float) -> None:
+        """The reply to a counter call; replies for one name come in the order of the calls."""
         if self.counts.get(name):
             task = self.counts[name].popleft()
             if not self.counts[name]:
                 del self.counts[name]
             self.run(task, i.Counted(result, total))
 
-    def probed(self, backend, result, took, load):
+    def probed(self, backend: i.Backend, result: i.Result, took: int, load: dict[str, float] | None) -> None:
+        """The reply to a probe, after `took` microseconds."""
         if self.probes.get(backend):
             self.run(self.probes[backend].popleft(), i.Probed(result, took, load))
+
+    def endpoints_listed(self, entries: Iterable[EndpointRow], complete: bool) -> None:
+        """What discovery told; `complete`: backends that are not among them are gone."""
+        if complete:
+            for backend in self.listed.values():
+                backend.state = i.State.GONE
+            self.listed = {}
+        for uid, zone, kind, group, state, weight, started in entries:
+            backend = self.backends.get(uid) or self._new_backend(uid)
+            backend.zone = zone
+            backend.kind = kind
+            backend.group = group
+            backend.state = state
+            backend.weight = weight if weight > 0 else 1.0
+            backend.started = started or None
+            if state is i.State.GONE:
+                self.listed.pop(uid, None)
+            else:
+                self.listed[uid] = backend
+        self.gateway.endpoints_changed(list(self.listed.values()), False)
+
+    def _new_backend(self, uid: Hashable) -> BackendState:
+        backend = self.backends[uid] = BackendState()
+        backend.key = stable_key(str(uid))
+        self.backend_ids[backend] = uid
+        return backend
+
+    def discovery_failed(self) -> None:
+        """A call to discovery failed, or its watch ended."""
+        self.gateway.endpoints_changed(list(self.listed.values()), True)
+
+    # Objects.
+
+    def customer_state(self, plan: str, name: str, spread: int) -> CustomerState:
+        """What is known of a customer; `spread`: how many gateways it may reach, 0: all."""
+        customer = self.customers.get((plan, name))
+        if customer is None:
+            if len(self.customers) >= self.sweep_at:  # they would fill the memory in the end
+                may_forget = self.gateway.may_forget
+                self.customers = {k: known for k, known in self.customers.items() if not may_forget(known)}
+                self.sweep_at = max(MIN_SWEEP, 2 * len(self.customers))
+            spread = spread or self.settings["gateways"]
+            customer = self.customers[plan, name] = CustomerState(name, self.plans[plan], spread)
+        return customer
+
+    def _invocation_ended(self, inv: i.Invocation) -> None:
+        """The generator has ended; ids stay while deliveries are in flight."""
+        if not inv.done:
+            raise RuntimeError("an invocation ended without an answer")
+        self.tasks.pop(inv, None)
+        self.release_if_complete(inv)
+
+    def release_if_complete(self, inv: i.Invocation) -> None:
+        """Nothing more can come of it: the front end may forget its ids."""
+        if inv not in self.tasks and all(d.result is not None for d in inv.deliveries):
+            self.released(inv)
+
+    # Effects, which the front end carries out.
+
+    def deliver(self, delivery: i.Delivery) -> None:
+        """Send it to its backend; `delivery_ended` tells what became of it."""
+        raise NotImplementedError
+
+    def cancel(self, delivery: i.Delivery) -> None:
+        """Stop waiting for it; `delivery_ended` follows."""
+        raise NotImplementedError
+
+    def throttle(self, inv: i.Invocation, retry_after: int) -> None:
+        """Answer its client: rejected, to come back after so many microseconds (0: no advice)."""
+        raise NotImplementedError
+
+    def fail(self, inv: i.Invocation) -> None:
+        """Answer its client: errored."""
+        raise NotImplementedError
+
+    def set_alarm(self, task: Task, until: int) -> Any:
+        """Run the task at a time in microseconds; a handle, never None."""
+        raise NotImplementedError
+
+    def cancel_alarm(self, alarm: Any) -> None:
+        """The task of this handle was resumed by something else."""
+        raise NotImplementedError
+
+    def count(self, name: int, amount: float, lifetime: int) -> None:
+        """Call the counter service; `counter_replied` follows, or its time-out."""
+        raise NotImplementedError
+
+    def probe(self, backend: Any) -> None:
+        """Ask a backend for its load; `probed` follows."""
+        raise NotImplementedError
+
+    def subscribe(self) -> None:
+        """Ask discovery for its changes from now on."""
+        raise NotImplementedError
+
+    def log(self, text: str, about: Any) -> None:
+        """A line for staff about the backend of an id, the customer of a name, or "" for nothing."""
+        raise NotImplementedError
+
+    def released(self, inv: i.Invocation) -> None:
+        """Forget an invocation's ids."""
+        raise NotImplementedError
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -48,7 +48,7 @@
     def __init__(self, plant, index, number, known):
         world = plant.world
         if plant.module is not None:
-            self.module = plant.module
+            self.gateway_type = plant.module
         settings = plant.settings(index)
         members = world.scenario.members
         self.shares = probes_shared(settings, members is not None and members.share_probes)
@@ -59,7 +59,7 @@
         self.tries, self.invs, self.pools, self.sending = {}, {}, {}, {}
         self.agent, self.draining = world.discovery.agents[index], False
         self.member = None
-        self.listing(rows(known, self), True)
+        self.endpoints_listed(rows(known, self), True)
         self.start()
 
     def run(self, task, value=None):
@@ -73,20 +73,20 @@
 
     def taken(self, asking, came):
         op, customer = self.operations[asking.request.op.name], asking.request.customer
-        acc = self.account(customer.plan.name, customer.name, customer.spread)
+        acc = self.customer_state(customer.plan.name, customer.name, customer.spread)
         until = self.plant.time(self.index) + asking.until - self.clock.now
         inv = Invocation(
             op, acc, came + self.plant.offsets[self.index], until, asking.request.units, asking.retry
         )
         self.tries[inv], self.invs[asking.number] = asking, inv
-        self.take(inv)
+        self.start_invocation(inv)
 
     def client_left(self, asking):
         inv = self.invs.get(asking.number)
         if inv is not None:
             if self.clock.now < asking.until:  # else an answer was due by then
                 self.world.oracle.left(asking.number)
-            self.left(inv)
+            self.client_gone(inv)
 
     def delivered(self, d, result, took, load=None):
         sending = self.sending.pop(d, None)
@@ -98,7 +98,7 @@
         if final:
             self.answer(asking, "succeeded")
         self.release(sending)
-        self.ended(d, result, took, final, load, 0)
+        self.delivery_ended(d, result, took, final, load, 0)
 
     # Effects.
 
@@ -216,7 +216,7 @@
         self.world.oracle.answered(asking.number, what)
         self.world.network.send(self.party, clients.party, clients.answered, asking, what, retry_after)
 
-    def alarm(self, task, until):
+    def set_alarm(self, task, until):
         return self.clock.after(max(0, until - self.gateway.now), self.ring, task, until)
 
     def ring(self, task, until):
@@ -226,7 +226,7 @@
         if task.alarm is not None and task.alarm[2] is not None and self.gateway.now >= until:
             self.run(task)
 
-    def quiet(self, alarm):
+    def cancel_alarm(self, alarm):
         self.clock.cancel(alarm)
 
     def count(self, name, add, life):
@@ -255,7 +255,7 @@
             self.clock.cancel(call.timer)
             result = Result.REJECTED if total == TURNED_AWAY else Result.SUCCEEDED
             self.world.tally.called("turned away" if total == TURNED_AWAY else "answered")
-            self.counted(call.name, result, 0.0 if total == TURNED_AWAY else total)
+            self.counter_replied(call.name, result, 0.0 if total == TURNED_AWAY else total)
 
     def uncounted(self, call):
         self.post(self.unheard, call)
@@ -264,7 +264,7 @@
         if not call.over:
             call.over = True
             self.world.tally.called("unanswered")
-            self.counted(call.name, Result.TIMED_OUT, 0.0)
+            self.counter_replied(call.name, Result.TIMED_OUT, 0.0)
 
     def probe(self, target):
         self.world.tally.probed()
@@ -292,7 +292,7 @@
     def log(self, text, about):
         self.world.tally.counts[f"log: {text}"] += 1
 
-    def forgotten(self, inv):
+    def released(self, inv):
         asking = self.tries.pop(inv, None)
         if asking is not None:
             self.invs.pop(asking.number, None)
@@ -305,7 +305,7 @@
         self.post(self.list, entries, whole)
 
     def list(self, entries, whole):
-        self.listing(rows(entries, self), whole)
+        self.endpoints_listed(rows(entries, self), whole)
 
     def taken_early(self, asking, came):
         """What came while the gateway was being loaded: its time ran all along."""
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -58,7 +58,7 @@
     # The list as it was known before may be old, and what discovery has counts as told from the first moment:
     # its list goes before whatever clients ask.
     if told.checks is not None and told.checks.upstream:
-        owner.listing([("upstream", "", "", 0, State.READY, 1.0, None)], True)
+        owner.endpoints_listed([("upstream", "", "", 0, State.READY, 1.0, None)], True)
     else:
         owner.roster.watch()
         await owner.roster.first()
--- a/kestrelbend/net/owner.py
+++ b/kestrelbend/net/owner.py
@@ -52,7 +52,7 @@
                 inv.done = True
                 self.home(inv).errored(self.requests[inv])
             self.tasks.pop(inv, None)
-            self.forget(inv)
+            self.release_if_complete(inv)
 
     def home(self, inv):
         """The front that an invocation came by."""
@@ -62,18 +62,18 @@
 
     def on_taken(self, request):
         op = self.operations[request.operation]
-        customer = self.account(request.plan, request.customer, request.spread)
+        customer = self.customer_state(request.plan, request.customer, request.spread)
         wait = op.timeout if request.wait is None else round(request.wait * 1e6)
         until = request.came + wait - min(self.late, wait // 4)  # its last alarm will be late, too
         inv = request.inv = Invocation(op, customer, request.came, until, request.units, request.retry)
         self.requests[inv] = request
         if request.answer.cancelled():
             inv.done = True
-        self.take(inv)
+        self.start_invocation(inv)
 
     def on_left(self, request):
         if request.inv is not None:
-            self.left(request.inv)
+            self.client_gone(request.inv)
 
     def on_ended(self, d, result, took, answer, load, actual, used=None):
         request = self.requests.get(d.inv)
@@ -82,12 +82,12 @@
         final = result is Result.SUCCEEDED and not d.inv.done
         if final:
             self.clients.succeeded(self.requests[d.inv], *answer)
-        self.ended(d, result, took, final, load, actual, used)
+        self.delivery_ended(d, result, took, final, load, actual, used)
 
     def on_authorised(self, d):
         """Its authorisers let it go on; whatever happened meanwhile goes before."""
         if d.inv.done or d.inv not in self.requests:
-            self.ended(d, Result.VOID, 0, False, None, 0)
+            self.delivery_ended(d, Result.VOID, 0, False, None, 0)
         else:
             d.sent = self.gateway.now  # their time is not the backend's
             self.backend_peer.deliver(d, self.requests[d.inv])
@@ -97,7 +97,7 @@
         if denial is not None and not d.inv.done:
             d.inv.done = True
             self.clients.denied(self.requests[d.inv], denial)
-        self.ended(d, result, 0, False, None, 0)
+        self.delivery_ended(d, result, 0, False, None, 0)
 
     def on_alarm(self, task, until):
         self.late = max(self.gateway.now - until, self.late - self.late // 32)
@@ -105,7 +105,7 @@
             self.run(task)
 
     def on_counted(self, name, result, total):
-        self.counted(name, result, total)
+        self.counter_replied(name, result, total)
 
     def on_probed(self, backend, result, took, load):
         self.probed(backend, result, took, load)
@@ -144,7 +144,7 @@
         before, barred = set(self.listed), self.backend_peer.barred
         for target in [target for target, by in barred.items() if by is told]:
             del barred[target]
-        self.listing(rows, whole)
+        self.endpoints_listed(rows, whole)
         for uid in self.listed.keys() & endpoints.keys():
             self.backend_peer.listed(self.backends[uid], endpoints[uid])
         for uid in before - set(self.listed):
@@ -159,7 +159,7 @@
                     del self.backend_ids[self.backends.pop(uid)]
 
     def on_unlisted(self):
-        self.unlisted()
+        self.discovery_failed()
 
     # Effects.
 
@@ -184,11 +184,11 @@
     def fail(self, inv):
         self.home(inv).errored(self.requests[inv])
 
-    def alarm(self, task, until):
+    def set_alarm(self, task, until):
         left, event = max(0, until - self.gateway.now) / 1e6, ("alarm", task, until)
         return asyncio.get_running_loop().call_later(left, self.queue.put_nowait, event), until
 
-    def quiet(self, alarm):
+    def cancel_alarm(self, alarm):
         alarm[0].cancel()
 
     def count(self, name, add, life):
@@ -203,5 +203,5 @@
     def log(self, text, about):
         log.info(text, extra={"about": about} if about != "" else None)
 
-    def forgotten(self, inv):
+    def released(self, inv):
         self.requests.pop(inv, None)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -287,7 +287,9 @@
 
 
 def delivery(owner, target, customer="c1", seconds=2.0):
-    inv = Invocation(owner.operations["op"], owner.account("plan", customer, 1), 0, 1 << 62, 1.0, False)
+    inv = Invocation(
+        owner.operations["op"], owner.customer_state("plan", customer, 1), 0, 1 << 62, 1.0, False
+    )
     until = owner.clock() + round(seconds * 1e6)
     return Delivery(inv, target, owner.clock(), until, 0, until)
 
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -137,9 +137,9 @@
         self.digest.add(self, "fail", self.asked_by(inv))
         super().fail(inv)
 
-    def alarm(self, task, until):
+    def set_alarm(self, task, until):
         self.digest.add(self, "alarm", until)
-        return super().alarm(task, until)
+        return super().set_alarm(task, until)
 
     def count(self, name, add, life):
         self.digest.add(self, "count", name, add, life)
@@ -153,13 +153,13 @@
         self.digest.add(self, "log", text, about)
         super().log(text, about)
 
-    def ended(self, delivery, result, took, final, load, actual, used=None):
+    def delivery_ended(self, delivery, result, took, final, load, actual, used=None):
         self.digest.add(self, "ended", self.backend_ids[delivery.backend], result.value, took, final, load)
-        super().ended(delivery, result, took, final, load, actual, used)
+        super().delivery_ended(delivery, result, took, final, load, actual, used)
 
-    def counted(self, name, result, total):
+    def counter_replied(self, name, result, total):
         self.digest.add(self, "counted", name, result.value, total)
-        super().counted(name, result, total)
+        super().counter_replied(name, result, total)
 
 
 def stated(name):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -446,7 +446,7 @@
 def test_the_dearer_operation_waits_in_front():
     f = two_kinds(classes__0__worth=2, classes__1__worth=3)
     cheap, dear = (f.inst.operations[name] for name in ("op", "other"))
-    acc = f.inst.account("plan", "c", 2)
+    acc = f.inst.customer_state("plan", "c", 2)
     invs = [Invocation(op, acc, f.now, f.now + 9, 1.0, False) for op in (cheap, dear)]
     assert max(invs, key=f.gateway.credits.backlog.value) is invs[1]
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -238,12 +238,12 @@
 
 
 def test_the_oracle_sees_rule_3_broken(monkeypatch):
-    listing = plant.Life.listing
+    listing = plant.Life.endpoints_listed
 
     def deaf(life, entries, whole):
         listing(life, [(*e[:4], State.READY, *e[5:]) for e in entries], whole)
 
-    monkeypatch.setattr(plant.Life, "listing", deaf)
+    monkeypatch.setattr(plant.Life, "endpoints_listed", deaf)
     more = failure(kind="release", at="1s", lasts="1s", drain="3s", share=0.5)
     broken(run(scenario(more, discovery__delay=100_000))[1], 3, "after it was told off the list")
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -121,7 +121,9 @@
         async with World() as world:
             owner, sent = world.owner, asyncio.Queue()
             target, request = owner.backends["s0"], asked_for(owner, "c1")
-            inv = Invocation(owner.operations["op"], owner.account("plan", "c1", 1), 0, 1 << 62, 1.0, False)
+            inv = Invocation(
+                owner.operations["op"], owner.customer_state("plan", "c1", 1), 0, 1 << 62, 1.0, False
+            )
             peer, target.state = owner.backend_peer, State.DRAINING
             peer.queue = sent
             until = owner.clock() + 500_000
