--- a/kestrelbend/tier/protocol/framing.py
+++ b/kestrelbend/tier/protocol/framing.py
@@ -81,7 +81,7 @@
 
     @property
     def waiting_bytes(self) -> int:
-        """What large messages have left to be written."""
+        """The bytes of large messages that remain to be written."""
         return self._large_bytes
 
     def add(self, data: bytes) -> LargeMessage | None:
@@ -102,7 +102,7 @@
             self._large_bytes -= len(message.data)
 
     def acknowledge(self, count: int) -> None:
-        """To be told to the peer: chunks of so many bytes have come."""
+        """Has the peer notified that chunks of so many bytes have come."""
         self._small += (
             _header_word(ACKNOWLEDGEMENT, ACKNOWLEDGED_BYTES.size),
             ACKNOWLEDGED_BYTES.pack(count),
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -18,7 +18,7 @@
 class ControlReports:
     """Heartbeats and subscriptions of one process, to the nodes that `choice` names.
 
-    `on_unfollowed(address)` is told of a node whose complete streams are not wanted any more.
+    `on_unfollowed(address)` is called for a node whose complete streams are not wanted any more.
     """
 
     def __init__(
--- a/kestrelbend/tier/roles/local_shards.py
+++ b/kestrelbend/tier/roles/local_shards.py
@@ -48,7 +48,7 @@
 
 
 class LocalShards:
-    """The replicas of a process, and what others are told of them."""
+    """The replicas of a process, and what others are notified of them."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.replica_id = ""  # the address and the disk's identity
@@ -152,7 +152,7 @@
     def _owns_any(self) -> bool:
         return any(replica.is_leader for replica in self.replicas())
 
-    # What others are told
+    # What others are notified of
 
     def reports(self) -> tuple[ShardReport, ...]:
         """The replicas, as heartbeats tell of them."""
