--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -61,8 +61,8 @@
         """What the disk holds."""
         return replay(self.records)
 
-    def start(self, founders: Voters, timing: Timing, watches_currency: bool) -> None:
-        """A process begins from the disk; what was not synced is lost.  `watches_currency`: its currency."""
+    def start(self, founders: Voters, timing: Timing, watches_freshness: bool) -> None:
+        """A process begins from the disk; what was not synced is lost."""
         self.incarnation += 1
         self.unsynced = []
         self.delayed = None
@@ -80,8 +80,8 @@
             first_ticket=self.incarnation * TICKETS_PER_INCARNATION,
         )
         self.last_contacts = {}
-        if watches_currency:
-            self._replica.watch_currency()
+        if watches_freshness:
+            self._replica.watch_freshness()
 
     def sync(self) -> int:
         """The oldest write under way is on the disk; its ticket."""
--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -105,7 +105,7 @@
         require(confirmed, f"{node.name} refuses an order and heard {sorted(heard)} since")
 
     def standing(self, node: Node) -> None:
-        """Contact and currency are claimed only by what was asked, and answered, within `CONTACT_S`."""
+        """Contact and freshness are claimed only by what was asked, and answered, within `CONTACT_S`."""
         replica, now = node.replica, node.clock
         since = now - CONTACT_S
         if owner_contact.in_contact(replica, now):
--- a/kestrelbend/tier/model/scripts.py
+++ b/kestrelbend/tier/model/scripts.py
@@ -13,10 +13,10 @@
 ORDER_SCRIPTS: dict[str, Script] = {}  # with orders on the configuration, see `orders`
 
 
-def _script(name: str, founders: str, others: str, *parts: str, watches_currency: bool = False) -> None:
+def _script(name: str, founders: str, others: str, *parts: str, watches_freshness: bool = False) -> None:
     lines = tuple(tuple(line.split()) for line in "; ".join(parts).split("; "))
     into = ORDER_SCRIPTS if any(line[0] == "order" for line in lines) else SCRIPTS
-    into[name] = Script(name, founders, others, lines, watches_currency)
+    into[name] = Script(name, founders, others, lines, watches_freshness)
 
 
 _script("orders", "abc", "", "time_out a; propose a first; read a; propose a second")
@@ -141,7 +141,7 @@
     "",
     "time_out a; propose a first; advance a 0.1; advance b 0.1; advance c 0.1; advance a 0.1; split c",
     "propose a second; advance c 0.3; advance c 0.4; propose a third; heal; advance a 0.1; advance c 0.1",
-    watches_currency=True,
+    watches_freshness=True,
 )
 _script(
     "owner_cut_off_in_contact",
@@ -149,7 +149,7 @@
     "",
     "time_out a; propose a first; advance a 0.1; split a; time_out b; propose b second",
     "advance a 0.4; heal",
-    watches_currency=True,
+    watches_freshness=True,
 )
 _script(
     "old_replies",
@@ -157,7 +157,7 @@
     "",
     "time_out a; propose a first; delay_messages a; advance a 0.1",
     "split a; advance a 0.3; deliver_delayed a; advance a 0.35",
-    watches_currency=True,
+    watches_freshness=True,
 )
 _script(
     "stood_still",
@@ -165,7 +165,7 @@
     "",
     "split bc; stall_disk c; time_out b; delay_messages b; resume_disk c",
     "pause_process b 5; deliver_delayed b; advance b 0.02",
-    watches_currency=True,
+    watches_freshness=True,
 )
 _script("owner_alone", "abc", "", "time_out a; propose a first; split a", ROUNDS, ROUNDS)
 _script(
@@ -174,7 +174,7 @@
     "",
     "time_out a; propose a first; split c; propose a second; propose a third; lose_power c; heal",
     "advance a 0.1; advance c 0.1; advance a 0.1",
-    watches_currency=True,
+    watches_freshness=True,
 )
 _script(
     "orders_race",
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -38,7 +38,7 @@
     founders: str
     others: str
     lines: tuple[Step, ...]
-    watches_currency: bool = False  # all replicas ask their leader how new they are, all the time
+    watches_freshness: bool = False  # all replicas ask their leader how new they are, all the time
 
 
 @attrs.frozen
@@ -258,7 +258,7 @@
 
     def _start(self, name: str) -> None:
         node = self.nodes[name]
-        node.start(self.founders, self.timing, self.script.watches_currency)
+        node.start(self.founders, self.timing, self.script.watches_freshness)
         self._work(node)
 
     def _handle(self, event: Message | Written) -> None:
@@ -309,7 +309,7 @@
         self._confirmed(node, effects)
         if effects.writes:
             self.rules.logs_match(other.replica for other in self.nodes.values() if other.is_started)
-        if self.script.watches_currency:
+        if self.script.watches_freshness:
             self.rules.standing(node)
         if effects.leadership_changed and replica.is_leader:
             self._do(self.when_leader.pop(node.name, None))
@@ -377,7 +377,7 @@
         require(self.rules.commands()[: len(acknowledged)] == acknowledged, "commands are lost")
 
     def _is_calm(self) -> bool:
-        """All voters hold the whole history, with the last command."""
+        """All voters hold the complete history, with the last command."""
         held = [node for node in self.nodes.values() if node.identity in self.rules.group]
         alive = [voter for voter in self.rules.group if voter not in self.rules.emptied]
         newest = len(self.rules.history)
--- a/kestrelbend/tier/replication/replica.py
+++ b/kestrelbend/tier/replication/replica.py
@@ -148,7 +148,7 @@
             return self._reads.current_at(self.applied_index)
         return leader_state.confirmed_at if leader_state.has_committed else NEVER
 
-    def in_touch(self, now: float) -> bool:
+    def is_in_contact(self, now: float) -> bool:
         """Whether the replica heard from a majority, or from its leader, within the election timeout."""
         roles = self._roles
         if roles.leader_state is not None:
@@ -226,9 +226,9 @@
         leader_state.confirm(ticket)
         return ticket
 
-    def watch_currency(self) -> None:
+    def watch_freshness(self) -> None:
         """Asks the leader again and again from now on; without it a follower is never confirmed."""
-        self._roles.watches_currency = True
+        self._roles.watches_freshness = True
 
     def set_learners(self, identities: tuple[ReplicaId, ...]) -> None:
         """The replicas that get all entries without a vote, while this one leads."""
--- a/kestrelbend/tier/replication/roles.py
+++ b/kestrelbend/tier/replication/roles.py
@@ -43,7 +43,7 @@
         self.election = Election(state, now)
         self.placement = Placement(state)
         self.reads = reads
-        self.watches_currency = False
+        self.watches_freshness = False
 
     # Changes of role
 
@@ -174,8 +174,8 @@
     # Reads
 
     def _request_read_index_when_due(self, follower_state: FollowerState, now: float) -> None:
-        """Asks the leader for its read index, where this replica watches its currency."""
-        if not self.watches_currency or not self.reads.is_due(now):
+        """Asks the leader for its read index, where this replica watches its freshness."""
+        if not self.watches_freshness or not self.reads.is_due(now):
             return
         state = self._state
         request = ReadIndexRequest(state.shard, state.identity, state.term, self.reads.begin_request(now))
--- a/kestrelbend/tier/replication/timing.py
+++ b/kestrelbend/tier/replication/timing.py
@@ -26,7 +26,7 @@
     pre_vote_interval: float = 0.15  # between two pre-votes of one candidate
     pre_vote_backoff: float = 0.25  # that a voter which granted a pre-vote holds back its own, once
     reply_timeout: float = 0.3  # without a reply, until the leader sends heartbeats alone
-    read_index_interval: float = 0.2  # between two questions of a follower that watches its currency
+    read_index_interval: float = 0.2  # between two questions of a follower that watches its freshness
     snapshot_retry: float = 1.0  # until a first chunk of a snapshot counts as lost
     disk_stall: float = 0.8  # that a write may take before the disk counts as stalled
     transfer_timeout: float = 1.0  # that a leadership transfer may take
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -116,8 +116,8 @@
 class Cluster:
     """Machines, links and one clock; `seed` decides all that is left to chance."""
 
-    def __init__(self, names="abc", others="", seed=0, timing=None, watches_currency=False):
-        self.watches_currency = watches_currency
+    def __init__(self, names="abc", others="", seed=0, timing=None, watches_freshness=False):
+        self.watches_freshness = watches_freshness
         self.random = random.Random(seed)
         self.timing = timing or Timing()
         self.now = 0.0
@@ -147,8 +147,8 @@
             now=self.now,
             first_ticket=node.incarnation * TICKETS_OF_A_LIFE,
         )
-        if self.watches_currency:
-            node.replica.watch_currency()
+        if self.watches_freshness:
+            node.replica.watch_freshness()
         self._work(node)
 
     def lose_power(self, *names):
@@ -199,7 +199,7 @@
     def leader(self):
         """The leader that is in contact with a majority, if there is one."""
         leaders = [node for node in self.nodes.values() if node.up and node.replica.is_leader]
-        leaders = [node for node in leaders if node.replica.in_touch(self.now)]
+        leaders = [node for node in leaders if node.replica.is_in_contact(self.now)]
         return max(leaders, key=lambda node: node.replica.term, default=None)
 
     def propose(self, command, node=None):
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -172,7 +172,7 @@
         replica = self.leader()
         replica.tick(0.9)
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 1.2)
-        self.assertFalse(replica.in_touch(1.2))
+        self.assertFalse(replica.is_in_contact(1.2))
 
     def test_a_read_waits_for_an_entry_of_the_epoch(self):
         replica = self.leader()
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -67,7 +67,7 @@
         cluster.run(2.0)
         cluster.nodes["a"].frozen = False
         self.assertIsNone(cluster.propose(b"late", cluster.nodes["a"]))
-        self.assertFalse(cluster.nodes["a"].replica.in_touch(cluster.now))
+        self.assertFalse(cluster.nodes["a"].replica.is_in_contact(cluster.now))
 
     def test_a_planned_leaving_hands_over_within_a_few_round_trips(self):
         cluster = settled()
@@ -125,7 +125,7 @@
         cluster.stall_disk("c")
         cluster.propose(b"more")
         cluster.run(3.0)
-        self.assertTrue(cluster.nodes["c"].replica.in_touch(cluster.now))
+        self.assertTrue(cluster.nodes["c"].replica.is_in_contact(cluster.now))
         self.assertEqual(1, cluster.leader().replica.term)
 
     def test_an_owner_whose_disk_stalls_hands_over_what_the_others_hold(self):
