--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -97,35 +97,35 @@
 
 def _record_connections(recording: Recording) -> None:
     write, deliver, close, abort = (
-        network.End.write,
-        network.End.deliver,
-        network.End.close,
-        network.End.abort,
+        network.Connection.write,
+        network.Connection.deliver,
+        network.Connection.close,
+        network.Connection.abort,
     )
 
-    def names(end: network.End) -> tuple[str, str]:
+    def names(end: network.Connection) -> tuple[str, str]:
         return end.execution.name, end.peer.execution.name
 
-    def recorded_write(end: network.End, data: bytes) -> None:
+    def recorded_write(end: network.Connection, data: bytes) -> None:
         recording.add("write", *names(end), end.closed, data)
         write(end, data)
 
-    def recorded_deliver(end: network.End, data: bytes | None) -> None:
+    def recorded_deliver(end: network.Connection, data: bytes | None) -> None:
         recording.add("deliver", *names(end), end.closed, data)
         deliver(end, data)
 
-    def recorded_close(end: network.End) -> None:
+    def recorded_close(end: network.Connection) -> None:
         recording.add("close", *names(end), end.closed)
         close(end)
 
-    def recorded_abort(end: network.End) -> None:
+    def recorded_abort(end: network.Connection) -> None:
         recording.add("abort", *names(end), end.closed)
         abort(end)
 
-    network.End.write = recorded_write
-    network.End.deliver = recorded_deliver
-    network.End.close = recorded_close
-    network.End.abort = recorded_abort
+    network.Connection.write = recorded_write
+    network.Connection.deliver = recorded_deliver
+    network.Connection.close = recorded_close
+    network.Connection.abort = recorded_abort
 
 
 def _record_disks(recording: Recording) -> None:
--- a/kestrelbend/tier/fleet/answers.py
+++ b/kestrelbend/tier/fleet/answers.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
-from ..membership.placement import address_of
 from ..membership.owner_contact import CONTACT_S
+from ..membership.placement import address_of
+from ..replication.replica import Replica
 from .fleet import Fleet
 from .http import Failure, Reply
+from .machines import Machine
 
 SLACK_S = 0.05
 UNAVAILABLE = 503
@@ -26,13 +28,12 @@
         return
     for role in ("control", "store"):
         for process in fleet.processes(role):
-            for shard in process.instance.host.shards():
-                replica = process.instance.host.replica(shard)
+            for replica in process.replicas():
                 if replica.is_leader:
-                    _check_group(fleet, machine, shard, replica)
+                    _check_group(fleet, machine, replica)
 
 
-def _check_group(fleet: Fleet, machine, shard: str, replica) -> None:
+def _check_group(fleet: Fleet, machine: Machine, replica: Replica) -> None:
     group = replica._state.log.voters_at(replica.commit_index)
     if any(address_of(voter).startswith(f"{machine.place.ip}:") for voter in group):
-        fleet.broken(f"{machine.name} counts as emptied and is in the group of {shard}: {group}")
+        fleet.broken(f"{machine.name} counts as emptied and is in the group of {replica.shard}: {group}")
--- a/kestrelbend/tier/fleet/backends.py
+++ b/kestrelbend/tier/fleet/backends.py
@@ -74,6 +74,11 @@
         self._target = ""
         return False
 
+    def is_drained(self, latest: float) -> bool:
+        """Whether its end was acknowledged before a moment, in seconds of the loop."""
+        acknowledged_at = self.draining_acknowledged_at
+        return acknowledged_at is not None and acknowledged_at < latest
+
     def lure(self, address: str) -> None:
         """The backend reports to this control node first."""
         self._target = address
@@ -115,7 +120,7 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.all: dict[str, Backend] = {}
-        self._tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, service: str, zone: str) -> Backend:
         """A new incarnation at an address of its own."""
--- a/kestrelbend/tier/fleet/day.py
+++ b/kestrelbend/tier/fleet/day.py
@@ -11,8 +11,8 @@
 
 import attrs
 
+from .faults import KINDS, FaultKind, acknowledged, start_all
 from .fleet import Size
-from .faults import KINDS, acknowledged, start_all
 from .world import World, play
 
 LENGTH_S = 5.0  # faults begin within this
@@ -114,7 +114,7 @@
             await self._run(kind, rng)
             self._counted_after = self._world.fleet.now() + LEAST_APART_S
 
-    async def _run(self, kind, rng: random.Random) -> None:
+    async def _run(self, kind: FaultKind, rng: random.Random) -> None:
         self._world.fleet.note(f"-- {kind.name}")
         await kind.play(self._world, rng)
 
--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import random
 from collections.abc import Callable
@@ -16,6 +17,7 @@
 import attrs
 
 from ..storage.journal import DiskJournal
+from ..storage.records import Record
 
 STALL_CHECK_S = 0.01
 MAINTENANCE_SYNCS = 1
@@ -53,22 +55,26 @@
         """Folders need no making here."""
 
     def list_directory(self, path: str) -> list[str]:
+        """The names in a directory, in the order in which they were made."""
         start = f"{path}/"
         names = (name[len(start) :].partition("/")[0] for name in self._files if name.startswith(start))
         return list(dict.fromkeys(names))
 
     def read(self, path: str) -> bytes:
+        """The content as the last operation left it, durable or not."""
         if path not in self._files:
             raise FileNotFoundError(path)
         return self._files[path].content
 
     def create(self, path: str) -> None:
+        """An empty file, durable with its own sync."""
         if path not in self._files:
             self._take_bytes()
             self._step()
             self._files[path] = _File()
 
     def write(self, path: str, content: bytes) -> None:
+        """Replaces the content; an interruption leaves the beginning of the new one."""
         self.create(path)
         self._take_bytes()
         file = self._files[path]
@@ -77,6 +83,7 @@
         file.content = content
 
     def append(self, path: str, content: bytes | memoryview) -> None:
+        """Adds to the end; an interruption leaves part of what was added."""
         self._take_bytes()
         file = self._files[path]
         before = file.content
@@ -85,6 +92,7 @@
         file.content = before + bytes(content)
 
     def sync(self, path: str) -> None:
+        """Makes the content durable, and a new file's name with it."""
         self._step()
         file = self._files[path]
         file.synced = file.content
@@ -93,14 +101,17 @@
             self._lasting[path] = file
 
     def rename(self, old: str, new: str) -> None:
+        """Another name, durable once its directory is synced."""
         self._step()
         self._files[new] = self._files.pop(old)
 
     def remove(self, path: str) -> None:
+        """Removes the name, durably once its directory is synced."""
         self._step()
         self._files.pop(path, None)
 
     def sync_directory(self, path: str) -> None:
+        """Makes the names in a directory durable."""
         self._step()
         start = f"{path}/"
         kept = {name: file for name, file in self._lasting.items() if not name.startswith(start)}
@@ -133,17 +144,15 @@
     def cut_short(self, operation: Callable[[], object]) -> None:
         """Carries an operation out up to a step drawn by chance."""
         self._steps_left = self._random.randint(0, 4)
-        try:
+        with contextlib.suppress(CutShort, OSError):
             operation()
-        except (CutShort, OSError):
-            pass
         self._steps_left = -1
 
     async def wait_for(self, syncs: int) -> None:
         """Returns once the disk has had the time for so many syncs."""
         factor = LATE_FACTOR if self._random.random() < LATE_SHARE else self._random.uniform(0.8, 1.6)
         await asyncio.sleep(self.sync_s * self.slowness * syncs * factor)
-        while self.stalled:
+        while self.stalled:  # noqa: ASYNC110 -- an event would change the order in which callbacks run
             await asyncio.sleep(STALL_CHECK_S)
 
     def _left_of(self, file: _File) -> bytes:
@@ -166,27 +175,36 @@
 class SteppedJournal(DiskJournal):
     """The journal of a process in the fleet: a task takes the place of the writer's thread."""
 
-    def __init__(self, folder, capacity_bytes, written, disk: MemoryDisk) -> None:
+    def __init__(
+        self,
+        directory: str,
+        capacity_bytes: int,
+        on_written: Callable[[list[int]], None],
+        disk: MemoryDisk,
+    ) -> None:
         loop = asyncio.get_running_loop()
-        super().__init__(folder, capacity_bytes, written, loop.call_soon, disk, loop.time)
+        super().__init__(directory, capacity_bytes, on_written, loop.call_soon, disk, loop.time)
         self._memory_disk = disk
         self._wake = asyncio.Event()
-        self._task: asyncio.Task | None = None
+        self._task: asyncio.Task[None] | None = None
         self._writing = False
 
     def start(self) -> None:
+        """Starts the task that writes."""
         self._task = asyncio.get_running_loop().create_task(self._write_always())
 
-    def append(self, ticket: int, record: bytes) -> None:
+    def append(self, ticket: int, record: Record) -> None:
+        """As `DiskJournal.append`."""
         super().append(ticket, record)
         self._wake.set()
 
-    def checkpoint(self, records: list[bytes]) -> None:
+    def checkpoint(self, records: list[Record]) -> None:
+        """As `DiskJournal.checkpoint`."""
         super().checkpoint(records)
         self._wake.set()
 
     async def close_within(self, within: float) -> None:
-        """As `close`."""
+        """As `close`: writes what waits, for `within` seconds at most."""
         self._closing = True
         self._wake.set()
         if self._task is not None:
--- a/kestrelbend/tier/fleet/faults/__init__.py
+++ b/kestrelbend/tier/fleet/faults/__init__.py
@@ -5,11 +5,12 @@
 """
 
 from . import backends, disks, machines, network, orders, pairs
-from .kinds import KINDS
+from .kinds import KINDS, FaultKind
 from .picking import acknowledged, owner_machine, pick_counted, start_all
 
 __all__ = [
     "KINDS",
+    "FaultKind",
     "acknowledged",
     "backends",
     "disks",
--- a/kestrelbend/tier/fleet/faults/kinds.py
+++ b/kestrelbend/tier/fleet/faults/kinds.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 import attrs
 
 from ..world import World
 
-Play = Callable[[World, random.Random], Awaitable[None]]
+Play = Callable[[World, random.Random], Coroutine[Any, Any, None]]
 
 
 @attrs.frozen
--- a/kestrelbend/tier/fleet/faults/machines.py
+++ b/kestrelbend/tier/fleet/faults/machines.py
@@ -122,7 +122,7 @@
     """SIGTERM, SIGKILL after the grace, and a start."""
     world.fleet.begin_restart(machine)
     ends = world.fleet.now() + GRACE_S
-    while world.fleet.now() < ends and any(process.running for process in machine.processes.values()):
+    while world.fleet.now() < ends and any(process.running for process in machine.processes.values()):  # noqa: ASYNC110 -- virtual time
         await asyncio.sleep(0.1)
     machine.kill()
     await asyncio.sleep(0.2)
--- a/kestrelbend/tier/fleet/faults/orders.py
+++ b/kestrelbend/tier/fleet/faults/orders.py
@@ -34,10 +34,11 @@
 @fault("config_change", counted=False)
 async def config_change(world: World, rng: random.Random) -> None:
     """Some changes, one after the other; the last one goes out again."""
-    order = None
+    orders = []
     for _ in range(rng.randint(1, 4)):
-        order = await world.operator.change()
+        orders.append(await world.operator.change())
         await asyncio.sleep(rng.uniform(0.0, 0.6))
+    order = orders[-1]
     if order.acknowledged_at is not None:
         await world.operator.send(order)
 
--- a/kestrelbend/tier/fleet/faults/pairs.py
+++ b/kestrelbend/tier/fleet/faults/pairs.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from ..watch import CATCH_UP_S
+from ..rules.groups import CATCH_UP_S
 from ..world import World
 from .disks import after_ack_wipe
 from .kinds import Play, fault
--- a/kestrelbend/tier/fleet/faults/picking.py
+++ b/kestrelbend/tier/fleet/faults/picking.py
@@ -15,7 +15,7 @@
     """The machine whose process owns a shard now."""
     for role in ("control", "store"):
         for process in world.fleet.processes(role):
-            replica = process.instance.host.replica(shard)
+            replica = process.host.replica(shard)
             if replica is not None and replica.is_leader:
                 return process.machine
     return None
@@ -45,7 +45,7 @@
     """The store that has just recorded a reservation."""
     ends = world.fleet.now() + ACK_WAIT_S
     count = world.programs.admitted
-    while world.programs.admitted == count and world.fleet.now() < ends:
+    while world.programs.admitted == count and world.fleet.now() < ends:  # noqa: ASYNC110 -- virtual time
         await asyncio.sleep(0.001)
     return owner_machine(world, f"budget-{rng.randrange(6)}")
 
--- a/kestrelbend/tier/fleet/fleet.py
+++ b/kestrelbend/tier/fleet/fleet.py
@@ -5,7 +5,10 @@
 
 from __future__ import annotations
 
+import asyncio
 import random
+from collections.abc import Iterable, Sequence
+from typing import Any
 
 import attrs
 
@@ -70,7 +73,7 @@
         """Seconds since the world began."""
         return self.loop.time()
 
-    def place_machine(self, machine_class: str, zone: str, has_disk: bool, roles) -> Machine:
+    def place_machine(self, machine_class: str, zone: str, has_disk: bool, roles: tuple[str, ...]) -> Machine:
         """Adds a machine without starting it."""
         self._numbers[machine_class] += 1
         number = self._numbers[machine_class]
@@ -147,20 +150,20 @@
         """A process ended by itself."""
         self.broken(f"{process.name} ended by itself: {reason}")
 
-    def _unhandled(self, loop, context: dict) -> None:
+    def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None:
             self.broken(f"unhandled: {context['message']}: {error!r}")
 
     # Beginning, and faults
 
-    def start_all(self, order=None) -> None:
+    def start_all(self, order: Iterable[Machine] | None = None) -> None:
         """The first start, within 0.3 s, in any order."""
         for machine in order or self.machines.values():
             delay = self.random.uniform(0.0, START_SPREAD_S)
             self.network.later(delay, machine.start, True)
 
-    def add_machine(self, machine_class: str, zone: str, has_disk: bool, roles) -> Machine:
+    def add_machine(self, machine_class: str, zone: str, has_disk: bool, roles: tuple[str, ...]) -> Machine:
         """A machine that comes later, with an empty disk."""
         machine = self.place_machine(machine_class, zone, has_disk, roles)
         machine.start()
@@ -204,7 +207,7 @@
         self.note(f"{machine.name} loses its disk")
         self.contact.begin(machine.name)
         machine.lose_power()
-        machine.disk.wipe()
+        machine.present_disk().wipe()
 
     def start(self, machine: Machine) -> None:
         """A machine that was killed or dark comes back."""
@@ -226,7 +229,7 @@
         self.contact.end(machine.name)
         machine.thaw()
 
-    def cut(self, machine: Machine, others, one_way: bool = False) -> None:
+    def cut(self, machine: Machine, others: Sequence[Machine], one_way: bool = False) -> None:
         """Packets of a machine to others are dropped, and with `one_way` only these."""
         self.note(f"{machine.name} is cut off from {', '.join(other.name for other in others)}")
         self._begin_cut(machine, others)
@@ -235,14 +238,14 @@
             if not one_way:
                 self.network.cut(other.place.ip, machine.place.ip)
 
-    def deafen(self, machine: Machine, others) -> None:
+    def deafen(self, machine: Machine, others: Sequence[Machine]) -> None:
         """Packets of others to a machine are dropped."""
         self.note(f"{machine.name} hears nothing of {', '.join(other.name for other in others)}")
         self._begin_cut(machine, others)
         for other in others:
             self.network.cut(other.place.ip, machine.place.ip)
 
-    def _begin_cut(self, machine: Machine, others) -> None:
+    def _begin_cut(self, machine: Machine, others: Sequence[Machine]) -> None:
         self.contact.begin(machine.name)
         if machine in self.core() and all(other in others for other in self.core() if other is not machine):
             self._cut_off_since[machine.place.ip] = self.now()
@@ -251,7 +254,7 @@
         """Whether a control machine is cut off, one way at least, from all others, and was at `since`."""
         return self._cut_off_since.get(ip, float("inf")) <= since
 
-    def join(self, machine: Machine, others) -> None:
+    def join(self, machine: Machine, others: Sequence[Machine]) -> None:
         """The cut is over."""
         self.note(f"{machine.name} is joined again")
         self._cut_off_since.pop(machine.place.ip, None)
@@ -264,16 +267,19 @@
         """A disk stalls, is slow, or takes no more bytes."""
         self.note(f"the disk of {machine.name}: {how}")
         self.contact.begin(machine.name)
-        disk = machine.disk
-        disk.stalled, disk.full = how == "stall", how == "full"
+        disk = machine.present_disk()
+        disk.stalled = how == "stall"
+        disk.full = how == "full"
         disk.slowness = SLOW_DISK if how == "slow" else 1.0
 
     def mend_disk(self, machine: Machine) -> None:
         """The disk works again."""
         self.note(f"the disk of {machine.name} works again")
         self.contact.end(machine.name)
-        machine.disk.stalled = machine.disk.full = False
-        machine.disk.slowness = 1.0
+        disk = machine.present_disk()
+        disk.stalled = False
+        disk.full = False
+        disk.slowness = 1.0
 
     def begin_restart(self, machine: Machine) -> None:
         """SIGTERM to a machine that is started again later."""
--- a/kestrelbend/tier/fleet/guards.py
+++ b/kestrelbend/tier/fleet/guards.py
@@ -12,7 +12,7 @@
 import sys
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from typing import Any
+from typing import Any, TypeVar
 
 import attrs
 
@@ -20,6 +20,9 @@
 MUTATIONS = f"{__package__}.mutations"  # these may call what they take the place of
 
 
+Function = TypeVar("Function", bound=Callable[..., Any])
+
+
 class UnknownGuard(Exception):
     """No guard has this name, or the function that it names is gone."""
 
@@ -46,16 +49,26 @@
 GUARDS: dict[str, Guard] = {}
 
 
-def guard(name: str, target: str, excludes: str) -> Callable[[Any], Any]:
-    """Adds the decorated function (or property) as the mutation of a guard."""
+def guard(name: str, target: str, excludes: str) -> Callable[[Function], Function]:
+    """Adds the decorated function as the mutation of a guard."""
 
-    def add(mutation: Any) -> Any:
+    def add(mutation: Function) -> Function:
         GUARDS[name] = Guard(name, target, excludes, mutation)
         return mutation
 
     return add
 
 
+def guard_property(name: str, target: str, excludes: str) -> Callable[[Function], Function]:
+    """As `guard`, where the function that keeps the guard is a property."""
+
+    def add(getter: Function) -> Function:
+        GUARDS[name] = Guard(name, target, excludes, property(getter))
+        return getter
+
+    return add
+
+
 def find(name: str) -> Guard:
     """The guard of a name; raises `UnknownGuard`."""
     if name not in GUARDS:
--- a/kestrelbend/tier/fleet/http.py
+++ b/kestrelbend/tier/fleet/http.py
@@ -8,13 +8,21 @@
 
 import asyncio
 import enum
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, Any
 
 import attrs
 
 from .loop import Execution, VirtualLoop
 from .network import Network
 
-CALLER_DELAY_S = 0.003
+if TYPE_CHECKING:
+    from ..dataplane.server import Listener
+
+CALLER_DELAY_S = 0.003  # one way between a caller outside and a listener
+
+Headers = Sequence[tuple[bytes, bytes]]
+Scope = dict[str, Any]  # of an ASGI application
 
 
 class Failure(enum.Enum):
@@ -36,14 +44,14 @@
 @attrs.define(eq=False)
 class _Call:
     execution: Execution
-    answer: asyncio.Future
-    task: asyncio.Task | None = None
+    answer: asyncio.Future[Reply | Failure]
+    task: asyncio.Task[None] | None = None
 
 
 @attrs.frozen
 class _Served:
     execution: Execution
-    application: object
+    application: Any  # an ASGI application
 
 
 class Http:
@@ -55,22 +63,28 @@
         self._served: dict[str, _Served] = {}
         self._calls: dict[_Call, None] = {}
 
-    async def serve(self, execution: Execution, listeners) -> None:
+    async def serve(self, execution: Execution, listeners: Sequence[Listener]) -> None:
         """Serves a process's listeners until all are shut down."""
         for listener in listeners:
             self._served[listener.address] = _Served(execution, listener.application)
         await asyncio.gather(*(self._until_closing(execution, listener) for listener in listeners))
 
-    async def _until_closing(self, execution: Execution, listener) -> None:
+    async def _until_closing(self, execution: Execution, listener: Listener) -> None:
         await listener.until_closing()
         served = self._served.get(listener.address)
         if served is not None and served.execution is execution:
             del self._served[listener.address]
 
     async def call(
-        self, address: str, method: str, path: str, headers=(), body: bytes = b"", timeout: float = 1.0
+        self,
+        address: str,
+        method: str,
+        path: str,
+        headers: Headers = (),
+        body: bytes = b"",
+        timeout: float = 1.0,
     ) -> Reply | Failure:
-        """Calls the process that serves at an address now."""
+        """Calls the process that serves at an address now, and waits for `timeout` seconds at most."""
         await asyncio.sleep(CALLER_DELAY_S)
         ip = address.partition(":")[0]
         served = self._served.get(address)
@@ -82,14 +96,7 @@
             return Failure.REFUSED
         call = _Call(served.execution, self._loop.create_future())
         self._calls[call] = None
-        scope = {
-            "type": "http",
-            "http_version": "1.1",
-            "method": method,
-            "path": path,
-            "headers": list(headers),
-        }
-        scope["query_string"], scope["raw_path"] = b"", path.encode()
+        scope = _scope(method, path, headers)
         context = served.execution.context
         self._loop.call_soon(self._begin, call, served.application, scope, body, context=context)
         try:
@@ -100,22 +107,22 @@
         finally:
             self._calls.pop(call, None)
 
-    def _begin(self, call: _Call, application, scope: dict, body: bytes) -> None:
+    def _begin(self, call: _Call, application: Any, scope: Scope, body: bytes) -> None:
         call.task = self._loop.create_task(self._run(call, application, scope, body))
 
-    async def _run(self, call: _Call, application, scope: dict, body: bytes) -> None:
+    async def _run(self, call: _Call, application: Any, scope: Scope, body: bytes) -> None:
         received = False
         status = 0
-        chunks = []
+        chunks: list[bytes] = []
 
-        async def receive():
+        async def receive() -> dict[str, Any]:
             nonlocal received
             if received:
                 await asyncio.get_running_loop().create_future()
             received = True
             return {"type": "http.request", "body": body, "more_body": False}
 
-        async def send(event):
+        async def send(event: dict[str, Any]) -> None:
             nonlocal status
             if event["type"] == "http.response.start":
                 status = event["status"]
@@ -140,6 +147,18 @@
                 self._network.later(CALLER_DELAY_S, _set, call.answer, Failure.ENDED)
 
 
-def _set(answer: asyncio.Future, reply: Reply | Failure) -> None:
+def _scope(method: str, path: str, headers: Headers) -> Scope:
+    return {
+        "type": "http",
+        "http_version": "1.1",
+        "method": method,
+        "path": path,
+        "headers": list(headers),
+        "query_string": b"",
+        "raw_path": path.encode(),
+    }
+
+
+def _set(answer: asyncio.Future[Reply | Failure], reply: Reply | Failure) -> None:
     if not answer.done():
         answer.set_result(reply)
--- a/kestrelbend/tier/fleet/loop.py
+++ b/kestrelbend/tier/fleet/loop.py
@@ -10,11 +10,19 @@
 import asyncio
 import contextvars
 import heapq
+from collections import deque
 from collections.abc import Callable, Coroutine
-from typing import Any
+from typing import TYPE_CHECKING, Any, TypeVar, TypeVarTuple
 
 import attrs
 
+if TYPE_CHECKING:
+    from .network import Connection, Network, Server
+
+T = TypeVar("T")
+Arguments = TypeVarTuple("Arguments")
+ProtocolFactory = Callable[[], asyncio.Protocol]
+
 _CURRENT: contextvars.ContextVar[Execution | None] = contextvars.ContextVar("execution", default=None)
 
 
@@ -69,7 +77,10 @@
 
 
 class _ScopedHandle(asyncio.Handle):
+    """Runs only while its execution admits it."""
+
     __slots__ = ()
+    _context: contextvars.Context  # the base's
 
     def _run(self) -> None:
         execution = self._context.get(_CURRENT)
@@ -78,7 +89,11 @@
 
 
 class _ScopedTimer(asyncio.TimerHandle):
+    """As `_ScopedHandle`."""
+
     __slots__ = ()
+    _context: contextvars.Context  # the base's
+    _scheduled: bool
 
     def _run(self) -> None:
         execution = self._context.get(_CURRENT)
@@ -92,7 +107,8 @@
     def __init__(self) -> None:
         self.now = 0.0
 
-    def select(self, timeout: float | None) -> list:
+    def select(self, timeout: float | None) -> list[object]:
+        """Moves the clock by the time that would be waited; no file ever becomes ready."""
         if timeout is None:
             raise RuntimeError("nothing can happen any more: no timer and nothing ready")
         self.now += max(0.0, timeout)
@@ -103,13 +119,20 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """`network` makes the connections that processes ask for, see `network.Network`."""
+    """The loop of a fleet: time goes on only from one timer to the next.
+
+    `network` makes the connections that processes ask for; `network.Network` needs the loop, so it is set
+    once that is made.
+    """
+
+    network: Network
+    _ready: deque[asyncio.Handle]  # the base's
+    _scheduled: list[asyncio.TimerHandle]  # the base's, a heap
 
     def __init__(self) -> None:
         super().__init__()
         self._selector = _Clock()
         self._clock_resolution = 1e-9
-        self.network: Any = None
 
     def time(self) -> float:
         """Seconds since the world began."""
@@ -119,37 +142,57 @@
         """Runs callbacks that were kept, in their order, before all that comes later."""
         self._ready.extend(handles)
 
-    def _process_events(self, event_list: list) -> None:
+    def _process_events(self, event_list: list[object]) -> None:
         """No files are watched."""
 
     def _write_to_self(self) -> None:
         """Nobody waits in a system call."""
 
-    def _call_soon(self, callback, args, context):
+    def _call_soon(
+        self, callback: Callable[..., object], args: tuple[object, ...], context: contextvars.Context | None
+    ) -> asyncio.Handle:
         handle = _ScopedHandle(callback, args, self, context)
         self._ready.append(handle)
         return handle
 
-    def call_at(self, when: float, callback: Callable, *args, context=None):
-        """As the base's, with a handle that heeds its execution."""
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[[*Arguments], object],
+        *args: *Arguments,
+        context: contextvars.Context | None = None,
+    ) -> asyncio.TimerHandle:
+        """As the base's, with a handle that heeds its execution; `when` in seconds of this loop."""
         timer = _ScopedTimer(when, callback, args, self, context)
         self._push(timer)
         return timer
 
-    def _push(self, timer: asyncio.TimerHandle) -> None:
+    def _push(self, timer: _ScopedTimer) -> None:
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True
 
-    async def create_connection(self, protocol_factory, host=None, port=None, **options):
+    async def create_connection(  # type: ignore[override]  # of the base's options none is heeded
+        self, protocol_factory: ProtocolFactory, host: str, port: int, **options: Any
+    ) -> tuple[Connection, asyncio.Protocol]:
         """A connection of the running execution, over the network in memory."""
-        return await self.network.connect(current_execution(), protocol_factory, (host, int(port)))
+        return await self.network.connect(_running_execution(), protocol_factory, (host, int(port)))
 
-    async def create_server(self, protocol_factory, host=None, port=None, **options):
+    async def create_server(  # type: ignore[override]  # of the base's options none is heeded
+        self, protocol_factory: ProtocolFactory, host: str, port: int, **options: Any
+    ) -> Server:
         """A listener of the running execution."""
-        return self.network.listen(current_execution(), protocol_factory, (host, int(port)))
+        return self.network.listen(_running_execution(), protocol_factory, (host, int(port)))
+
+
+def _running_execution() -> Execution:
+    """The current execution; raises `RuntimeError` in callbacks that belong to no process."""
+    execution = current_execution()
+    if execution is None:
+        raise RuntimeError("only processes of the fleet have connections")
+    return execution
 
 
-def run(main: Callable[[VirtualLoop], Coroutine[Any, Any, Any]]) -> Any:
+def run(main: Callable[[VirtualLoop], Coroutine[Any, Any, T]]) -> T:
     """Runs `main(loop)` on a loop of its own whose clock starts at 0."""
     loop = VirtualLoop()
     try:
--- a/kestrelbend/tier/fleet/machines.py
+++ b/kestrelbend/tier/fleet/machines.py
@@ -7,16 +7,31 @@
 
 import asyncio
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from typing import TYPE_CHECKING, TypeVar, cast
 
 import attrs
 
-from ..roles.start import load_role
+from ..roles.environment import Written, no_limits
 from ..roles.settings import Settings
+from ..roles.start import load_role
+from ..storage.journal import DiskJournal
 from .disks import MemoryDisk, SteppedJournal
 from .loop import Execution
 from .settings import Place
 
+if TYPE_CHECKING:
+    from ..dataplane.server import CurrentLimits, Listener
+    from ..replication.host import ShardHost
+    from ..replication.interfaces import StateMachine
+    from ..replication.replica import Replica
+    from ..roles.control import ControlProcess
+    from ..roles.gateway import GatewayProcess
+    from ..roles.process import TierProcess
+    from .fleet import Fleet
+
+T = TypeVar("T")
+
 RESTART_S = 0.3
 STARTING_S = (0.05, 0.5)  # a process needs this long to load
 WALL_CLOCK_S = 1_700_000_000.0
@@ -31,59 +46,75 @@
         self._machine = process.machine
 
     def now(self) -> float:
+        """Seconds since the fleet began, the same on all machines."""
         return self._fleet.loop.time()
 
     def new_incarnation(self) -> int:
+        """Microseconds of the machine's time of day, as the system's environment does it."""
         return int(self._machine.wall_clock() * 1_000_000)
 
     def new_disk_identity(self) -> str:
+        """A name by the fleet's generator."""
         return f"{self._fleet.random.getrandbits(32):08x}"
 
     def disk(self) -> MemoryDisk:
-        return self._machine.disk
+        """The machine's."""
+        return self._machine.present_disk()
 
-    def journal(self, folder: str, capacity_bytes: int, written) -> SteppedJournal:
-        journal = SteppedJournal(folder, capacity_bytes, written, self._machine.disk)
+    def journal(self, folder: str, capacity_bytes: int, written: Written) -> SteppedJournal:
+        """A journal that the machine interrupts where the process is killed."""
+        journal = SteppedJournal(folder, capacity_bytes, written, self._machine.present_disk())
         self._process.journal = journal
         return journal
 
-    async def close_journal(self, journal: SteppedJournal, within: float) -> None:
-        await journal.close_within(within)
+    async def close_journal(self, journal: DiskJournal, within: float) -> None:
+        """Writes what waits, for `within` seconds at most."""
+        await cast(SteppedJournal, journal).close_within(within)
 
-    async def run_off_loop(self, function: Callable[[], object]) -> object:
+    async def run_off_loop(self, function: Callable[[], T]) -> T:
+        """Runs the function in a later step of the loop: there are no threads here."""
         await asyncio.sleep(0)
         return function()
 
     def on_signals(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
-        self._process.stop, self._process.reload = stop, reload
+        """Keeps what to call at SIGTERM and after a change of the settings."""
+        self._process.stop = stop
+        self._process.reload = reload
 
     def settings_changed_at(self, path: str) -> int:
+        """The version of the fleet's settings."""
         return self._fleet.settings_version
 
     def read_settings(self, path: str) -> Settings:
+        """What the platform would write now, without the first start's `Bootstrap`."""
         return self._fleet.settings_for(self._machine, self._process.role, False)
 
-    async def serve(self, listeners, **options) -> None:
-        await self._fleet.http.serve(self._process.execution, listeners)
+    async def serve(self, listeners: Sequence[Listener], limits: CurrentLimits = no_limits) -> None:
+        """Serves over the fleet's HTTP, which knows no limits of connections."""
+        await self._fleet.http.serve(self._process.current(), listeners)
 
     def abort(self) -> None:
+        """Ends the process and breaks a rule of the day."""
         self._process.ended_by_itself("an invariant was broken")
 
 
 @attrs.define(eq=False)
 class Process:
-    """One role on one machine, over its lives."""
+    """One role on one machine, over its incarnations.
 
-    fleet: object
+    `execution` is the present or the last one; `instance` is None while the process does not run.
+    """
+
+    fleet: Fleet
     machine: Machine
     role: str
     execution: Execution | None = None
-    instance: object | None = None
-    task: asyncio.Task | None = None
+    instance: TierProcess | None = None
+    task: asyncio.Task[None] | None = None
     journal: SteppedJournal | None = None
     stop: Callable[[], None] | None = None
     reload: Callable[[], None] | None = None
-    started_at: float = 0.0
+    started_at: float = 0.0  # in seconds of the loop
     wanted: bool = False
 
     @property
@@ -94,32 +125,80 @@
     @property
     def running(self) -> bool:
         """Whether its callbacks run now."""
-        return self.instance is not None and not self.execution.held
+        return self.instance is not None and not self.current().held
+
+    def current(self) -> Execution:
+        """The present execution, or the last one; for a process that was started."""
+        if self.execution is None:
+            raise RuntimeError(f"{self.name} was never started")
+        return self.execution
+
+    def _running_instance(self, role: str | None = None) -> TierProcess:
+        if self.instance is None or role not in (None, self.role):
+            raise RuntimeError(f"{self.name} does not run as {role or self.role}")
+        return self.instance
+
+    @property
+    def address(self) -> str:
+        """The address for other processes, of a process that runs."""
+        return self._running_instance().address
+
+    @property
+    def control(self) -> ControlProcess:
+        """The control process that runs here."""
+        return cast("ControlProcess", self._running_instance("control"))
+
+    @property
+    def gateway(self) -> GatewayProcess:
+        """The gateway that runs here."""
+        return cast("GatewayProcess", self._running_instance("gateway"))
+
+    @property
+    def host(self) -> ShardHost:
+        """The replicas' host of a control process or store that runs."""
+        host = self._running_instance().host
+        if host is None:
+            raise RuntimeError(f"{self.name} has no disk")
+        return host
+
+    def state_machine(self, shard: str) -> StateMachine:
+        """The state machine of a shard that has a replica here."""
+        machine = self.host.machine(shard)
+        if machine is None:
+            raise RuntimeError(f"{self.name} holds no replica of {shard}")
+        return machine
+
+    def replicas(self) -> list[Replica]:
+        """The replicas that a control process or store holds, in the order in which they were opened."""
+        host = self.host
+        found = (host.replica(shard) for shard in host.shards())
+        return [replica for replica in found if replica is not None]
 
     def start(self, bootstrap: bool = False) -> None:
-        """Begins a life, after the time that loading takes."""
+        """Begins an incarnation, after the time that loading takes."""
         self.wanted = True
-        life = Execution(self.name, self.machine.place.ip)
-        self.execution = life
-        self.fleet.network.later(self.fleet.random.uniform(*STARTING_S), self._begin, life, bootstrap)
+        execution = Execution(self.name, self.machine.place.ip)
+        self.execution = execution
+        self.fleet.network.later(self.fleet.random.uniform(*STARTING_S), self._begin, execution, bootstrap)
 
-    def _begin(self, life: Execution, bootstrap: bool) -> None:
-        if life is self.execution and not life.ended:
-            self.fleet.loop.call_soon(self._run, life, bootstrap, context=life.context)
+    def _begin(self, execution: Execution, bootstrap: bool) -> None:
+        if execution is self.execution and not execution.ended:
+            self.fleet.loop.call_soon(self._run, execution, bootstrap, context=execution.context)
 
-    def _run(self, life: Execution, bootstrap: bool) -> None:
+    def _run(self, execution: Execution, bootstrap: bool) -> None:
         settings = self.fleet.settings_for(self.machine, self.role, bootstrap)
         self.started_at = self.fleet.loop.time()
         try:
             self.instance = load_role(self.role)(settings, "boot.yaml", FleetEnvironment(self))
-        except Exception as fault:
+        except Exception as fault:  # noqa: BLE001 -- whatever it is, the day must report it
             self.ended_by_itself(f"did not start: {fault!r}")
             return
-        self.task = self.fleet.loop.create_task(self.instance.run())
-        self.task.add_done_callback(lambda task: self._done(life, task))
+        task = self.fleet.loop.create_task(self.instance.run())
+        self.task = task
+        task.add_done_callback(lambda task: self._done(execution, task))
 
-    def _done(self, life: Execution, task: asyncio.Task) -> None:
-        if life is not self.execution or life.ended:
+    def _done(self, execution: Execution, task: asyncio.Task[None]) -> None:
+        if execution is not self.execution or execution.ended:
             return
         if task.cancelled() or task.exception() is not None:
             self.ended_by_itself(f"ended: {task.exception()!r}")
@@ -134,11 +213,11 @@
         self.fleet.network.later(RESTART_S, self._restart)
 
     def _restart(self) -> None:
-        if self.wanted and self.execution.ended and self.machine.has_power:
+        if self.wanted and self.current().ended and self.machine.has_power:
             self.start()
 
     def end(self, told: bool) -> None:
-        """The life is over at once; `told`: the machine closes its connections."""
+        """The incarnation is over at once; `told`: the machine closes its connections."""
         if self.execution is None or self.execution.ended:
             return
         self.execution.end(self.fleet.loop.time())
@@ -146,7 +225,11 @@
             self.journal.cut_short()
         self.fleet.network.end_execution(self.execution, told)
         self.fleet.http.end_execution(self.execution, told)
-        self.instance = self.task = self.journal = self.stop = self.reload = None
+        self.instance = None
+        self.task = None
+        self.journal = None
+        self.stop = None
+        self.reload = None
 
     def hold(self) -> None:
         """The process stands still."""
@@ -162,7 +245,7 @@
 class Machine:
     """A machine with its disk and the processes of its roles."""
 
-    def __init__(self, fleet, place: Place, roles: tuple[str, ...]) -> None:
+    def __init__(self, fleet: Fleet, place: Place, roles: tuple[str, ...]) -> None:
         self.fleet = fleet
         self.place = place
         self.disk = MemoryDisk(fleet.seed, place.node) if place.has_disk else None
@@ -174,10 +257,17 @@
 
     @property
     def name(self) -> str:
+        """The node that the platform calls it."""
         return self.place.node
 
+    def present_disk(self) -> MemoryDisk:
+        """The disk of a machine that has one."""
+        if self.disk is None:
+            raise RuntimeError(f"{self.name} has no disk")
+        return self.disk
+
     def wall_clock(self) -> float:
-        """The time of day here."""
+        """The time of day here, in seconds since 1970."""
         return WALL_CLOCK_S + self.fleet.loop.time() + self._skew_s + self.clock_step_s
 
     def start(self, bootstrap: bool = False) -> None:
@@ -224,4 +314,4 @@
         for process in self.processes.values():
             process.wanted = False
             if process.stop is not None:
-                self.fleet.loop.call_soon(process.stop, context=process.execution.context)
+                self.fleet.loop.call_soon(process.stop, context=process.current().context)
--- a/kestrelbend/tier/fleet/network.py
+++ b/kestrelbend/tier/fleet/network.py
@@ -12,10 +12,11 @@
 import contextvars
 import random
 from collections.abc import Callable
+from typing import Any, TypeVarTuple
 
 import attrs
 
-from .loop import Execution, VirtualLoop
+from .loop import Execution, ProtocolFactory, VirtualLoop
 
 UNACKNOWLEDGED_S = 1.5  # until bytes that nobody acknowledges end a connection here
 PROBE_S = 1.0
@@ -25,7 +26,8 @@
 RETRANSMISSION_S = (0.2, 0.4)
 AFTER_CUT_S = (0.02, 0.4)  # until bytes that a cut held up are sent again
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IP and port, as asyncio gives them
+Arguments = TypeVarTuple("Arguments")
 
 _WORLD = contextvars.Context()  # of callbacks that belong to no process
 
@@ -33,12 +35,17 @@
 class _Socket:
     """Takes the options that processes set on their sockets."""
 
-    def setsockopt(self, *option) -> None:
+    def setsockopt(self, *option: object) -> None:
         """Options are part of the model, see the module's constants."""
 
 
-class End(asyncio.Transport):
-    """One end of a connection, as its process sees it."""
+class Connection(asyncio.Transport):
+    """One end of a connection, as its process sees it.
+
+    `peer` is the other end; `Network.connect` joins both before any of them is used.
+    """
+
+    peer: Connection
 
     def __init__(self, network: Network, execution: Execution) -> None:
         super().__init__()
@@ -46,7 +53,6 @@
         self._loop = network.loop
         self.execution = execution
         self.ip = execution.ip
-        self.peer: End | None = None
         self.protocol: asyncio.Protocol | None = None
         self.closed = False
         self._backlog: list[bytes | None] = []  # None: the end of the stream
@@ -57,11 +63,11 @@
 
     # What the process calls
 
-    def get_extra_info(self, name, default=None):
+    def get_extra_info(self, name: str, default: Any = None) -> Any:
         """The options of the socket are all that is asked for."""
         return _SOCKET if name == "socket" else default
 
-    def set_write_buffer_limits(self, high=None, low=None) -> None:
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """Nobody here waits for room."""
 
     def get_write_buffer_size(self) -> int:
@@ -69,6 +75,7 @@
         return sum(len(data) for data in self._backlog if data)
 
     def is_closing(self) -> bool:
+        """Whether the process has closed this end, or the connection has ended."""
         return self.closed
 
     def pause_reading(self) -> None:
@@ -77,7 +84,7 @@
     def resume_reading(self) -> None:
         """See `pause_reading`."""
 
-    def write(self, data: bytes) -> None:
+    def write(self, data: bytes | bytearray | memoryview) -> None:
         """Sends, or keeps what a cut holds up."""
         if not self.closed:
             self._transmit(bytes(data))
@@ -186,6 +193,7 @@
         """Bytes have come, or the end of the stream."""
         if self.closed:
             return
+        assert self.protocol is not None  # set before anything is delivered, see `Network._accept`
         if data is None:
             self.protocol.eof_received()
             self._end(None)
@@ -217,14 +225,16 @@
 @attrs.frozen
 class _Listening:
     execution: Execution
-    factory: Callable[[], asyncio.Protocol]
+    factory: ProtocolFactory
 
 
-class _Server:
+class Server:
     """What `create_server` returns."""
 
     def __init__(self, network: Network, address: Address, listening: _Listening) -> None:
-        self._network, self._address, self._listening = network, address, listening
+        self._network = network
+        self._address = address
+        self._listening = listening
 
     def close(self) -> None:
         """No more connections are taken."""
@@ -242,7 +252,7 @@
         self._bandwidth: dict[str, float] = {}
         self._free_at: dict[tuple[str, bool], float] = {}  # of a machine's link, and whether outwards
         self._listening: dict[Address, _Listening] = {}
-        self._ends: dict[End, None] = {}
+        self._ends: dict[Connection, None] = {}
         self._cut: set[tuple[str, str]] = set()
         self._dark: set[str] = set()
 
@@ -314,48 +324,58 @@
                 self._free_at[ip, outwards] = leaves_at
         return leaves_at
 
-    def later(self, seconds: float, callback: Callable, *args) -> asyncio.TimerHandle:
+    def later(
+        self, seconds: float, callback: Callable[[*Arguments], object], *args: *Arguments
+    ) -> asyncio.TimerHandle:
         """A timer of the world, which no process can hold."""
         return self.loop.call_later(seconds, callback, *args, context=_WORLD)
 
     # Connections
 
-    def listen(self, execution: Execution, factory, address: Address) -> _Server:
+    def listen(self, execution: Execution, factory: ProtocolFactory, address: Address) -> Server:
         """Takes connections at an address for a process."""
         listening = _Listening(execution, factory)
         self._listening[address] = listening
-        return _Server(self, address, listening)
+        return Server(self, address, listening)
 
     def unlisten(self, address: Address, listening: _Listening) -> None:
         """Takes no more of them."""
         if self._listening.get(address) is listening:
             del self._listening[address]
 
-    async def connect(self, execution: Execution, factory, address: Address):
-        """As `create_connection`; silent machines leave the caller waiting."""
+    async def connect(
+        self, execution: Execution, factory: ProtocolFactory, address: Address
+    ) -> tuple[Connection, asyncio.Protocol]:
+        """As `create_connection`; machines that do not answer leave the caller waiting.
+
+        Raises `ConnectionRefusedError` where nobody listens.
+        """
         ip = address[0]
-        while not (self.open(execution.ip, ip) and self.open(ip, execution.ip)):
+        while not (self.open(execution.ip, ip) and self.open(ip, execution.ip)):  # noqa: ASYNC110 -- virtual time
             await asyncio.sleep(CONNECT_AGAIN_S)
         await asyncio.sleep(self.delay(execution.ip, ip) + self.delay(ip, execution.ip))
         listening = self._listening.get(address)
         if listening is None or listening.execution.ended:
             raise ConnectionRefusedError(f"nobody listens at {address}")
-        near, far = End(self, execution), End(self, listening.execution)
-        near.peer, far.peer = far, near
+        near = Connection(self, execution)
+        far = Connection(self, listening.execution)
+        near.peer = far
+        far.peer = near
         self._ends[near] = self._ends[far] = None
         self.loop.call_soon(self._accept, far, listening, context=listening.execution.context)
-        near.protocol = factory()
-        near.protocol.connection_made(near)
-        return near, near.protocol
+        protocol = factory()
+        near.protocol = protocol
+        protocol.connection_made(near)
+        return near, protocol
 
     @staticmethod
-    def _accept(end: End, listening: _Listening) -> None:
+    def _accept(end: Connection, listening: _Listening) -> None:
         end.protocol = listening.factory()
         if end.closed:
             return
         end.protocol.connection_made(end)
 
-    def forget(self, end: End) -> None:
+    def forget(self, end: Connection) -> None:
         """An end is closed."""
         self._ends.pop(end, None)
 
--- a/kestrelbend/tier/fleet/operator.py
+++ b/kestrelbend/tier/fleet/operator.py
@@ -5,13 +5,17 @@
 import asyncio
 import json
 import random
+from collections.abc import Iterator
+from typing import Any
 
 import attrs
 
-from .fleet import Fleet
 from .answers import check_contact, check_emptied
+from .fleet import Fleet
 from .http import Failure, Reply
 
+Json = dict[str, Any]  # an object of the operator's document
+
 MARKER = "marker"  # the route whose prefix names the order that brought a configuration
 CALL_TIMEOUT_S = 1.0
 BACKOFF_FIRST_S = 0.1
@@ -39,11 +43,15 @@
     unclear: bool = False
     late: bool = False
 
+    def was_acknowledged(self, by: float) -> bool:
+        """Whether it was acknowledged up to a moment, in seconds of the loop."""
+        return self.acknowledged_at is not None and self.acknowledged_at <= by
+
     def __str__(self) -> str:
         return f"order {self.number} ({self.kind} {self.base} to {self.version})"
 
 
-def services() -> list[dict]:
+def services() -> list[Json]:
     """A model service and a plain one."""
     engine = {"Slots": 16, "KvTokens": 160000, "Stride": 8, "Models": [{"Name": "m"}]}
     return [
@@ -52,7 +60,7 @@
     ]
 
 
-def route(name: str, prefix: str, service: str, kind: str) -> dict:
+def route(name: str, prefix: str, service: str, kind: str) -> Json:
     """A route in the operator's terms."""
     return {
         "Name": name,
@@ -66,7 +74,7 @@
     }
 
 
-def marker_route(number: int) -> dict:
+def marker_route(number: int) -> Json:
     """The route that tells which order a configuration came by."""
     return route(MARKER, f"/order-{number}/", "tools", "idempotent")
 
@@ -122,7 +130,7 @@
     def _next_version(self, base: int | None) -> int:
         return (self.version if base is None else base) + self._random.randint(1, 3)
 
-    def _order(self, kind: str, base: int | None, version: int, document: dict) -> Order:
+    def _order(self, kind: str, base: int | None, version: int, document: Json) -> Order:
         base = self.version if base is None else base
         order = Order(self._number, kind, base, version, json.dumps(document).encode())
         self.orders[order.number] = order
@@ -138,7 +146,7 @@
 
     async def race(self) -> list[Order]:
         """Two changes on the same version at once."""
-        return await asyncio.gather(self.send(self.put()), self.send(self.put()))
+        return list(await asyncio.gather(self.send(self.put()), self.send(self.put())))
 
     def rivals(self) -> list[Order]:
         """Two operators' changes on the same version, under one number."""
@@ -186,7 +194,7 @@
             return Failure.SILENT
         return reply
 
-    def _addresses(self):
+    def _addresses(self) -> Iterator[str]:
         """Control addresses without end, in any order; those of now come in with the platform's list."""
         while True:
             addresses = list(self.fleet.known_control_list())
@@ -228,10 +236,10 @@
             return
         if order.acknowledged_at is not None and self.newest_acknowledged() is order:
             self.fleet.broken(f"{order} was acknowledged and is refused with {reply.status}")
-        elif order.acknowledged_at is None and not self._rivals(order):
+        elif order.acknowledged_at is None and not self.rivals_of(order):
             self.fleet.broken(f"{order} is refused with {reply.status}, and nothing else was sent")
 
-    def _rivals(self, order: Order) -> list[Order]:
+    def rivals_of(self, order: Order) -> list[Order]:
         """Other changes that may have been taken on the same version or a later one."""
         rivals = (other for other in self.orders.values() if other is not order and other.valid)
         return [other for other in rivals if other.version > order.base and other.sent_at]
@@ -275,20 +283,21 @@
 
     def required_version(self, by: float) -> int:
         """The highest version acknowledged up to a moment."""
-        taken = (order for order in self.orders.values() if order.acknowledged_at is not None)
-        return max((order.version for order in taken if order.acknowledged_at <= by), default=0)
+        versions = (order.version for order in self.orders.values() if order.was_acknowledged(by))
+        return max(versions, default=0)
 
     def learn(self, version: int) -> None:
         """A version was read back."""
         self.version = max(self.version, version)
 
-    async def read(self, within: float = READ_BACK_S) -> dict | None:
+    async def read(self, within: float = READ_BACK_S) -> Json | None:
         """The configuration as `Config.Get` answers it."""
         ends = self.fleet.now() + within
         for address in self._addresses():
             reply = await self.fleet.http.call(address, "GET", "/api/Config.Get", timeout=CALL_TIMEOUT_S)
             if isinstance(reply, Reply) and reply.status == 200:
-                return json.loads(reply.body)
+                document: Json = json.loads(reply.body)
+                return document
             if self.fleet.now() > ends:
                 return None
             await asyncio.sleep(0.2)
@@ -318,7 +327,11 @@
             self.fleet.broken(f"{where}: {order} was refused and is in force")
 
 
-def order_number(routes: list[dict]) -> int:
+def order_number(routes: list[Json]) -> int:
     """The order that a document's routes came by."""
-    prefix = next(item["PathPrefix"] for item in routes if item["Name"] == MARKER)
+    return order_number_of_prefix(next(item["PathPrefix"] for item in routes if item["Name"] == MARKER))
+
+
+def order_number_of_prefix(prefix: str) -> int:
+    """The order that a marker's prefix names."""
     return int(prefix.strip("/").rpartition("-")[2])
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -6,10 +6,11 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import functools
 import random
 from collections.abc import Callable, Coroutine
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import attrs
 
@@ -18,6 +19,9 @@
 from .loop import Execution, VirtualLoop
 from .machines import Process
 
+if TYPE_CHECKING:
+    from ..roles.gateway_budgets import GatewayBudgets
+
 STRIDE = 8
 EVENT_S = 0.03
 DEADLINE_S = 4.0
@@ -53,16 +57,17 @@
     def counts(self, now: float) -> int:
         """The tokens that may count against the program when it is refused."""
         if self.refused:
-            return 0 if now - self.answered_at >= SETTLE_S else self.most
-        if self.ended_whole_at is None or now - self.ended_whole_at < SETTLE_S or self._settlement_lost:
+            settled = self.answered_at is not None and now - self.answered_at >= SETTLE_S
+            return 0 if settled else self.most
+        ended_at = self.ended_whole_at
+        if ended_at is None or now - ended_at < SETTLE_S or self._settlement_lost(ended_at):
             return self.most
         return self.handed
 
-    @property
-    def _settlement_lost(self) -> bool:
+    def _settlement_lost(self, turn_ended_at: float) -> bool:
         """The gateway ended so soon after the turn that its word of it may have gone with it."""
         ended_at = self.life.ended_at
-        return ended_at is not None and ended_at - self.ended_whole_at < SETTLE_S
+        return ended_at is not None and ended_at - turn_ended_at < SETTLE_S
 
 
 class Program:
@@ -107,12 +112,12 @@
         if not gateways:
             return None
         gateway = self._random.choice(gateways)
-        turn = Turn(f"{self.name}-{name}", most, gateway.machine.name, gateway.execution)
+        turn = Turn(f"{self.name}-{name}", most, gateway.machine.name, gateway.current())
         turn.requested_at = self._fleet.now()
         self.tries.append(turn)
         reserve = Reserve(self.name, session, turn.reservation, number, most, self.budget, True)
-        life = gateway.execution
-        serve = functools.partial(self._serve, gateway.instance.budgets, turn, reserve)
+        life = gateway.current()
+        serve = functools.partial(self._serve, gateway.gateway.budgets, turn, reserve)
         self._fleet.loop.call_soon(_begin, self._fleet.loop, serve, context=life.context)
         ends = self._fleet.now() + DEADLINE_S
         while not life.ended and not turn.over.is_set() and self._fleet.now() < ends:
@@ -121,7 +126,7 @@
         turn.given_up = turn.ended_whole_at is None and not turn.refused
         return turn
 
-    async def _serve(self, budgets, turn: Turn, reserve: Reserve) -> None:
+    async def _serve(self, budgets: GatewayBudgets, turn: Turn, reserve: Reserve) -> None:
         """What the gateway does with the turn; runs as a part of its process."""
         reserve = attrs.evolve(reserve, reservation=budgets.reservation_name(turn.reservation))
         turn.reservation = reserve.reservation
@@ -165,11 +170,9 @@
 
 
 async def _wait(event: asyncio.Event, within: float) -> None:
-    try:
+    with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(within):
             await event.wait()
-    except TimeoutError:
-        pass
 
 
 def _begin(loop: VirtualLoop, serve: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -190,9 +193,9 @@
 
     def gateways(self) -> list[Process]:
         """Gateways that clients are sent to."""
-        return [gateway for gateway in self.fleet.processes("gateway") if gateway.instance.lifecycle.ready]
+        return [gateway for gateway in self.fleet.processes("gateway") if gateway.gateway.lifecycle.ready]
 
-    def begin(self, most_turns: int = MOST_TURNS) -> asyncio.Task:
+    def begin(self, most_turns: int = MOST_TURNS) -> asyncio.Task[None]:
         """One more program."""
         name = f"program-{len(self.all) + 1}"
         budget = STRIDE * self._random.randint(8, 60)
--- a/kestrelbend/tier/fleet/settings.py
+++ b/kestrelbend/tier/fleet/settings.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 import attrs
 
 from ..roles.settings import Bounds, Settings
@@ -29,7 +31,9 @@
         return f"{self.ip}:{CONTROL_PORT}"
 
 
-def settings_of(place: Place, role: str, seeds: tuple[str, ...], bootstrap: bool, zones) -> Settings:
+def settings_of(
+    place: Place, role: str, seeds: tuple[str, ...], bootstrap: bool, zones: Iterable[str]
+) -> Settings:
     """What a process of a role is told on a machine."""
     serves = ROLES_SERVE[role]
     return Settings(
@@ -40,7 +44,7 @@
         ip=place.ip,
         zone=place.zone,
         region="region",
-        zones={zone: "region" for zone in zones},
+        zones=dict.fromkeys(zones, "region"),
         listen_clients=f"{place.ip}:{FRONT_PORT}" if "front" in serves else "",
         listen_ready=f"{place.ip}:{READY_PORT}" if "front" in serves else "",
         listen_control=f"{place.ip}:{CONTROL_PORT}" if "control" in serves else "",
--- a/kestrelbend/tier/fleet/world.py
+++ b/kestrelbend/tier/fleet/world.py
@@ -25,8 +25,8 @@
         self.backends = Backends(self.fleet)
         self.programs = Programs(self.fleet)
         self.watch = Watch(self.fleet, self.operator, self.backends, self.programs)
-        self._traffic: asyncio.Task | None = None
-        self._running: set[asyncio.Task] = set()
+        self._traffic: asyncio.Task[None] | None = None
+        self._running: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
         """The first start, the first configuration, and backends, up to the first ready gateways."""
