--- a/kestrelbend/net/answers.py
+++ b/kestrelbend/net/answers.py
@@ -11,7 +11,7 @@
 
 from .accept_queue import age
 from .closing import readable
-from .counter import TURN
+from .counter import LOOP_TURN_S
 from .tally import counters
 from .trust import REST_S
 
@@ -56,7 +56,7 @@
         left = self.settles_at - self._loop.time()
         if left > 0:
             counters["requests_waited_for_silence"] += 1
-            await asyncio.sleep(left + TURN)
+            await asyncio.sleep(left + LOOP_TURN_S)
 
     def ask(self):
         """A request is about to be written.  False: it must not be, this connection has ended or said
@@ -148,7 +148,7 @@
 
     def due(self):
         """After a stall of this gateway the timer comes before what lies unread: that is read first."""
-        self.timer = self._loop.call_later(TURN, self.stalled)
+        self.timer = self._loop.call_later(LOOP_TURN_S, self.stalled)
 
     def stalled(self):
         if self.transport is not None:
--- a/kestrelbend/net/links.py
+++ b/kestrelbend/net/links.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from .answers import Answers
-from .counter import TURN
+from .counter import LOOP_TURN_S
 from .sending import TURNS, trace
 from .tally import must
 from .trust import REST_S
@@ -37,7 +37,7 @@
         """Its moment is over: it is free, or was ended meanwhile.  After a stall of this gateway the timer
         comes before what lies unread: that is read first."""
         if turns and protocol.is_connected() and protocol.unread():
-            self._loop.call_later(TURN, self.rested, key, protocol, turns - 1)
+            self._loop.call_later(LOOP_TURN_S, self.rested, key, protocol, turns - 1)
             return
         self.resting -= 1
         silent = protocol.is_connected() and not protocol.should_close and not protocol.unread()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -274,7 +274,7 @@
             assert [(await service.queue.get())[2] for _ in range(2)] == [Result.TIMED_OUT] * 2
             service.add(6, 1, 4_000_000)  # at once, on a line that is not in doubt
             assert (await service.queue.get())[2] is Result.SUCCEEDED and len(service.connections) == 2
-            await asyncio.sleep(2 * service.wait)
+            await asyncio.sleep(2 * service.call_timeout)
             for _ in range(2):
                 service.add(5, 1, 4_000_000)
             assert [(await service.queue.get())[3] for _ in range(2)] == [1.0, 2.0]
