--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -22,6 +22,7 @@
 from kestrelbend.tier.dataplane.app import assemble
 from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpNetwork
+from kestrelbend.tier.dataplane.ports import Surroundings
 from kestrelbend.tier.dataplane.server import Listener, serve_all
 from kestrelbend.tier.discovery.messages import Backend
 
@@ -167,7 +168,7 @@
 async def _serve(port: int, backend_port: int, clients: multiprocessing.Process) -> None:
     backend = Backend("i-1", "models", f"127.0.0.1:{backend_port}", "a", "v1", 64, 0, 0, 1)
     fixed = Fixed((backend,))
-    plane = assemble(fixed, fixed, Admitting(), TcpNetwork(), "a", Lifecycle())
+    plane = assemble(Surroundings(fixed, fixed, Admitting(), TcpNetwork(), "a"), Lifecycle())
 
     async def done() -> None:
         await asyncio.sleep(0.3)
--- a/kestrelbend/tier/dataplane/admission_control.py
+++ b/kestrelbend/tier/dataplane/admission_control.py
@@ -15,7 +15,7 @@
 
 from . import ports
 from .client import OwnAnswer
-from .concurrency_limit import ConcurrencyLimits
+from .concurrency_limit import AnswerLatency, ConcurrencyLimits
 from .exchange import FINISH_MS, PROGRAM, Exchange
 from .waiting_queue import Rank, WaitingQueues
 
@@ -97,14 +97,10 @@
     def record_answer(self, exchange: Exchange, seconds: float) -> None:
         """The first part of an answer came after this time."""
         self._remember(exchange)
-        self._limits.record_answer(
-            exchange.service.name,
-            exchange.route.name,
-            seconds,
-            exchange.route.slo_ms / 1000,
-            lambda: self._fair_share(exchange),
-            asyncio.get_running_loop().time(),
-        )
+        route = exchange.route
+        answer = AnswerLatency(exchange.service.name, route.name, seconds, route.slo_ms / 1000)
+        now = asyncio.get_running_loop().time()
+        self._limits.record_answer(answer, lambda: self._fair_share(exchange), now)
 
     def record_saturation(self, exchange: Exchange) -> None:
         """All backends of the request's service rejected it."""
--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -24,6 +24,7 @@
 from .client import Client, OwnAnswer
 from .concurrency_limit import ConcurrencyLimits
 from .connections import Connections
+from .delivery import Delivery
 from .exchange import REQUEST_ID, Exchange
 from .forward import Forwarder
 from .health import Health
@@ -88,7 +89,7 @@
         request_id = next((value for name, value in scope["headers"] if name == REQUEST_ID), None)
         client = Client(send, lambda: self.lifecycle.closes_connections, scope["http_version"], request_id)
         if not self.lifecycle.was_ready:
-            await self.lifecycle.wait_until_ready(self._start_wait_s(scope))
+            await self.lifecycle.wait_until_ready(self._start_wait_s(scope, begun))
         table = self.routing.current()
         if table is None:
             await client.answer(OwnAnswer(503, "no configuration yet", NOT_READY_RETRY_S))
@@ -107,10 +108,10 @@
         if own is not None:
             await client.answer(own)
 
-    def _start_wait_s(self, scope: dict[str, Any]) -> float:
+    def _start_wait_s(self, scope: dict[str, Any], begun: float) -> float:
         """How long a request waits for a gateway that is starting: no longer than it may take at all."""
         table = self.routing.current()
-        head = RequestHead.of(scope)
+        head = RequestHead.of(scope, begun)
         route = None if table is None else head.route(table)
         return START_WAIT_S if route is None else min(START_WAIT_S, head.allowed_s(route))
 
@@ -121,7 +122,7 @@
         wrong = check_head(scope["headers"], table.limits)
         if wrong is not None:
             return wrong
-        head = RequestHead.of(scope)
+        head = RequestHead.of(scope, begun)
         route = head.route(table)
         within_s = math.inf
         if route is not None:
@@ -133,7 +134,7 @@
         self._maintain(newest, begun)
         if newest is not table:
             route = head.route(newest)
-        return build_exchange(scope, head, newest, route, self.split, body, begun)
+        return build_exchange(head, body, newest, route, self.split)
 
     def _refused(self, own: OwnAnswer) -> OwnAnswer:
         """`own`, but nothing final by a configuration that is not known to be the newest."""
@@ -154,7 +155,7 @@
                     await asyncio.sleep(0)  # the client may have left while its request waited
                     if client.gone:
                         return None
-                    return await self._carry(exchange, client, progress)
+                    return await self._carry(Delivery(exchange, client, progress))
                 finally:
                     watch.stop()
         except TimeoutError:
@@ -163,32 +164,26 @@
             log.exception("an exchange failed")
             return _own_failure(client, progress)
 
-    async def _carry(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
-        refusal = await self.admission.admit(exchange)
+    async def _carry(self, delivery: Delivery) -> OwnAnswer | None:
+        refusal = await self.admission.admit(delivery.exchange)
         if refusal is not None:
             return refusal
         try:
-            return await self._check_budget(exchange, client, progress)
+            return await self._check_budget(delivery)
         finally:
-            self.admission.release(exchange)
+            self.admission.release(delivery.exchange)
 
-    async def _check_budget(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
+    async def _check_budget(self, delivery: Delivery) -> OwnAnswer | None:
+        exchange = delivery.exchange
         turn = turn_of(exchange)
         if turn is None:
-            return await self.forwarder.forward(exchange, client, progress)
+            return await self.forwarder.forward(delivery)
         live = self.backends.of(exchange.service.name)
         now = asyncio.get_running_loop().time()
         spare_capacity = not self.admission.is_limited(exchange.service.name) and any(
             self.chooser.has_capacity(backend, exchange.service, now) for backend in live
         )
-        return await self.turns.carry(
-            turn,
-            exchange,
-            spare_capacity,
-            client,
-            progress,
-            lambda: self.forwarder.forward(exchange, client, progress),
-        )
+        return await self.turns.carry(turn, delivery, spare_capacity, self.forwarder.forward)
 
     def _maintain(self, table: ports.RoutingTable, now: float) -> None:
         """Closes what is idle for too long, and drops what is known of backends that are no more."""
@@ -259,32 +254,24 @@
 
 
 def assemble(
-    routing: ports.Routing,
-    backends: ports.Backends,
-    budget: ports.Budget,
-    network: ports.Network,
-    zone: str,
-    lifecycle: Lifecycle,
-    gateways: Callable[[], int] = lambda: 10,
-    rng: random.Random | None = None,
-    may_refuse: Callable[[], bool] = lambda: True,
+    surroundings: ports.Surroundings, lifecycle: Lifecycle, rng: random.Random | None = None
 ) -> DataPlane:
-    """Puts a data plane together.
-
-    `gateways` estimates how many gateways share the backends; `may_refuse` tells whether the configuration in
-    force is known to be the newest, so that a refusal by it may be final.
-    """
+    """Puts a data plane together; `rng` draws all that it leaves to chance."""
     rng = rng or random.Random()
-    health, latency, reported = Health(), LatencyRatios(), ReportedLoad()
-    connections = Connections(network, gateways)
-    chooser = Chooser(zone, health, latency, connections, reported, rng)
+    backends = surroundings.backends
+    gateways = surroundings.gateways
+    health = Health()
+    latency = LatencyRatios()
+    reported = ReportedLoad()
+    connections = Connections(surroundings.network, gateways)
+    chooser = Chooser(surroundings.zone, health, latency, connections, reported, rng)
     waiting = WaitingQueues()
     admission = AdmissionControl(ConcurrencyLimits(), waiting, backends, gateways, rng)
     sender = Sender(backends, connections)
     attempter = Attempter(sender, health, latency, admission, reported, chooser.in_flight)
     forwarder = Forwarder(backends, attempter, chooser, Hedger(latency), waiting, admission)
     return DataPlane(
-        routing=routing,
+        routing=surroundings.routing,
         backends=backends,
         connections=connections,
         chooser=chooser,
@@ -293,8 +280,8 @@
         reported=reported,
         admission=admission,
         forwarder=forwarder,
-        turns=Turns(budget),
+        turns=Turns(surroundings.budget),
         split=Split(backends, rng),
         lifecycle=lifecycle,
-        may_refuse=may_refuse,
+        may_refuse=surroundings.may_refuse,
     )
--- a/kestrelbend/tier/dataplane/attempt.py
+++ b/kestrelbend/tier/dataplane/attempt.py
@@ -69,24 +69,16 @@
         self.answer.close()
 
 
+@attrs.define(eq=False)
 class Attempter:
     """Makes attempts and keeps what they tell of the backends."""
 
-    def __init__(
-        self,
-        sender: Sender,
-        health: Health,
-        latency: LatencyRatios,
-        admission: AdmissionControl,
-        reported: ReportedLoad,
-        in_flight: Mapping[str, int],
-    ) -> None:
-        self._sender = sender
-        self._reported = reported
-        self._in_flight = in_flight  # this gateway's requests at each backend
-        self._admission = admission
-        self._health = health
-        self._latency = latency
+    _sender: Sender
+    _health: Health
+    _latency: LatencyRatios
+    _admission: AdmissionControl
+    _reported: ReportedLoad
+    _in_flight: Mapping[str, int]  # this gateway's requests at each backend
 
     async def attempt(
         self, exchange: Exchange, sending: Sending, last_id: int | None, progress: Progress
--- a/kestrelbend/tier/dataplane/choice.py
+++ b/kestrelbend/tier/dataplane/choice.py
@@ -13,6 +13,8 @@
 from collections import Counter
 from collections.abc import Sequence
 
+import attrs
+
 from ..discovery.messages import Backend
 from . import ports
 from .connections import Connections
@@ -41,25 +43,17 @@
     return parts.partition(b",")[0] if parts else None
 
 
+@attrs.define(eq=False)
 class Chooser:
     """Keeps this gateway's requests in flight at each backend, and chooses by them and backends' reports."""
 
-    def __init__(
-        self,
-        zone: str,
-        health: Health,
-        latency: LatencyRatios,
-        connections: Connections,
-        reported: ReportedLoad,
-        rng: random.Random | None = None,
-    ) -> None:
-        self._zone = zone
-        self._health = health
-        self._latency = latency
-        self._connections = connections
-        self._reported = reported
-        self._rng = rng or random.Random()
-        self.in_flight: Counter[str] = Counter()
+    _zone: str  # this gateway's
+    _health: Health
+    _latency: LatencyRatios
+    _connections: Connections
+    _reported: ReportedLoad
+    _rng: random.Random
+    in_flight: Counter[str] = attrs.field(factory=Counter, init=False)  # by a backend's identity
 
     def begin(self, identity: str) -> None:
         """A send to the backend is under way."""
--- a/kestrelbend/tier/dataplane/concurrency_limit.py
+++ b/kestrelbend/tier/dataplane/concurrency_limit.py
@@ -61,6 +61,16 @@
         return self.baseline_ratio > CONGESTED_BASELINE_RATIO and self.target_ratio > CONGESTED_TARGET_RATIO
 
 
+@attrs.define
+class AnswerLatency:
+    """That the first part of an answer came, `seconds` after its attempt began."""
+
+    service: str
+    route: str
+    seconds: float
+    target_s: float  # the route's latency target; 0 where it has none
+
+
 class ConcurrencyLimits:
     """One limit a service.  Times are seconds on a steady clock."""
 
@@ -94,20 +104,14 @@
         """It is over."""
         self._of(service).in_flight -= 1
 
-    def record_answer(
-        self,
-        service: str,
-        route: str,
-        seconds: float,
-        target_s: float,
-        fair_share: Callable[[], float],
-        now: float,
-    ) -> None:
+    def record_answer(self, answer: AnswerLatency, fair_share: Callable[[], float], now: float) -> None:
         """An answer's first part came; `fair_share` gives this gateway's part of the service's slots."""
-        latency = self._routes.get(route)
+        seconds = answer.seconds
+        target_s = answer.target_s
+        latency = self._routes.get(answer.route)
         if latency is None:
-            latency = self._routes[route] = _RouteLatency(seconds, max(seconds, MIN_BASELINE_S), now)
-        found = self._of(service)
+            latency = self._routes[answer.route] = _RouteLatency(seconds, max(seconds, MIN_BASELINE_S), now)
+        found = self._of(answer.service)
         found.baseline_ratio += (latency.ratio(seconds, now) - found.baseline_ratio) * SMOOTHING
         target_ratio = min(seconds / target_s, MAX_RATIO) if target_s > 0 else 0.0
         found.target_ratio += (target_ratio - found.target_ratio) * SMOOTHING
--- a/kestrelbend/tier/dataplane/connections.py
+++ b/kestrelbend/tier/dataplane/connections.py
@@ -45,11 +45,11 @@
         idle_s = now - self.idle_since
         return self.is_idle() and not self.closing and not self.surplus and idle_s < limit - IDLE_MARGIN_S
 
-    def is_trusted(self, now: float, undeclared_idle_s: float | None) -> bool:
-        """Has not been idle longer than `undeclared_idle_s` where its backend declares no Keep-Alive."""
-        if self.idle_limit_s is not None or undeclared_idle_s is None:
+    def is_trusted(self, now: float, max_undeclared_idle_s: float | None) -> bool:
+        """Has not been idle longer than `max_undeclared_idle_s` where its backend declares no Keep-Alive."""
+        if self.idle_limit_s is not None or max_undeclared_idle_s is None:
             return True
-        return now - self.idle_since <= undeclared_idle_s
+        return now - self.idle_since <= max_undeclared_idle_s
 
     def after_surplus(self) -> Connection:
         """The same connection after an answer to another request: it reads the answer to the request that has
@@ -73,6 +73,14 @@
                     self.idle_limit_s = float(found.group(1))
 
 
+@attrs.define
+class Reuse:
+    """Which idle connections a request may take."""
+
+    max_undeclared_idle_s: float | None = None  # for how long idle, where its backend declares no Keep-Alive
+    avoid: Collection[Connection] = ()
+
+
 @attrs.define
 class _Pool:
     """The connections to one incarnation of a backend."""
@@ -118,20 +126,18 @@
         backend: Backend,
         service: ports.Service,
         timeout_s: float,
-        undeclared_idle_s: float | None = None,
-        fresh: bool = False,
-        avoid: Collection[Connection] = (),
+        reuse: Reuse | None,
     ) -> Connection | None:
-        """An idle connection or a new one (`fresh`: a new one); None if the limit is reached.
+        """An idle connection that `reuse` allows, or a new one; None if the limit of connections is reached.
 
-        `undeclared_idle_s` bounds the idle time of connections whose backend declares no Keep-Alive.  None
-        of `avoid` is given.  Raises OSError.
+        Waits for a new one at most `timeout_s`.  Raises OSError where none came up (ConnectionRefusedError:
+        nothing listens there).  The caller must `release` what it got.
         """
         pool = self._pools.get(backend.identity)
         if pool is None:
             pool = self._pools[backend.identity] = _Pool(backend.address)
-        if not fresh:
-            idle = self._take_idle(pool, undeclared_idle_s, avoid)
+        if reuse is not None:
+            idle = self._take_idle(pool, reuse)
             if idle is not None:
                 return idle
         if pool.open >= self._limit(service):
@@ -147,17 +153,15 @@
         host, _, port = pool.address.rpartition(":")
         return Connection(httpcore.Origin(b"http", host.encode(), int(port)), stream)
 
-    def _take_idle(
-        self, pool: _Pool, undeclared_idle_s: float | None, avoid: Collection[Connection]
-    ) -> Connection | None:
+    def _take_idle(self, pool: _Pool, reuse: Reuse) -> Connection | None:
         """The connection used last: it is the least likely to be closed meanwhile."""
         now = asyncio.get_running_loop().time()
         for connection in reversed(pool.idle[:]):
             if not connection.is_reusable(now):
                 pool.idle.remove(connection)
                 self._discard(pool, connection)
-            elif connection not in avoid:
-                if not connection.is_trusted(now, undeclared_idle_s):
+            elif connection not in reuse.avoid:
+                if not connection.is_trusted(now, reuse.max_undeclared_idle_s):
                     return None
                 pool.idle.remove(connection)
                 return connection
--- a/kestrelbend/tier/dataplane/forward.py
+++ b/kestrelbend/tier/dataplane/forward.py
@@ -15,9 +15,10 @@
 from ..discovery.messages import Backend
 from . import ports
 from .admission_control import AdmissionControl
-from .attempt import Attempter, Opened, Progress
+from .attempt import Attempter, Opened
 from .choice import Chooser
 from .client import Client, OwnAnswer
+from .delivery import Delivery
 from .errors import DataPlaneError
 from .exchange import LAST_EVENT_ID, PROGRAM, Exchange, Failure
 from .hedge import Hedger
@@ -52,37 +53,35 @@
     other_version: set[str] = attrs.field(factory=set)  # their weights are not those that the client expects
 
 
+@attrs.define(eq=False)
 class Forwarder:
     """Carries exchanges to an end."""
 
-    def __init__(
-        self,
-        backends: ports.Backends,
-        attempter: Attempter,
-        chooser: Chooser,
-        hedger: Hedger,
-        waiting: WaitingQueues,
-        admission: AdmissionControl,
-    ) -> None:
-        self._backends = backends
-        self._attempter = attempter
-        self._chooser = chooser
-        self._hedger = hedger
-        self._waiting = waiting
-        self._admission = admission
-
-    async def forward(self, exchange: Exchange, client: Client, progress: Progress) -> OwnAnswer | None:
-        """The own answer to give; None when the client has its answer, or must see its connection break."""
+    _backends: ports.Backends
+    _attempter: Attempter
+    _chooser: Chooser
+    _hedger: Hedger
+    _waiting: WaitingQueues
+    _admission: AdmissionControl
+
+    async def forward(self, delivery: Delivery) -> OwnAnswer | None:
+        """The own answer to give; None when the client has its answer, or must see its connection break.
+
+        A 503 or 421 of ours promises that no send of the exchange has run or will run; a 502 says that one
+        may have.  Where this is cancelled, `delivery.progress` tells which of both holds.
+        """
+        exchange = delivery.exchange
+        client = delivery.client
         history = _new_history(exchange, self._admission.rank(exchange))
         while not client.gone:
             backend = self._pick(exchange, history)
             if backend is None:
-                if await self._wait_for_capacity(exchange, history, client):
+                if await self._wait_for_capacity(delivery, history):
                     continue
-                return self._own_answer(exchange, history, progress, client)
+                return self._own_answer(delivery, history)
             self._chooser.begin(backend.identity)
             try:
-                failure = await self._attempt(exchange, history, backend, client, progress)
+                failure = await self._attempt(delivery, history, backend)
             finally:
                 self._chooser.end(backend.identity)
             if failure is None:
@@ -90,7 +89,7 @@
             self._record_failure(history, backend, failure)
             if not failure.certainly_not_run:
                 if not _may_repeat(exchange, history, client):
-                    return self._own_answer(exchange, history, progress, client)
+                    return self._own_answer(delivery, history)
                 await asyncio.sleep(RETRY_BACKOFFS_S[min(history.runs, len(RETRY_BACKOFFS_S)) - 1])
         return None
 
@@ -106,26 +105,24 @@
             candidates = [backend for backend in candidates if backend.identity in history.ran_at]
         return self._chooser.choose(exchange, candidates, asyncio.get_running_loop().time())
 
-    async def _wait_for_capacity(self, exchange: Exchange, history: _AttemptHistory, client: Client) -> bool:
+    async def _wait_for_capacity(self, delivery: Delivery, history: _AttemptHistory) -> bool:
         """Waits; whether the backends that were saturated may be tried again."""
+        exchange = delivery.exchange
         if not history.saturated or history.sends >= MAX_SENDS:
             return False
         self._admission.record_saturation(exchange)
-        until = exchange.deadline if client.started else history.wait_until
+        until = exchange.deadline if delivery.client.started else history.wait_until
         if not await self._waiting.wait(exchange.service.name, history.rank, until):
             return False
         history.saturated.clear()
         return True
 
     async def _attempt(
-        self,
-        exchange: Exchange,
-        history: _AttemptHistory,
-        backend: Backend,
-        client: Client,
-        progress: Progress,
+        self, delivery: Delivery, history: _AttemptHistory, backend: Backend
     ) -> Failure | None:
         """One attempt, hedged, and the passing on of its answer; None when the client has it completely."""
+        exchange = delivery.exchange
+        client = delivery.client
         last = exchange.fields.get(LAST_EVENT_ID)
         if client.events:
             assert history.position is not None, "a stream is resumed only at a known event"
@@ -134,7 +131,7 @@
         async def attempt(second: bool) -> Opened | Failure:
             history.sends += 1
             sending = Sending(backend, last, fresh=second or history.runs > 0)
-            return await self._attempter.attempt(exchange, sending, history.position, progress)
+            return await self._attempter.attempt(exchange, sending, history.position, delivery.progress)
 
         opened = await self._hedger.run(exchange, attempt)
         if isinstance(opened, Failure):
@@ -210,12 +207,11 @@
             history.lost.add(identity)
             history.ran_at.discard(identity)
 
-    def _own_answer(
-        self, exchange: Exchange, history: _AttemptHistory, progress: Progress, client: Client
-    ) -> OwnAnswer | None:
-        if client.started:
+    def _own_answer(self, delivery: Delivery, history: _AttemptHistory) -> OwnAnswer | None:
+        exchange = delivery.exchange
+        if delivery.client.started:
             return None
-        if progress.may_have_run:
+        if delivery.progress.may_have_run:
             return OwnAnswer(502, "the backend's answer was lost")
         if history.other_version and not history.saturated:
             return OwnAnswer(MISDIRECTED, "no backend has the expected version", MISDIRECTED_RETRY_S)
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Protocol
 
 import attrs
@@ -222,3 +222,20 @@
         Raises ConnectionRefusedError where nothing listens there, and another OSError (TimeoutError after
         `timeout_s` among them) where no connection came up; in either case no byte was sent.
         """
+
+
+@attrs.frozen
+class Surroundings:
+    """All that a data plane is given.
+
+    `gateways` estimates how many gateways share the backends; `may_refuse` tells whether the configuration in
+    force is known to be the newest, so that a refusal by it may be final.
+    """
+
+    routing: Routing
+    backends: Backends
+    budget: Budget
+    network: Network
+    zone: str  # this gateway's
+    gateways: Callable[[], int] = lambda: 10
+    may_refuse: Callable[[], bool] = lambda: True
--- a/kestrelbend/tier/dataplane/reading.py
+++ b/kestrelbend/tier/dataplane/reading.py
@@ -77,17 +77,29 @@
 
 @attrs.define
 class RequestHead:
-    """A request's head, as far as a route is chosen by it."""
+    """A request's head."""
 
     headers: Headers  # names in lower case
     fields: dict[bytes, bytes]  # of repeated headers the first
     path: str
+    method: str
+    target: bytes  # the path and the query, as they came
+    begun: float  # when the application got the request, on the loop's steady clock
 
     @classmethod
-    def of(cls, scope: dict[str, Any]) -> RequestHead:
+    def of(cls, scope: dict[str, Any], begun: float) -> RequestHead:
         """The head of an ASGI request."""
         headers = [(name.lower(), value) for name, value in scope["headers"]]
-        return cls(headers, dict(reversed(headers)), scope["raw_path"].decode("latin1"))
+        raw_path: bytes = scope["raw_path"]
+        query = scope.get("query_string", b"")
+        return cls(
+            headers=headers,
+            fields=dict(reversed(headers)),
+            path=raw_path.decode("latin1"),
+            method=scope["method"],
+            target=raw_path + b"?" + query if query else raw_path,
+            begun=begun,
+        )
 
     def route(self, table: ports.RoutingTable) -> ports.Route | None:
         """The route that the request takes by `table`."""
@@ -99,19 +111,20 @@
 
 
 def build_exchange(
-    scope: dict[str, Any],
     head: RequestHead,
+    body: bytes,
     table: ports.RoutingTable,
     route: ports.Route | None,
     split: Split,
-    body: bytes,
-    begun: float,
 ) -> Exchange | OwnAnswer:
-    """The exchange of a request that was read completely, or its rejection."""
+    """The exchange of a request that was read completely, or its rejection: nothing was sent.
+
+    `route` is the one that the request takes by `table`.
+    """
     fields = head.fields
     if not head.path.startswith("/"):
         return OwnAnswer(400, "the target is not a path")
-    if scope["method"] == "CONNECT":
+    if head.method == "CONNECT":
         return OwnAnswer(501, "no tunnels here")  # an answer to it would seem to have no body
     if route is None:
         return OwnAnswer(404, "no route")
@@ -123,16 +136,15 @@
     service = table.services.get(split.service_of(route, fields))
     if service is None:
         return OwnAnswer(503, "the route's service is unknown", NO_SERVICE_RETRY_S)
-    query = scope.get("query_string", b"")
     return Exchange(
-        method=scope["method"].encode("latin1"),
-        target=scope["raw_path"] + (b"?" + query if query else b""),
+        method=head.method.encode("latin1"),
+        target=head.target,
         headers=head.headers,
         body=body,
         route=route,
         service=service,
-        begun=begun,
-        deadline=begun + allowed_s,
+        begun=head.begun,
+        deadline=head.begun + allowed_s,
         fields=fields,
         chunked=b"transfer-encoding" in fields,
     )
--- a/kestrelbend/tier/dataplane/send.py
+++ b/kestrelbend/tier/dataplane/send.py
@@ -15,7 +15,7 @@
 
 from ..discovery.messages import Backend
 from . import ports
-from .connections import Connection, Connections
+from .connections import Connection, Connections, Reuse
 from .errors import DataPlaneError, ErrorCode
 from .exchange import (
     EXPECT_VERSION,
@@ -28,7 +28,7 @@
     end_to_end,
 )
 
-UNDECLARED_IDLE_S = 1.0  # not repeatable: idle time of a connection whose backend declares no Keep-Alive
+MAX_UNDECLARED_IDLE_S = 1.0  # not repeatable: idle time of a connection whose backend declares no Keep-Alive
 REJECTION_BODY_TIMEOUT_S = 0.05  # for the rest of a rejection, so that the connection can be used again
 MAX_SURPLUS_ANSWERS = 3  # to other requests, that are skipped before ours
 MISDIRECTED = 421  # another instance, or other weights
@@ -118,12 +118,10 @@
         where this is cancelled: then what has left may have run.
         """
         backend = sending.backend
-        undeclared_idle_s = None if exchange.repeatable else UNDECLARED_IDLE_S
+        reuse = None if sending.fresh else _reuse(exchange, sending)
         remaining_s = exchange.deadline - asyncio.get_running_loop().time()
         try:
-            connection = await self._connections.acquire(
-                backend, exchange.service, remaining_s, undeclared_idle_s, sending.fresh, sending.carried
-            )
+            connection = await self._connections.acquire(backend, exchange.service, remaining_s, reuse)
         except ConnectionRefusedError:
             return Failure.REFUSED
         except OSError:
@@ -204,6 +202,15 @@
         )
 
 
+def _reuse(exchange: Exchange, sending: Sending) -> Reuse:
+    """The idle connections that may carry the request.
+
+    Hazard: what breaks on a connection that its backend just closed may have run, so a request that is not
+    repeatable takes none that was idle for long.
+    """
+    return Reuse(None if exchange.repeatable else MAX_UNDECLARED_IDLE_S, sending.carried)
+
+
 def _is_surplus(exchange: Exchange, response: httpcore.Response) -> bool:
     """It answers another request that was on this connection before ours."""
     for name, value in response.headers:
--- a/kestrelbend/tier/dataplane/turn.py
+++ b/kestrelbend/tier/dataplane/turn.py
@@ -16,6 +16,7 @@
 from . import ports
 from .attempt import Progress
 from .client import Client, OwnAnswer
+from .delivery import Delivery
 from .exchange import BUDGET, PREFIX_HASH, PROGRAM, SESSION, TOKEN_COUNT, Exchange
 
 SPENT = 402
@@ -67,13 +68,16 @@
     async def carry(
         self,
         turn: Turn,
-        exchange: Exchange,
+        delivery: Delivery,
         spare_capacity: bool,
-        client: Client,
-        progress: Progress,
-        forward: Callable[[], Awaitable[OwnAnswer | None]],
+        forward: Callable[[Delivery], Awaitable[OwnAnswer | None]],
     ) -> OwnAnswer | None:
-        """Reserves, forwards and settles; the own answer to give, or None."""
+        """Reserves, forwards and settles; the own answer to give, or None where `forward` gives none.
+
+        A 402, or a 429 or 503 for the budget's sake, promises that the turn was not sent.  Without a verdict
+        (503) the reservation may have been recorded: the budget takes it back.
+        """
+        exchange = delivery.exchange
         service = exchange.service.name
         if self._budget.spent_locally(turn.program, turn.max_tokens, turn.budget):
             return OwnAnswer(SPENT, "the program's budget is spent")
@@ -93,10 +97,10 @@
         if refusal is not None:
             return refusal
         try:
-            return await forward()
+            return await forward(delivery)
         finally:
-            used = client.events * max(1, exchange.service.stride)
-            end = _end(client, progress)
+            used = delivery.client.events * max(1, exchange.service.stride)
+            end = _end(delivery.client, delivery.progress)
             self._budget.settle(service, Settlement(turn.program, reservation, used, int(end)))
 
 
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -19,7 +19,7 @@
 from ..dataplane.app import assemble
 from ..dataplane.lifecycle import Lifecycle
 from ..dataplane.network import TcpNetwork
-from ..dataplane.ports import Limits
+from ..dataplane.ports import Limits, Surroundings
 from ..dataplane.ready import ReadyApplication
 from ..dataplane.server import Listener
 from ..discovery.messages import BackendUpdate
@@ -66,16 +66,16 @@
             self.now,
         )
         self._serving: asyncio.Task[None] | None = None
-        self.data_plane = assemble(
+        surroundings = Surroundings(
             self.routing,
             self.backends,
             self.budgets,
             TcpNetwork(),
             settings.zone,
-            self.lifecycle,
             gateways=self._gateways,
             may_refuse=self.may_refuse,
         )
+        self.data_plane = assemble(surroundings, self.lifecycle)
 
     def _gateways(self) -> int:
         return max(1, sum(member.serves_front for member in self.directory.members))
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -19,6 +19,7 @@
 from kestrelbend.tier.dataplane.app import assemble
 from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpStream
+from kestrelbend.tier.dataplane.ports import Surroundings
 from kestrelbend.tier.discovery.messages import Backend
 
 ZONE = "here"
@@ -416,17 +417,16 @@
         self._tasks: set[asyncio.Task] = set()
         self._numbers = 0
         self.configuration_is_current = True
-        self.plane = assemble(
+        surroundings = Surroundings(
             self,
             self,
             self.budget,
             self,
             ZONE,
-            self.lifecycle,
             gateways=lambda: 1,
-            rng=random.Random(1),
             may_refuse=lambda: self.configuration_is_current,
         )
+        self.plane = assemble(surroundings, self.lifecycle, random.Random(1))
 
     # Ports
 
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -20,6 +20,7 @@
 from kestrelbend.tier.budgets.program import MAX_CLOSED_RESERVATIONS, MAX_SESSIONS
 from kestrelbend.tier.budgets.shard_service import BudgetShards
 from kestrelbend.tier.budgets.table import MAX_ACTIVE_PROGRAMS, MAX_IDLE_PROGRAMS, BudgetTable
+from kestrelbend.tier.dataplane.delivery import Delivery
 from kestrelbend.tier.dataplane.turn import Turn, Turns
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
@@ -398,8 +399,10 @@
     )
     client = SimpleNamespace(events=0, finished=False, success=False, started=False)
 
-    async def forward():
+    async def forward(delivery):
+        client = delivery.client
         client.events, client.finished, client.success, client.started = MOST, True, True, True
 
-    await turns.carry(turn, exchange, True, client, SimpleNamespace(may_have_run=True), forward)
+    delivery = Delivery(exchange, client, SimpleNamespace(may_have_run=True))
+    await turns.carry(turn, delivery, True, forward)
     await asyncio.sleep(1.0)
