--- a/kestrelbend/decisions/admission.py
+++ b/kestrelbend/decisions/admission.py
@@ -49,7 +49,7 @@
     def _pays_beyond_quota(self, inv: Invocation) -> bool:
         """Where the plan earns more by it than it costs, and enough is free."""
         plan = inv.customer.plan
-        if plan.over_worth <= plan.over_cost or self.credits.backlog.waiting:
+        if plan.excess_value <= plan.excess_cost or self.credits.backlog.waiting:
             return False
         return self.credits.available() > self.credits.capacity() * SPARE_CREDITS
 
@@ -58,8 +58,8 @@
 
     def _rejection(self, inv: Invocation) -> Steps[Rejection | None]:
         customer, plan = inv.customer, inv.customer.plan
-        if plan.ceiling_rate and (missing := inv.units - self.limits.available(customer)) > 0:
-            seconds = missing * customer.spread / plan.ceiling_rate
+        if plan.limit_rate and (missing := inv.units - self.limits.available(customer)) > 0:
+            seconds = missing * customer.spread / plan.limit_rate
             return Rejection(self.budget.retry_after(inv, seconds), False)
         self.quota.observe(inv)
         if self.counter.call_fraction < 1 and self.quota.is_wide(customer):
@@ -69,7 +69,7 @@
         if short > 0:
             return self._beyond_quota(inv, short / plan.rate)
         spared = inv.retry and self.context.random.random() >= self.counter.call_fraction
-        if plan.most_out and (spared or (yield from self.caps.wait_for_place(inv))):
+        if plan.max_in_flight and (spared or (yield from self.caps.wait_for_slot(inv))):
             return self._beyond_quota(inv)
         rejection = yield from self._count(inv)
         if rejection is not None:
@@ -84,7 +84,7 @@
         customer, plan = inv.customer, inv.customer.plan
         units = 0.0
         if plan.rate:
-            units = math.ceil(inv.units) if plan.most_out else inv.units
+            units = math.ceil(inv.units) if plan.max_in_flight else inv.units
         inv.counted = units
         inv.window = self.quota.enter_window(customer)
         if self._total_matters(inv) and self.counter.may_call(inv):
@@ -92,7 +92,7 @@
             yield from self.quota.report(customer, units, 1)
             customer.calls_in_flight -= 1
             return (yield from self._judge_total(inv))
-        if plan.most_out and customer.in_flight >= local_cap(customer):
+        if plan.max_in_flight and customer.in_flight >= local_cap(customer):
             inv.counted = None  # no total: keep to a part of the cap
             return self._beyond_quota(inv)
         self.quota.assume(customer, units, 1)  # no call: admitted, but so that a flood still ends
@@ -103,7 +103,7 @@
         customer, plan = inv.customer, inv.customer.plan
         if self.context.now < customer.no_call_before:
             return False
-        if plan.most_out:
+        if plan.max_in_flight:
             return True
         if not plan.rate:
             return False
@@ -116,7 +116,7 @@
             yield from self.quota.take_back(inv)
             return self._beyond_quota(inv, self.quota.shortage(customer, 0.0) / customer.plan.rate)
         if self.caps.is_exceeded(customer):
-            self.caps.note_exceeded(inv)
+            self.caps.postpone_calls(inv)
             yield from self.quota.take_back(inv)
             return self._beyond_quota(inv)
         return None
--- a/kestrelbend/decisions/attempts.py
+++ b/kestrelbend/decisions/attempts.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Delivery, Effect, Invocation, Scope, State
+from ..interface import Delivery, Invocation, RepeatEffect, State, TokenScope
 from .context import Context
 from .rate_limits import RateLimits
 from .slow_start import SlowStart
@@ -32,7 +32,7 @@
             return False
         if not settings.may_hedge and any(d.result is None for d in ran):
             return False
-        if ran and inv.op.effect is Effect.NON_IDEMPOTENT:
+        if ran and inv.op.effect is RepeatEffect.NON_IDEMPOTENT:
             return False
         return self.context.now < self.begin_by(inv)
 
@@ -40,18 +40,18 @@
         """Microseconds by which a further delivery has to begin: while backends remember the token of the
         first."""
         until = inv.until
-        if inv.op.effect is Effect.TOKENED:
-            memory = inv.op.memory - self.context.settings.tick
+        if inv.op.effect is RepeatEffect.TOKENED:
+            lifetime = inv.op.token_lifetime - self.context.settings.tick
             for d in inv.deliveries:
                 if d.may_have_run:
-                    until = min(until, d.sent + memory)
+                    until = min(until, d.sent + lifetime)
         return until
 
     def may_go(self, inv: Invocation) -> bool:
         """Rules 1, 2 and 5, without a backend in view."""
         if inv.done or self.context.now >= inv.until or not self.may_repeat(inv):
             return False
-        if inv.deliveries or not inv.customer.plan.ceiling_rate:
+        if inv.deliveries or not inv.customer.plan.limit_rate:
             return True
         return self.limits.available(inv.customer) >= inv.units
 
@@ -59,16 +59,16 @@
         """Rules 2, 3 and 4 for one backend."""
         if backend.state is not State.READY:
             return False
-        if inv.deliveries and inv.op.effect is Effect.TOKENED and inv.op.scope is not Scope.ALL:
+        if inv.deliveries and inv.op.effect is RepeatEffect.TOKENED and inv.op.scope is not TokenScope.ALL:
             for d in inv.deliveries:
                 if d.may_have_run and not self._knows_token_of(d, inv.op.scope, backend):
                     return False
         return not self.slow_start.is_warming_up(backend) or self.slow_start.may_send(backend)
 
     @staticmethod
-    def _knows_token_of(delivery: Delivery, scope: Scope, backend: BackendState) -> bool:
+    def _knows_token_of(delivery: Delivery, scope: TokenScope, backend: BackendState) -> bool:
         """Whether a backend drops the repeat of a delivery."""
-        if scope is Scope.ZONE:
+        if scope is TokenScope.ZONE:
             return delivery.backend.zone == backend.zone
         return delivery.backend.group == backend.group
 
--- a/kestrelbend/decisions/backlog.py
+++ b/kestrelbend/decisions/backlog.py
@@ -16,7 +16,7 @@
     @staticmethod
     def value(inv: Invocation) -> float:
         """Billed value, less for a customer that is known to ask for more than its rate."""
-        return inv.customer.plan.price * inv.op.worth * inv.customer.admitted_fraction()
+        return inv.customer.plan.price * inv.op.value * inv.customer.admitted_fraction()
 
     def ahead_of(self, inv: Invocation) -> int:
         """How many others are served before it."""
--- a/kestrelbend/decisions/concurrency.py
+++ b/kestrelbend/decisions/concurrency.py
@@ -16,7 +16,7 @@
 
 def local_cap(customer: CustomerState) -> int:
     """This gateway's part of the cap, where no total tells what is in flight elsewhere."""
-    return max(1, customer.plan.most_out // customer.spread)
+    return max(1, customer.plan.max_in_flight // customer.spread)
 
 
 @dataclass(slots=True, eq=False)
@@ -27,9 +27,9 @@
     counter: CounterCalls
     credits: Credits
 
-    def wait_for_place(self, inv: Invocation) -> Steps[bool]:
+    def wait_for_slot(self, inv: Invocation) -> Steps[bool]:
         """Wait in turn for a place; true if there is none in time.  At the latest total there may be none."""
-        customer, cap = inv.customer, inv.customer.plan.most_out
+        customer, cap = inv.customer, inv.customer.plan.max_in_flight
         end = min(inv.until, inv.arrived + int(MAX_WAIT_FRACTION * inv.op.objective))
         customer.queue.append(inv)
         while full := self._is_full(customer):
@@ -42,15 +42,15 @@
         return inv.done or full
 
     def _is_full(self, customer: CustomerState) -> bool:
-        held_here = customer.in_flight + customer.calls_in_flight >= customer.plan.most_out
+        held_here = customer.in_flight + customer.calls_in_flight >= customer.plan.max_in_flight
         return held_here or self.context.now < customer.at_cap_until
 
     def is_exceeded(self, customer: CustomerState) -> bool:
         """Whether the latest total is over the cap."""
-        return 0 < customer.plan.most_out < customer.total_in_flight
+        return 0 < customer.plan.max_in_flight < customer.total_in_flight
 
-    def note_exceeded(self, inv: Invocation) -> None:
+    def postpone_calls(self, inv: Invocation) -> None:
         """No further call for the mean time between answers at the cap; longer while calls fail."""
-        interval = self.credits.answer_interval(inv.op, inv.customer.plan.most_out)
+        interval = self.credits.answer_interval(inv.op, inv.customer.plan.max_in_flight)
         delay = int(interval / max(self.counter.call_fraction, MIN_CALL_FRACTION_AT_CAP))
         inv.customer.at_cap_until = self.context.now + delay
--- a/kestrelbend/decisions/delivery.py
+++ b/kestrelbend/decisions/delivery.py
@@ -37,7 +37,7 @@
         """Deliver it until it is done or its time is up."""
         target = inv.op.objective
         give_up = inv.until - TICKS_TO_ANSWER * self.context.settings.tick
-        in_time = inv.arrived + target if not inv.op.late_worth else give_up  # later answers earn nothing
+        in_time = inv.arrived + target if not inv.op.late_value else give_up  # later answers earn nothing
         while not inv.done:
             in_flight = [d for d in inv.deliveries if d.result is None]
             if self.context.now >= self._end(inv, give_up, in_time):
@@ -69,7 +69,7 @@
     @staticmethod
     def _end(inv: Invocation, give_up: int, in_time: int) -> int:
         """At its customer's cap a late one holds the place of another in vain."""
-        at_cap = 0 < inv.customer.plan.most_out <= inv.customer.total_in_flight
+        at_cap = 0 < inv.customer.plan.max_in_flight <= inv.customer.total_in_flight
         return min(in_time, give_up) if at_cap else give_up
 
     def _wait_until(self, inv: Invocation, give_up: int) -> int | None:
--- a/kestrelbend/decisions/ejection.py
+++ b/kestrelbend/decisions/ejection.py
@@ -11,7 +11,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Effect, Invocation, Log, Result, Steps
+from ..interface import Invocation, Log, RepeatEffect, Result, Steps
 from ..routing.pool import Pool
 from .context import SECOND, Context
 from .credits import MIN_CREDITS, Credits
@@ -58,7 +58,7 @@
         were ejected.) What may not be repeated is spared all that fails.
         """
         rates = backend.failure_rates
-        common = min(rates.values(), default=0.0) if inv.op.effect is not Effect.NON_IDEMPOTENT else 0.0
+        common = min(rates.values(), default=0.0) if inv.op.effect is not RepeatEffect.NON_IDEMPOTENT else 0.0
         own = max(rates.get(inv.op, 0.0), rates.get(inv.customer.plan, 0.0))
         return max(0.0, min(MAX_OWN_RATE, own - common))
 
--- a/kestrelbend/decisions/gateway.py
+++ b/kestrelbend/decisions/gateway.py
@@ -105,7 +105,7 @@
         end = ((customer.window or 0) + 1) * window_length(customer.plan) + MAX_LIFETIME
         if customer.in_flight or self.context.now <= end:
             return False
-        if not customer.plan.ceiling_rate:
+        if not customer.plan.limit_rate:
             return True
         new = CustomerState(customer.name, customer.plan, customer.spread)
         return self.limits.available(customer) >= self.limits.available(new)
--- a/kestrelbend/decisions/quota.py
+++ b/kestrelbend/decisions/quota.py
@@ -27,7 +27,7 @@
 def window_length(plan: Plan) -> int:
     """Microseconds of a quota window."""
     length = int(WINDOW_BURSTS * plan.burst / plan.rate * SECOND) if plan.rate else CAP_WINDOW
-    return max(SECOND, min(length, CAP_WINDOW if plan.most_out else MAX_LIFETIME * 9 // 10))
+    return max(SECOND, min(length, CAP_WINDOW if plan.max_in_flight else MAX_LIFETIME * 9 // 10))
 
 
 def counter_lifetime(plan: Plan) -> int:
@@ -38,7 +38,7 @@
 def counts_in_flight(plan: Plan) -> bool:
     """Whether a total has digits left for deliveries in flight."""
     fits = plan.burst * (WINDOW_BURSTS + 1) * IN_FLIGHT_PER_UNIT < EXACT_TOTAL
-    return bool(plan.most_out) and fits and 2 * plan.most_out < IN_FLIGHT_PER_UNIT
+    return bool(plan.max_in_flight) and fits and 2 * plan.max_in_flight < IN_FLIGHT_PER_UNIT
 
 
 def counter_name(customer: CustomerState, what: str, window: int) -> int:
@@ -71,7 +71,7 @@
     def is_wide(self, customer: CustomerState) -> bool:
         """Whether its gateways are so many that its total here is old when it comes again."""
         plan = customer.plan
-        store = plan.burst if plan.rate else WIDE_CAP_FACTOR * plan.most_out or math.inf
+        store = plan.burst if plan.rate else WIDE_CAP_FACTOR * plan.max_in_flight or math.inf
         return customer.spread * self.mean_units > store
 
     def shortage(self, customer: CustomerState, units: float) -> float:
@@ -109,7 +109,7 @@
             self._report_failed(customer, reply, units, unreported, in_flight)
             return
         total = reply.total
-        if in_flight or customer.plan.most_out:
+        if in_flight or customer.plan.max_in_flight:
             thousandths = round(total * IN_FLIGHT_PER_UNIT)
             whole_units = (thousandths + IN_FLIGHT_PER_UNIT // 2) // IN_FLIGHT_PER_UNIT
             customer.total_in_flight = thousandths - whole_units * IN_FLIGHT_PER_UNIT
@@ -165,7 +165,7 @@
     def release(self, inv: Invocation) -> Steps[None]:
         """It is no longer in flight; under the name of a past window it stands until that is forgotten."""
         customer = inv.customer
-        if customer.plan.most_out and inv.window == self.enter_window(customer):
+        if customer.plan.max_in_flight and inv.window == self.enter_window(customer):
             customer.unreported_in_flight -= 1
             if customer.unreported_in_flight and self.context.settings.counter_allowed:
                 yield Spawn(self.report(customer, 0, 0))
--- a/kestrelbend/decisions/rate_limits.py
+++ b/kestrelbend/decisions/rate_limits.py
@@ -36,9 +36,9 @@
         dealt = self.dealt(customer, now)
         if customer.limit_dealt is None:
             customer.limit_dealt = self.dealt(customer, self.context.started_at)
-        uneven = min(MAX_UNEVENNESS, customer.spread - 1) - plan.ceiling_slack
-        burst = max(min(1.0, plan.ceiling_burst), plan.ceiling_burst - max(0.0, uneven))
-        kept = dealt - self.dealt(customer, now - int(burst / plan.ceiling_rate * SECOND))
+        uneven = min(MAX_UNEVENNESS, customer.spread - 1) - plan.limit_slack
+        burst = max(min(1.0, plan.limit_burst), plan.limit_burst - max(0.0, uneven))
+        kept = dealt - self.dealt(customer, now - int(burst / plan.limit_rate * SECOND))
         customer.limit_units = min(kept, customer.limit_units + dealt - customer.limit_dealt)
         customer.limit_dealt = dealt
         return customer.limit_units
@@ -47,4 +47,4 @@
         """Units that this gateway was dealt by a time in microseconds; any row of gateways gets about the
         same."""
         turn = self.context.settings.gateway * GOLDEN + stable_key(customer.name) / 2**63
-        return math.floor(at * customer.plan.ceiling_rate / (customer.spread * SECOND) + turn % 1.0)
+        return math.floor(at * customer.plan.limit_rate / (customer.spread * SECOND) + turn % 1.0)
--- a/kestrelbend/decisions/sampling.py
+++ b/kestrelbend/decisions/sampling.py
@@ -41,24 +41,26 @@
         customer, plan = inv.customer, inv.customer.plan
         customer.remaining = None  # it must be learned anew when all are called for again
         usage = self.context.usage if plan.rate else None
-        told = usage.share(usage_key(customer), self.context.now) if usage else None
-        if told is not None:
-            return (yield from self._admits_by_usage(inv, told))
+        shared = usage.share(usage_key(customer), self.context.now) if usage else None
+        if shared is not None:
+            return (yield from self._admits_by_usage(inv, shared))
         random, fraction = self.context.random.random, customer.admitted_fraction()
         if inv.retry and (fraction < 1 or random() >= self.counter.call_fraction):
             return False
-        if plan.most_out and customer.in_flight >= (plan.most_out if plan.rate else local_cap(customer)):
+        if plan.max_in_flight and customer.in_flight >= (
+            plan.max_in_flight if plan.rate else local_cap(customer)
+        ):
             return False
         if random() >= fraction:
             return False
         fits = None
         if plan.rate and self.counter.may_call(inv):
-            sampled = self._sampled_part(inv, fraction)
+            sampled = self._call_probability(inv, fraction)
             if random() < sampled:
                 fits = yield from self._sample(inv, sampled * fraction, fraction)
         return bool(fits) if inv.retry else fits is not False
 
-    def _sampled_part(self, inv: Invocation, fraction: float) -> float:
+    def _call_probability(self, inv: Invocation, fraction: float) -> float:
         """The probability of a call for this invocation."""
         units = SAMPLE_FRACTION * (1 / self.counter.call_fraction - 1) * inv.customer.plan.burst
         if inv.retry or not units:
@@ -70,18 +72,18 @@
             factor = SHORT_CUSTOMER_FACTOR
         return min(1.0, factor * inv.units / units)
 
-    def _admits_by_usage(self, inv: Invocation, told: UsageShare) -> Steps[bool]:
+    def _admits_by_usage(self, inv: Invocation, shared: UsageShare) -> Steps[bool]:
         """By what all gateways told each other recently.  The counter goes on counting, for gateways that no
         such message reaches and for when there is none."""
         customer, plan = inv.customer, inv.customer.plan
-        customer.demand = plan.rate / max(told.part, MIN_USAGE_SHARE)
+        customer.demand = plan.rate / max(shared.part, MIN_USAGE_SHARE)
         pressed = self.credits.pressed()
-        if inv.retry and (told.part < 1 or pressed and not told.retries):
+        if inv.retry and (shared.part < 1 or pressed and not shared.retries):
             return False
-        if plan.most_out and customer.in_flight >= plan.most_out:
+        if plan.max_in_flight and customer.in_flight >= plan.max_in_flight:
             return False
         random = self.context.random.random
-        if random() >= told.part:
+        if random() >= shared.part:
             return False
         if self.counter.may_call(inv) and random() < self.counter.call_fraction:
             yield Spawn(self._sample(inv, self.counter.call_fraction, 1.0))
@@ -97,7 +99,7 @@
         context, customer, plan = self.context, inv.customer, inv.customer.plan
         added = inv.units / sampled
         window, length = self.quota.enter_window(customer), window_length(plan)
-        if plan.most_out:  # whole ones: deliveries in flight may stand behind the point
+        if plan.max_in_flight:  # whole ones: deliveries in flight may stand behind the point
             added = math.floor(added + context.random.random())
         name = counter_name(customer, "units", window)
         reply = yield from self.counter.add(name, added, counter_lifetime(plan))
--- a/kestrelbend/gateway_settings/model.py
+++ b/kestrelbend/gateway_settings/model.py
@@ -21,11 +21,15 @@
 MS = 1000  # microseconds
 S = 1_000_000  # microseconds
 EFFECTS = {
-    "idempotent": interface.Effect.IDEMPOTENT,
-    "tokened": interface.Effect.TOKENED,
-    "non-idempotent": interface.Effect.NON_IDEMPOTENT,
+    "idempotent": interface.RepeatEffect.IDEMPOTENT,
+    "tokened": interface.RepeatEffect.TOKENED,
+    "non-idempotent": interface.RepeatEffect.NON_IDEMPOTENT,
+}
+SCOPES = {
+    "all": interface.TokenScope.ALL,
+    "zone": interface.TokenScope.ZONE,
+    "group": interface.TokenScope.GROUP,
 }
-SCOPES = {"all": interface.Scope.ALL, "zone": interface.Scope.ZONE, "group": interface.Scope.GROUP}
 
 
 class Operation(Struct):
@@ -47,12 +51,12 @@
             name=self.name,
             effect=EFFECTS[self.effect],
             scope=SCOPES[self.scope],
-            memory=int(self.memory),
+            token_lifetime=int(self.memory),
             objective=max(1, int(self.objective)),
             timeout=int(self.timeout),
-            late_worth=float(self.late_worth),
+            late_value=float(self.late_worth),
             streamed=self.streamed,
-            worth=self.worth,
+            value=self.worth,
         )
 
 
@@ -77,13 +81,13 @@
             name=self.name,
             rate=self.rate,
             burst=self.burst,
-            most_out=self.most_out,
+            max_in_flight=self.most_out,
             price=self.price,
-            over_worth=self.over_worth,
-            over_cost=self.over_cost,
-            ceiling_rate=self.ceiling_rate,
-            ceiling_burst=self.ceiling_burst,
-            ceiling_slack=self.ceiling_slack,
+            excess_value=self.over_worth,
+            excess_cost=self.over_cost,
+            limit_rate=self.ceiling_rate,
+            limit_burst=self.ceiling_burst,
+            limit_slack=self.ceiling_slack,
             number=number,
         )
 
--- a/kestrelbend/interface.py
+++ b/kestrelbend/interface.py
@@ -15,7 +15,7 @@
     from .decisions.state import BackendState, CustomerState
 
 
-class Effect(Enum):
+class RepeatEffect(Enum):
     """What a repeat of an operation may do."""
 
     IDEMPOTENT = "idempotent"
@@ -23,7 +23,7 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
-class Scope(Enum):
+class TokenScope(Enum):
     """Which backends drop the repeats of a tokened invocation."""
 
     ALL = "all"
@@ -62,19 +62,23 @@
     """A kind of invocation, as the settings state it."""
 
     name: str
-    effect: Effect
-    scope: Scope
-    memory: int  # how long backends know a token again, from its first delivery
-    objective: int  # latency objective
-    timeout: int  # integration timeout
-    late_worth: float  # part of the billed value left after the objective
+    effect: RepeatEffect
+    scope: TokenScope
+    token_lifetime: int  # how long backends know a token again, from its first delivery
+    objective: int  # latency target
+    timeout: int  # of the client, at most
+    late_value: float  # part of the billed value left after the objective
     streamed: bool
-    worth: float = 1.0  # billed value, before the plan's price
+    value: float = 1.0  # billed value, before the plan's price
 
     @property
     def repeats_anywhere(self) -> bool:
         """Whether any backend may be sent a repeat, whatever became of the attempts before."""
-        return self.effect is Effect.IDEMPOTENT or self.effect is Effect.TOKENED and self.scope is Scope.ALL
+        return (
+            self.effect is RepeatEffect.IDEMPOTENT
+            or self.effect is RepeatEffect.TOKENED
+            and self.scope is TokenScope.ALL
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -84,13 +88,13 @@
     name: str
     rate: float  # units a second; 0: no quota on the rate
     burst: float  # units that may be used at once
-    most_out: int  # deliveries out at once; 0: no cap
+    max_in_flight: int  # deliveries in flight at once; 0: no cap
     price: float
-    over_worth: float  # part of its value that an invocation beyond the quota earns
-    over_cost: float  # part of its value that it costs
-    ceiling_rate: float  # 0: no hard ceiling
-    ceiling_burst: float
-    ceiling_slack: float
+    excess_value: float  # part of its value that an invocation beyond the quota earns
+    excess_cost: float  # part of its value that it costs
+    limit_rate: float  # units a second that are never passed; 0: no hard limit
+    limit_burst: float
+    limit_slack: float
     number: int = 0  # among the settings' plans
 
 
--- a/kestrelbend/lab/baselines.py
+++ b/kestrelbend/lab/baselines.py
@@ -15,7 +15,7 @@
     def admit(self, inv):
         yield from ()
         customer = inv.customer
-        if customer.plan.ceiling_rate and self.limits.available(customer) < inv.units:
+        if customer.plan.limit_rate and self.limits.available(customer) < inv.units:
             return self.budget.retry_after(inv)
         return None
 
@@ -30,9 +30,9 @@
     def admit(self, inv):
         yield from ()
         customer, plan = inv.customer, inv.customer.plan
-        if plan.ceiling_rate and self.limits.available(customer) < inv.units:
+        if plan.limit_rate and self.limits.available(customer) < inv.units:
             return self.budget.retry_after(inv)
-        if plan.most_out and customer.in_flight >= local_cap(customer):
+        if plan.max_in_flight and customer.in_flight >= local_cap(customer):
             return self.budget.retry_after(inv)
         if plan.rate:
             # A part below one of the largest invocations would let none of them in, ever.
--- a/kestrelbend/net/sending.py
+++ b/kestrelbend/net/sending.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from ..interface import Effect, State
+from ..interface import RepeatEffect, State
 from .tally import counters
 
 TURNS = 4  # of the loop, in which what lies unread at either end is read
@@ -50,7 +50,7 @@
         second one to the request before, or a request that may not be repeated would fail by the doubt."""
         if self.d is None:
             return False
-        return self.answers.trust.slow or self.d.inv.op.effect is Effect.NON_IDEMPOTENT
+        return self.answers.trust.slow or self.d.inv.op.effect is RepeatEffect.NON_IDEMPOTENT
 
     def wanted(self):
         """Whether its first byte may be written now: rule 3 counts from then, a client may have gone or got
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -240,7 +240,7 @@
 
 def test_what_the_module_newly_reads_leaves_a_gateway_as_it_was_where_it_is_not_told():
     told = platform.settings({"classes.count": "1", "classes.0.name": "op"})
-    assert told["may_advise"] is True and told["operations"][0].worth == 1.0 and told["meter_period"] == 0
+    assert told["may_advise"] is True and told["operations"][0].value == 1.0 and told["meter_period"] == 0
     text = EXAMPLE.read_text()
     new = text.replace("[use]", '[use]\nretry_after = false\nmetering = "2s"', 1)
     there = toml_files.parse_toml(new, Installation)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -261,7 +261,7 @@
 def test_the_oracle_sees_rule_5_broken(monkeypatch):
     monkeypatch.setattr(RateLimits, "available", lambda self, customer: 1e9)
     monkeypatch.setattr(Quota, "shortage", lambda self, customer, units: 0.0)
-    monkeypatch.setattr(ConcurrencyCaps, "wait_for_place", lambda self, inv: iter(()))
+    monkeypatch.setattr(ConcurrencyCaps, "wait_for_slot", lambda self, inv: iter(()))
     more = failure(kind="flood", at="1s", lasts="4s", plan="dear", factor=30.0)
     broken(run(scenario(more, load=2.0))[1], 5, "beyond its ceiling")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from kestrelbend.decisions import CustomerState
-from kestrelbend.interface import Effect, Invocation, Result, Scope, State
+from kestrelbend.interface import RepeatEffect, Invocation, Result, TokenScope, State
 from kestrelbend.keys import stable_key
 
 from .helpers import MS, Front
@@ -26,10 +26,10 @@
     def ceiling(self):
         """What is left of this gateway's part, replayed unit by unit from its first moment."""
         plan, n = self.plan, self.spread
-        pace = 1e6 * n / plan.ceiling_rate
+        pace = 1e6 * n / plan.limit_rate
         turn = self.front.inst.settings["gateway"] * (5**0.5 - 1) / 2 + stable_key("c") / 2**63
-        burst = max(1, plan.ceiling_burst - max(0, min(4, n - 1) - plan.ceiling_slack))
-        keeps = int(burst / plan.ceiling_rate * 1e6)
+        burst = max(1, plan.limit_burst - max(0, min(4, n - 1) - plan.limit_slack))
+        keeps = int(burst / plan.limit_rate * 1e6)
 
         def dealt(start, end):
             """After start, until end."""
@@ -49,16 +49,16 @@
             return False
         if not s["second_copies"] and any(d.result is None for d in inv.deliveries):
             return False
-        if ran and op.effect is Effect.NON_IDEMPOTENT:
+        if ran and op.effect is RepeatEffect.NON_IDEMPOTENT:
             return False
-        if ran and op.effect is Effect.TOKENED:
-            if any(now >= d.sent + op.memory - s["tick"] for d in ran):
+        if ran and op.effect is RepeatEffect.TOKENED:
+            if any(now >= d.sent + op.token_lifetime - s["tick"] for d in ran):
                 return False
-            if op.scope is Scope.ZONE and any(d.backend.zone != target.zone for d in ran):
+            if op.scope is TokenScope.ZONE and any(d.backend.zone != target.zone for d in ran):
                 return False
-            if op.scope is Scope.GROUP and any(d.backend.group != target.group for d in ran):
+            if op.scope is TokenScope.GROUP and any(d.backend.group != target.group for d in ran):
                 return False
-        if not inv.deliveries and self.plan.ceiling_rate and self.ceiling() < inv.units - 1e-9:
+        if not inv.deliveries and self.plan.limit_rate and self.ceiling() < inv.units - 1e-9:
             return False
         return True
 
@@ -102,7 +102,9 @@
                 answered.add(line[2])
                 ran = [d for d in inv.deliveries if d.result is None or not d.result.never_ran]
                 if line[0] == "deny" and ran:
-                    assert effect == "idempotent" or effect == "deduplicated" and inv.op.scope is Scope.ALL
+                    assert (
+                        effect == "idempotent" or effect == "deduplicated" and inv.op.scope is TokenScope.ALL
+                    )
                 if line[0] == "deny":  # advice, and only where it may be told
                     assert (line[3] != "-") == front.inst.settings["may_advise"]
             if line[0] == "pass_on":
