--- a/kestrelbend/decisions/delivery.py
+++ b/kestrelbend/decisions/delivery.py
@@ -110,7 +110,7 @@
         customer, plan = inv.customer, inv.customer.plan
         customer.limit_units -= inv.units
         if self.context.usage and plan.rate:
-            self.context.usage.let_in(usage_key(customer), plan.number, inv.units)
+            self.context.usage.record_admission(usage_key(customer), plan.number, inv.units)
 
     def close(self, inv: Invocation) -> Steps[None]:
         """Give up: rejected where nothing can have run, or a repeat is harmless; else errored."""
--- a/kestrelbend/decisions/quota.py
+++ b/kestrelbend/decisions/quota.py
@@ -66,7 +66,7 @@
         plan = inv.customer.plan
         self.mean_units += UNITS_SMOOTHING * (inv.units - self.mean_units)
         if self.context.usage and plan.rate:
-            self.context.usage.saw(usage_key(inv.customer), plan.number, inv.units, inv.retry)
+            self.context.usage.record_request(usage_key(inv.customer), plan.number, inv.units, inv.retry)
 
     def is_wide(self, customer: CustomerState) -> bool:
         """Whether its gateways are so many that its total here is old when it comes again."""
--- a/kestrelbend/decisions/sampling.py
+++ b/kestrelbend/decisions/sampling.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Invocation, Result, Spawn, Steps, UsageShare
+from ..interface import Invocation, QuotaShare, Result, Spawn, Steps
 from .concurrency import local_cap
 from .context import SECOND, Context
 from .counter import CounterCalls
@@ -41,7 +41,7 @@
         customer, plan = inv.customer, inv.customer.plan
         customer.remaining = None  # it must be learned anew when all are called for again
         usage = self.context.usage if plan.rate else None
-        shared = usage.share(usage_key(customer), self.context.now) if usage else None
+        shared = usage.quota_share(usage_key(customer), self.context.now) if usage else None
         if shared is not None:
             return (yield from self._admits_by_usage(inv, shared))
         random, fraction = self.context.random.random, customer.admitted_fraction()
@@ -72,18 +72,18 @@
             factor = SHORT_CUSTOMER_FACTOR
         return min(1.0, factor * inv.units / units)
 
-    def _admits_by_usage(self, inv: Invocation, shared: UsageShare) -> Steps[bool]:
+    def _admits_by_usage(self, inv: Invocation, shared: QuotaShare) -> Steps[bool]:
         """By what all gateways told each other recently.  The counter goes on counting, for gateways that no
         such message reaches and for when there is none."""
         customer, plan = inv.customer, inv.customer.plan
-        customer.demand = plan.rate / max(shared.part, MIN_USAGE_SHARE)
+        customer.demand = plan.rate / max(shared.fraction, MIN_USAGE_SHARE)
         pressed = self.credits.pressed()
-        if inv.retry and (shared.part < 1 or pressed and not shared.retries):
+        if inv.retry and (shared.fraction < 1 or pressed and not shared.retries_in_budget):
             return False
         if plan.max_in_flight and customer.in_flight >= plan.max_in_flight:
             return False
         random = self.context.random.random
-        if random() >= shared.part:
+        if random() >= shared.fraction:
             return False
         if self.counter.may_call(inv) and random() < self.counter.call_fraction:
             yield Spawn(self._sample(inv, self.counter.call_fraction, 1.0))
@@ -105,7 +105,7 @@
         reply = yield from self.counter.add(name, added, counter_lifetime(plan))
         if reply.result is not Result.SUCCEEDED or window != customer.window:
             return None
-        if context.usage and context.usage.share(usage_key(customer), context.now):
+        if context.usage and context.usage.quota_share(usage_key(customer), context.now):
             return None
         seconds = max(1, context.now - window * length) / SECOND
         total = reply.total - added + inv.units
--- a/kestrelbend/interface.py
+++ b/kestrelbend/interface.py
@@ -268,23 +268,23 @@
 Work: TypeAlias = Steps[None]
 
 
-class UsageShare(Protocol):
+class QuotaShare(Protocol):
     """What the gateways together found out about one customer's use."""
 
-    part: float  # of its first attempts that its quota has units for
-    retries: bool  # whether its marked retries are within their budget
+    fraction: float  # of its first attempts that its quota has units for
+    retries_in_budget: bool  # whether its marked retries are within their budget
 
 
 class UsageExchange(Protocol):
     """Where gateways tell each other of their customers' use (`kestrelbend.shares`)."""
 
-    def saw(self, key: int, plan: int, units: float, retry: bool) -> None:
+    def record_request(self, key: int, plan: int, units: float, retry: bool) -> None:
         """An invocation asked for its customer's quota."""
 
-    def let_in(self, key: int, plan: int, units: float) -> None:
+    def record_admission(self, key: int, plan: int, units: float) -> None:
         """An invocation was sent to a backend."""
 
-    def share(self, key: int, now: int) -> UsageShare | None:
+    def quota_share(self, key: int, now_us: int) -> QuotaShare | None:
         """What is known of a customer; None where nothing recent is known of any."""
 
 
--- a/kestrelbend/net/news.py
+++ b/kestrelbend/net/news.py
@@ -1,12 +1,12 @@
-"""The UDP side of the news of use between gateways: carries `shares.news`, in the owner's task."""
+"""The UDP side of the news of use between gateways: carries `shares.exchange`, in the owner's task."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 
-from ..shares.messages import Unreadable
-from ..shares.news import News
+from ..shares.errors import UnreadableUsageDatagram
+from ..shares.exchange import MeteredUsageExchange
 from .datagrams import Carrier
 from .tally import counters
 
@@ -18,7 +18,7 @@
         self.told, self.queue, self.owner = told, queue, owner
         settings, gateway = owner.settings, owner.gateway
         self.numbers = {pair: number for number, pair in enumerate(told.peers)}
-        self.core = gateway.context.usage = News(
+        self.core = gateway.context.usage = MeteredUsageExchange(
             settings["gateways"], settings["gateway"], settings["plans"], told.most_in, gateway.now
         )
 
@@ -32,12 +32,12 @@
 
     def later(self, part=1.0):
         asyncio.get_running_loop().call_later(
-            part * self.core.period / 1e6, self.queue.put_nowait, ("news_due",)
+            part * self.core.period_us / 1e6, self.queue.put_nowait, ("news_due",)
         )
 
     def due(self):
         meter = self.core.meter
-        for to, data in self.core.due(self.owner.gateway.now):
+        for to, data in self.core.close_period(self.owner.gateway.now):
             counters["news_sent"] += 1
             self.carrier.transport.sendto(data, self.told.all if to is None else self.told.peers[to])
         if meter is None and self.core.meter is not None:
@@ -48,12 +48,12 @@
         number = self.numbers.get(source)
         try:
             if number is None:
-                raise Unreadable("no peer's")
+                raise UnreadableUsageDatagram("no peer's")
             self.core.receive(number, data, self.owner.gateway.now)
             counters["news_received"] += 1
-        except Unreadable as trouble:
+        except UnreadableUsageDatagram as error:
             counters["news_unreadable"] += 1
             if counters["news_unreadable"] == 1:
                 log.warning(
-                    "a datagram that cannot be read", extra={"why": str(trouble), "source": "%s:%d" % source}
+                    "a datagram that cannot be read", extra={"why": error.reason, "source": "%s:%d" % source}
                 )
--- a/kestrelbend/shares/meter.py
+++ b/kestrelbend/shares/meter.py
@@ -1,69 +1,113 @@
-"""The meter: one gateway that sums what all report, and works out what share of a customer's first tries
-there is room for.  No I/O, no clock and no chance of its own."""
+"""The meter: one gateway that sums what all report, and works out for what share of a customer's first
+attempts its quota has units. No I/O, no clock and no randomness of its own."""
 
 from __future__ import annotations
 
-from .messages import Share
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
 
-SECOND = 1_000_000
-HORIZON = 3.0  # seconds over which what is left of a burst is given out, or an excess paid back
-MOVES = 0.5  # how far a period moves what is asked for
-RETRY_SHARE, RETRY_FLOOR = 0.20, 0.5  # marked retries over first tries; those count as so much of the rate
-LEAST = 0.02  # share of the one that asks most, so that it is heard of
-FORGOTTEN = 0.05  # units a second: who asks for less and has its burst back is forgotten
-MOST = 4096  # customers held; beyond, those that ask least go
+from ..interface import Plan
+from .messages import CustomerUsage, QuotaShare
 
+SECOND_US = 1_000_000
+HORIZON_S = 3.0  # over which what remains of a burst is given out, or an excess paid back
+SMOOTHING = 0.5  # how far a period moves the averages of what is requested
+RETRY_SHARE = 0.20  # marked retries over first attempts that are within their budget
+RETRY_FLOOR = 0.5  # first attempts count as at least so much of the rate there
+MIN_SHARE = 0.02  # of the customer that requests most, so that it stays known
+FORGET_BELOW = 0.05  # units a second: who requests less and has its burst back is forgotten
+MAX_CUSTOMERS = 4096  # beyond, those that request least go
 
-class Metered:
-    """One customer: what is left of its burst, and its tries a second of late."""
 
-    __slots__ = ("plan", "left", "asked", "retries", "now_asked", "now_let_in", "now_retries")
+@dataclass(slots=True)
+class MeteredCustomer:
+    """One customer: a token bucket, its recent attempts a second, and the sums of the running period."""
 
-    def __init__(self, plan, burst):
-        self.plan, self.left, self.asked, self.retries = plan, burst, 0.0, 0.0
-        self.now_asked = self.now_let_in = self.now_retries = 0.0
+    plan: Plan
+    remaining: float  # units of the burst; negative: an excess that is paid back
+    requested_per_s: float = 0.0
+    retries_per_s: float = 0.0
+    period_requested: float = 0.0
+    period_admitted: float = 0.0
+    period_retries: float = 0.0
 
+    def close_period(self, seconds: float) -> None:
+        """Takes the period's sums into the bucket and the averages."""
+        rate, burst = self.plan.rate, self.plan.burst
+        refilled = min(burst, self.remaining + rate * seconds)
+        self.remaining = max(-burst, refilled - self.period_admitted)
+        self.requested_per_s += SMOOTHING * (self.period_requested / seconds - self.requested_per_s)
+        self.retries_per_s += SMOOTHING * (self.period_retries / seconds - self.retries_per_s)
+        self.period_requested = 0.0
+        self.period_admitted = 0.0
+        self.period_retries = 0.0
 
-class Meter:
-    """`plans`: objects with `rate` (units a second) and `burst` (units), in the settings' order."""
+    def is_idle(self) -> bool:
+        """Whether nothing has to be known of it any more."""
+        return self.remaining >= self.plan.burst and self.requested_per_s < FORGET_BELOW
 
-    def __init__(self, plans, now):
-        self.plans, self.since, self.customers = plans, now, {}
+    def share(self) -> QuotaShare:
+        """What there is room for in the next period."""
+        rate, requested = self.plan.rate, self.requested_per_s
+        available = rate + self.remaining / HORIZON_S
+        fraction = min(1.0, max(MIN_SHARE, available / requested)) if requested > available else 1.0
+        in_budget = self.retries_per_s <= RETRY_SHARE * max(requested, RETRY_FLOOR * rate)
+        return QuotaShare(fraction, in_budget)
 
-    def add(self, uses):
-        """A report: Use by customer."""
-        for key, use in uses.items():
-            if use.plan >= len(self.plans) or not self.plans[use.plan].rate:
+
+class _Announced(NamedTuple):
+    """A share that is less than all, and what its customer's excess costs."""
+
+    cost: float
+    key: int
+    share: QuotaShare
+
+
+class UsageMeter:
+    """Customers by key; `plans` in the settings' order."""
+
+    def __init__(self, plans: Sequence[Plan], now_us: int) -> None:
+        self.customers: dict[int, MeteredCustomer] = {}
+        self._plans = plans
+        self._period_started_us = now_us
+
+    def add_usage(self, usage: Mapping[int, CustomerUsage]) -> None:
+        """A report's rows by customer."""
+        for key, row in usage.items():
+            if row.plan >= len(self._plans) or not self._plans[row.plan].rate:
                 continue  # not a plan of these settings: one of another release
-            at = self.customers.get(key)
-            if at is None:
-                at = self.customers[key] = Metered(self.plans[use.plan], self.plans[use.plan].burst)
-            at.now_asked += use.asked
-            at.now_let_in += use.let_in
-            at.now_retries += use.retries
-
-    def shares(self, now):
-        """Closes a period: Share by customer, for those with room for less than all, who cost most first."""
-        spell = max(1, now - self.since) / SECOND
-        self.since, told, gone = now, [], []
-        for key, at in self.customers.items():
-            rate, burst = at.plan.rate, at.plan.burst
-            at.left = max(-burst, min(burst, at.left + rate * spell) - at.now_let_in)
-            at.asked += MOVES * (at.now_asked / spell - at.asked)
-            at.retries += MOVES * (at.now_retries / spell - at.retries)
-            at.now_asked = at.now_let_in = at.now_retries = 0.0
-            if at.left >= burst and at.asked < FORGOTTEN:
-                gone.append(key)
+            customer = self.customers.get(key)
+            if customer is None:
+                plan = self._plans[row.plan]
+                customer = self.customers[key] = MeteredCustomer(plan, plan.burst)
+            customer.period_requested += row.requested
+            customer.period_admitted += row.admitted
+            customer.period_retries += row.retries
+
+    def close_period(self, now_us: int) -> dict[int, QuotaShare]:
+        """Shares by customer, of those with room for less than all, those whose excess costs most first."""
+        seconds = max(1, now_us - self._period_started_us) / SECOND_US
+        self._period_started_us = now_us
+        announced: list[_Announced] = []
+        idle: list[int] = []
+        for key, customer in self.customers.items():
+            customer.close_period(seconds)
+            if customer.is_idle():
+                idle.append(key)
                 continue
-            room = rate + at.left / HORIZON
-            part = min(1.0, max(LEAST, room / at.asked)) if at.asked > room else 1.0
-            retries = at.retries <= RETRY_SHARE * max(at.asked, RETRY_FLOOR * rate)
-            if part < 1 or not retries:
-                told.append(((1 - part) * at.asked * at.plan.price, key, Share(part, retries)))
-        for key in gone:
+            share = customer.share()
+            if share.fraction < 1 or not share.retries_in_budget:
+                cost = (1 - share.fraction) * customer.requested_per_s * customer.plan.price
+                announced.append(_Announced(cost, key, share))
+        for key in idle:
             del self.customers[key]
-        if len(self.customers) > MOST:
-            most = sorted(self.customers.items(), key=lambda row: row[1].asked, reverse=True)
-            self.customers = dict(most[:MOST])
-        told.sort(key=lambda row: row[0], reverse=True)
-        return {key: share for _, key, share in told}
+        self._limit_customers()
+        announced.sort(key=lambda row: row.cost, reverse=True)
+        return {row.key: row.share for row in announced}
+
+    def _limit_customers(self) -> None:
+        if len(self.customers) <= MAX_CUSTOMERS:
+            return
+        by_requests = sorted(self.customers.items(), key=lambda row: row[1].requested_per_s, reverse=True)
+        self.customers = dict(by_requests[:MAX_CUSTOMERS])
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -18,8 +18,8 @@
 from kestrelbend.lab import plant
 from kestrelbend.lab.emulate import run
 from kestrelbend.lab.scenario import Scenario
-from kestrelbend.shares.messages import Share
-from kestrelbend.shares.news import News
+from kestrelbend.shares.messages import QuotaShare
+from kestrelbend.shares.exchange import MeteredUsageExchange
 
 from .helpers import MS, Front
 
@@ -228,8 +228,10 @@
     front.gateway.counter.call_fraction = chance.choice([1.0, 1.0, 0.5, 0.1])
     if chance.random() < 0.3:
         settings = front.inst.settings
-        news = front.gateway.context.usage = News(gateways, 0, settings["plans"], 60, front.now)
-        news.who, news.heard = 5, front.now
+        news = front.gateway.context.usage = MeteredUsageExchange(
+            gateways, 0, settings["plans"], 60, front.now
+        )
+        news.meter_number, news.meter_heard_us = 5, front.now
     return front, chance.choice([1, gateways])
 
 
@@ -294,8 +296,10 @@
             front.tell("streaming", [], n, None, 0, d.number)
         elif front.gateway.context.usage is not None:
             news = front.gateway.context.usage
-            news.heard = front.now
-            news.shares = {key: Share(chance.random(), chance.random() < 0.5) for key in news.uses}
+            news.meter_heard_us = front.now
+            news.shares = {
+                key: QuotaShare(chance.random(), chance.random() < 0.5) for key in news.pending.rows
+            }
 
     def accept(self, number):
         chance, front = self.chance, self.front
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -54,18 +54,18 @@
 
 
 def test_a_use_report_is_written_and_read_as_recorded():
-    uses = {customer: shares.Use(*values) for customer, *values in REPORTS["uses"]}
-    datagram = shares.report(REPORTS["period"], uses)
+    uses = {customer: shares.CustomerUsage(*values) for customer, *values in REPORTS["uses"]}
+    datagram = shares.encode_report(REPORTS["period"], uses)
     assert datagram.hex() == REPORTS["report"]
-    assert told(shares.read(datagram)) == REPORTS["report_read"]
+    assert told(shares.decode(datagram)) == REPORTS["report_read"]
 
 
 def test_the_meters_news_are_written_and_read_as_recorded():
-    parts = {customer: shares.Share(*values) for customer, *values in REPORTS["shares"]}
-    datagrams = shares.news(REPORTS["period"], parts)
+    parts = {customer: shares.QuotaShare(*values) for customer, *values in REPORTS["shares"]}
+    datagrams = shares.encode_announcement(REPORTS["period"], parts)
     assert [datagram.hex() for datagram in datagrams] == REPORTS["news"]
-    assert [told(shares.read(datagram)) for datagram in datagrams] == REPORTS["news_read"]
-    assert [datagram.hex() for datagram in shares.news(1, {})] == REPORTS["empty_news"]
+    assert [told(shares.decode(datagram)) for datagram in datagrams] == REPORTS["news_read"]
+    assert [datagram.hex() for datagram in shares.encode_announcement(1, {})] == REPORTS["empty_news"]
 
 
 def test_the_simulators_lines_are_read_as_recorded():
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,9 +12,10 @@
 from kestrelbend.net.configuration import NewsTold, platform_news
 from kestrelbend.net.news import NewsPeer
 from kestrelbend.shares import messages
-from kestrelbend.shares.messages import Share, Use
-from kestrelbend.shares.meter import Meter
-from kestrelbend.shares.news import News
+from kestrelbend.shares.errors import UnreadableUsageDatagram
+from kestrelbend.shares.exchange import MeteredUsageExchange
+from kestrelbend.shares.messages import CustomerUsage, QuotaShare
+from kestrelbend.shares.meter import UsageMeter
 
 from .helpers import Front, free_address
 from .test_net import run
@@ -28,8 +29,8 @@
 
     def __init__(self, size, lost=0.0, seed=1):
         self.rng, self.lost, self.now = Random(seed), lost, 0
-        self.ends = [News(size, n, PLANS, 60, 0) for n in range(size)]
-        self.due = [self.rng.randrange(self.ends[0].period) for _ in self.ends]
+        self.ends = [MeteredUsageExchange(size, n, PLANS, 60, 0) for n in range(size)]
+        self.due = [self.rng.randrange(self.ends[0].period_us) for _ in self.ends]
         self.cut, self.flying, self.sent = set(), [], 0
 
     def until(self, end, each=lambda fleet: None):
@@ -42,8 +43,8 @@
                     self.ends[to].receive(source, data, self.now)
             for n, end_ in enumerate(self.ends):
                 if n not in self.cut and self.now >= self.due[n]:
-                    self.due[n] += end_.period
-                    for to, data in end_.due(self.now):
+                    self.due[n] += end_.period_us
+                    for to, data in end_.close_period(self.now):
                         to = [to] if to is not None else [m for m in range(len(self.ends)) if m != n]
                         self.flying += [(n, m, data) for m in to]
                         self.sent += len(to)
@@ -59,11 +60,11 @@
         for key, pace in ((7, units_a_second), (8, 1.0)):
             if fleet.rng.random() < pace / 100:
                 n = fleet.rng.choice([n for n in range(len(fleet.ends)) if n not in fleet.cut])
-                end, share = fleet.ends[n], fleet.ends[n].share(key, fleet.now)
-                end.saw(key, 0, 1.0, False)
+                end, share = fleet.ends[n], fleet.ends[n].quota_share(key, fleet.now)
+                end.record_request(key, 0, 1.0, False)
                 fleet.asked[key] = fleet.asked.get(key, 0) + 1
-                if share is None or fleet.rng.random() < share.part:
-                    end.let_in(key, 0, 1.0)
+                if share is None or fleet.rng.random() < share.fraction:
+                    end.record_admission(key, 0, 1.0)
                     fleet.let[key] = fleet.let.get(key, 0) + 1
 
     return each
@@ -74,7 +75,7 @@
     """Seen with 40 gateways and a crowded counter: a fifth of all units went beyond quotas."""
     fleet = Fleet(size, lost)
     fleet.asked, fleet.let = {}, {}
-    fleet.until(10 * fleet.ends[0].period, flood(20))  # a meter is found, the burst is spent
+    fleet.until(10 * fleet.ends[0].period_us, flood(20))  # a meter is found, the burst is spent
     fleet.asked, fleet.let, fleet.sent = {}, {}, 0
     fleet.until(fleet.now + 30 * SECOND, flood(20))
     assert 0.6 * 2 < fleet.let[7] / 30 < 1.35 * 2  # of 20 asked for, 2 are within the quota
@@ -91,7 +92,7 @@
     fleet.cut = dead
     fleet.until(12 * SECOND)
     (second,) = fleet.meters()
-    assert second != first and fleet.ends[39].share(7, fleet.now) == Share(1.0, True)
+    assert second != first and fleet.ends[39].quota_share(7, fleet.now) == QuotaShare(1.0, True)
     fleet.cut = set()  # they were only cut off, and hear one another again
     fleet.until(20 * SECOND)
     assert len(fleet.meters()) == 1 and fleet.meters()[0] <= first
@@ -99,51 +100,58 @@
 
 def test_a_fleet_that_starts_has_its_meter_once_it_would_have_heard_one_and_a_return_leaves_the_meter():
     fleet = Fleet(40)
-    fleet.until(int(2.2 * fleet.ends[0].period))
-    assert fleet.meters() == [0] and all(end.share(7, fleet.now) for end in fleet.ends)
+    fleet.until(int(2.2 * fleet.ends[0].period_us))
+    assert fleet.meters() == [0] and all(end.quota_share(7, fleet.now) for end in fleet.ends)
     fleet.cut = {0}
     fleet.until(10 * SECOND)
     (meter,) = fleet.meters()
     fleet.cut = set()
     for n in (0, 9):
-        fleet.ends[n] = News(40, n, PLANS, 60, fleet.now)  # restarted, and know of nothing
+        fleet.ends[n] = MeteredUsageExchange(40, n, PLANS, 60, fleet.now)  # restarted, and know of nothing
     fleet.until(15 * SECOND)
-    assert fleet.meters() == [meter] and fleet.ends[0].who == meter
+    assert fleet.meters() == [meter] and fleet.ends[0].meter_number == meter
 
 
 def test_the_meter_pays_back_an_excess_and_tells_retries_beyond_their_budget():
-    meter = Meter(PLANS, 0)
-    meter.add({1: Use(0, 20, 20, 0), 2: Use(0, 1, 1, 0), 3: Use(0, 1, 1, 9), 4: Use(9, 50, 50, 0)})
-    told = meter.shares(SECOND)
-    assert set(told) == {1, 3} and told[1].part < 0.2 and told[1].retries
-    assert told[3] == Share(1.0, False)
+    meter = UsageMeter(PLANS, 0)
+    meter.add_usage(
+        {
+            1: CustomerUsage(0, 20, 20, 0),
+            2: CustomerUsage(0, 1, 1, 0),
+            3: CustomerUsage(0, 1, 1, 9),
+            4: CustomerUsage(9, 50, 50, 0),
+        }
+    )
+    told = meter.close_period(SECOND)
+    assert set(told) == {1, 3} and told[1].fraction < 0.2 and told[1].retries_in_budget
+    assert told[3] == QuotaShare(1.0, False)
     for second in range(2, 30):
-        told = meter.shares(second * SECOND)
+        told = meter.close_period(second * SECOND)
     assert told == {} and meter.customers == {}  # forgotten once their bursts are whole again
 
 
 def test_a_lost_part_of_the_news_lets_nobody_free():
-    end = News(2, 1, PLANS, 60, 0)
-    short = {key: Share(0.5, True) for key in range(60)}
-    first, second = messages.news(1, short)
+    end = MeteredUsageExchange(2, 1, PLANS, 60, 0)
+    short = {key: QuotaShare(0.5, True) for key in range(60)}
+    first, second = messages.encode_announcement(1, short)
     end.receive(0, first, 1)
     end.receive(0, second, 2)
-    assert end.share(59, 3).part < 0.6 and end.share(60, 3) == Share(1.0, True)
-    end.receive(0, messages.news(2, short)[0], 4)
-    assert end.share(59, 5).part < 0.6
-    for data in messages.news(3, {}):
+    assert end.quota_share(59, 3).fraction < 0.6 and end.quota_share(60, 3) == QuotaShare(1.0, True)
+    end.receive(0, messages.encode_announcement(2, short)[0], 4)
+    assert end.quota_share(59, 5).fraction < 0.6
+    for data in messages.encode_announcement(3, {}):
         end.receive(0, data, 6)
-    assert end.share(59, 7).part == 1 and end.share(59, 3 * end.period) is None
+    assert end.quota_share(59, 7).fraction == 1 and end.quota_share(59, 3 * end.period_us) is None
 
 
 def test_use_beyond_one_report_waits_for_the_next():
-    end = News(2, 1, PLANS, 60, 0)
-    end.receive(0, messages.news(1, {})[0], 0)
+    end = MeteredUsageExchange(2, 1, PLANS, 60, 0)
+    end.receive(0, messages.encode_announcement(1, {})[0], 0)
     for key in range(40):
-        end.let_in(key, 0, 1.5)
-    ((to, data),) = end.due(1)
-    assert to == 0 and len(data) <= 256 and len(messages.read(data).rows) == messages.USES
-    assert sum(use.let_in for use in end.uses.values()) == 60 - messages.USES
+        end.record_admission(key, 0, 1.5)
+    ((to, data),) = end.close_period(1)
+    assert to == 0 and len(data) <= 256 and len(messages.decode(data).rows) == messages.MAX_USAGE_ROWS
+    assert sum(use.admitted for use in end.pending.rows.values()) == 60 - messages.MAX_USAGE_ROWS
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -156,30 +164,33 @@
     )
 )
 def test_whatever_comes_is_read_or_refused(data):
-    end = News(4, 1, PLANS, 60, 0)
-    end.meter = Meter(PLANS, 0)
+    end = MeteredUsageExchange(4, 1, PLANS, 60, 0)
+    end.meter = UsageMeter(PLANS, 0)
     try:
         end.receive(2, data, 0)
-    except messages.Unreadable:
+    except UnreadableUsageDatagram:
         return
     assert len(end.meter.customers) + len(end.shares) <= 62
-    assert all(0 <= share.part <= 1 for share in end.meter.shares(SECOND).values())
+    assert all(0 <= share.fraction <= 1 for share in end.meter.close_period(SECOND).values())
 
 
 def test_the_module_goes_by_news_where_the_counter_is_crowded():
     f = Front(contracts__0__storeSize=2, instances=40, contracts__0__refill=1)
     f.roster((1, State.READY))
-    f.gateway.counter.call_fraction, f.gateway.context.usage = 0.1, News(40, 0, PLANS, 60, f.now)
+    f.gateway.counter.call_fraction, f.gateway.context.usage = (
+        0.1,
+        MeteredUsageExchange(40, 0, PLANS, 60, f.now),
+    )
     news, key = f.gateway.context.usage, None
     f.accept(1, spread=40, retry=True)
     assert "deny" in [line[0] for line in f.answer_counts(result=Result.REJECTED)]  # not known
-    (key,) = news.uses
-    news.who, news.heard = 5, f.now
+    (key,) = news.pending.rows
+    news.meter_number, news.meter_heard_us = 5, f.now
     f.accept(2, spread=40, retry=True)
     assert f.take("pass_on") and not f.take("deny")  # all is well with it
     f.returned(2, 0, Result.SUCCEEDED)
-    assert news.uses[key].retries == 2 and news.uses[key].let_in == 1
-    news.shares = {key: Share(0.0, True)}
+    assert news.pending.rows[key].retries == 2 and news.pending.rows[key].admitted == 1
+    news.shares = {key: QuotaShare(0.0, True)}
     f.accept(3, spread=40)
     assert f.take("deny")
 
@@ -201,15 +212,19 @@
                 peers[n].due() if what == "news_due" else peers[n].got(*values)
 
         for peer in peers:
-            peer.core.period, peer.core.wait, peer.core.heard = SECOND // 50, SECOND // 20, 0
+            peer.core.period_us, peer.core.takeover_wait_us, peer.core.meter_heard_us = (
+                SECOND // 50,
+                SECOND // 20,
+                0,
+            )
         turns = [asyncio.create_task(turn(n)) for n in (0, 1)]
         async with asyncio.timeout(5):
             while not peers[1].core.shares:
                 await asyncio.sleep(0.01)
-                peers[1].core.let_in(7, 0, 50.0)
-                peers[1].core.saw(7, 0, 50.0, False)
+                peers[1].core.record_admission(7, 0, 50.0)
+                peers[1].core.record_request(7, 0, 50.0, False)
                 peers[1].got(("127.0.0.1", 1), b"from nobody")
-        assert peers[0].core.meter is not None and peers[1].core.shares[7].part < 0.5
+        assert peers[0].core.meter is not None and peers[1].core.shares[7].fraction < 0.5
         for task in turns:
             task.cancel()
         for peer in peers:
