--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -19,6 +19,7 @@
 import attrs
 
 from kestrelbend.tier.budgets.messages import ReserveOutcome, Verdict
+from kestrelbend.tier.configuration.routing import Target
 from kestrelbend.tier.dataplane.app import assemble
 from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpNetwork
@@ -43,7 +44,7 @@
     resumable: bool = True
     retain_s: int = 60
     inter_token_target_ms: float = 200
-    targets: tuple = (("models", 1),)
+    targets: tuple = (Target("models", 1),)
 
 
 @attrs.frozen
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -7,7 +7,7 @@
 
 import math
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import attrs
 
@@ -22,6 +22,13 @@
 WEIGHT_SCALE = 1000  # parts of 1 that weights with fractions are counted in
 
 
+class Target(NamedTuple):
+    """A service that gets a part of a route's requests, by its weight among the route's targets."""
+
+    service: str
+    weight: int  # above 0
+
+
 @attrs.frozen
 class Route:
     """One route as requests need it; what an operator may leave out has its default here."""
@@ -39,7 +46,7 @@
     sticky: bool  # sessions keep to a backend
     resumable: bool  # a broken stream may be resumed within its answer
     inter_token_target_ms: float  # latency target between two tokens (key `gap_aim_ms`)
-    targets: tuple[tuple[str, int], ...]  # services and their weights, above 0
+    targets: tuple[Target, ...]
 
 
 @attrs.frozen
@@ -154,17 +161,17 @@
     )
 
 
-def _targets(item: dict[str, Any]) -> tuple[tuple[str, int], ...]:
+def _targets(item: dict[str, Any]) -> tuple[Target, ...]:
     """Services by weight; a service that is named twice has the sum, and one of weight 0 is left out."""
     split = item.get("Split")
     if split is None:
-        return ((item["Upstream"], 1),)
+        return (Target(item["Upstream"], 1),)
     weights: dict[str, float] = {}
     for target in split:
         weights[target["Upstream"]] = weights.get(target["Upstream"], 0) + target["Weight"]
     if any(weight != int(weight) for weight in weights.values()):
         weights = {name: max(1, weight * WEIGHT_SCALE) if weight else 0 for name, weight in weights.items()}
-    return tuple((name, int(weight)) for name, weight in weights.items() if weight > 0)
+    return tuple(Target(name, int(weight)) for name, weight in weights.items() if weight > 0)
 
 
 def _service(item: dict[str, Any]) -> Service:
--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -42,7 +42,7 @@
 )
 from .reported_load import ReportedLoad
 from .send import Sender
-from .split import Split
+from .split import TrafficSplit
 from .turn import Turns, turn_of
 from .waiting_queue import WaitingQueues
 
@@ -69,7 +69,7 @@
     admission: AdmissionControl
     forwarder: Forwarder
     turns: Turns
-    split: Split
+    split: TrafficSplit
     lifecycle: Lifecycle
     may_refuse: Callable[[], bool]  # the configuration in force is known to be the newest
     _maintained_at: float = 0.0
@@ -281,7 +281,7 @@
         admission=admission,
         forwarder=forwarder,
         turns=Turns(surroundings.budget),
-        split=Split(backends, rng),
+        split=TrafficSplit(backends, rng),
         lifecycle=lifecycle,
         may_refuse=surroundings.may_refuse,
     )
--- a/kestrelbend/tier/dataplane/choice.py
+++ b/kestrelbend/tier/dataplane/choice.py
@@ -1,9 +1,18 @@
 """The choice of a backend for one send.
 
-Model services and routes with `Sticky`: requests about one thing go to the first backend in the thing's own
-order (rendezvous hashing, this gateway's zone first) that is not clearly busier than the least busy one, as
-it is the likeliest to hold the thing's parts.  Other services: of a few at random the one that should answer
-first; where they report their load, one in another zone must be clearly less busy.
+Load is counted in shares of a backend's slots: the requests that this gateway has there and those that it is
+believed to have from others, over its slots.  What is to be avoided counts as a penalty in the same unit.
+
+- Model services, and routes with `Sticky`: requests about one thing go to the first backend in the thing's
+  own order (rendezvous hashing, Thaler and Ravishankar 1998; this gateway's zone first) that is not clearly
+  busier than the least loaded one, as it is the likeliest to hold the thing's state.
+- Other services: of two or three at random (Mitzenmacher 2001) the one that should answer first; where
+  backends report their load, one in another zone must be clearly less loaded.
+
+Invariant: as long as there is a backend, one is chosen.  Suspect ones are left out as far as `health` allows;
+of the others, those that are saturated or have no free connection only while another is there.
+
+Hazard: the view is of this moment, so nothing of it is kept across an await.
 """
 
 from __future__ import annotations
@@ -23,18 +32,18 @@
 from .latency import LatencyRatios
 from .reported_load import ReportedLoad
 
-OTHER_ZONE_LOAD = 0.5  # how much busier a backend in another zone counts: bytes between zones are dear
-UNREPORTED_OTHER_ZONE_LOAD = 0.04  # the same where backends don't report their load: a queue is not seen
-NEW_CONNECTION_LOAD = 0.04  # how much busier one counts that needs a new connection
+OTHER_ZONE_PENALTY = 0.5  # of a backend in another zone: bytes between zones are dear
+UNREPORTED_OTHER_ZONE_PENALTY = 0.04  # where load is not reported: a queue is not seen
+NEW_CONNECTION_PENALTY = 0.04  # of one that needs a new connection
 EXPLORATION_SHARE = 0.1  # of choices that look at load alone, or a backend's latency would stay unknown
-SLOW_START_LOAD = 0.5  # how much busier a backend in its slow start counts
-LATENCY_LOAD = 0.25  # how much busier one counts for each time that it is slower than its service
-MAX_EXCESS_RATIO = 3.0
-AFFINITY_SLACK = 0.3  # of its slots that the preferred backend may be busier than the least busy
+SLOW_START_PENALTY = 0.5  # of one in its slow start
+EXCESS_LATENCY_PENALTY = 0.25  # for each time that one's latency exceeds the usual
+MAX_EXCESS_LATENCY = 3.0  # that is counted, in times of the usual
+AFFINITY_SLACK = 0.3  # that the preferred backend may have above the least loaded one
 
 
 def affinity_key(exchange: Exchange) -> bytes | None:
-    """What ties a request to the backend that saw its like: program, session, key or first prompt part."""
+    """What requests about one thing share: program, session, key or first prompt part; None without any."""
     fields = exchange.fields
     for name in (PROGRAM, SESSION, AFFINITY_KEY):
         if name in fields:
@@ -56,103 +65,106 @@
     in_flight: Counter[str] = attrs.field(factory=Counter, init=False)  # by a backend's identity
 
     def begin(self, identity: str) -> None:
-        """A send to the backend is under way."""
+        """A request is given to the backend `identity`; it must `end`."""
         self.in_flight[identity] += 1
 
     def end(self, identity: str) -> None:
-        """It is over."""
+        """The request that was begun there is over."""
         self.in_flight[identity] -= 1
         if self.in_flight[identity] <= 0:
             del self.in_flight[identity]
 
-    def _busy(self, backend: Backend, service: ports.Service, now: float) -> float:
-        """The share of the backend's slots that is taken, as far as this gateway knows."""
+    def _utilization(self, backend: Backend, service: ports.Service, now: float) -> float:
+        """The share of the backend's slots that is taken, as far as this gateway knows; may exceed 1."""
         slots = backend.slots or service.slots or 1
         return (self.in_flight[backend.identity] + self._reported.others(backend.identity, now)) / slots
 
-    def _occupied(self, backend: Backend, service: ports.Service, now: float) -> float:
-        """As `_busy`, with the price of another zone."""
-        busy = self._busy(backend, service, now)
+    def _zone_load(self, backend: Backend, service: ports.Service, now: float) -> float:
+        """Its utilization, with the penalty of another zone."""
+        utilization = self._utilization(backend, service, now)
         if backend.zone == self._zone:
-            return busy
+            return utilization
         if self._reported.is_reported(backend.service):
-            return busy + OTHER_ZONE_LOAD
-        return busy + UNREPORTED_OTHER_ZONE_LOAD
+            return utilization + OTHER_ZONE_PENALTY
+        return utilization + UNREPORTED_OTHER_ZONE_PENALTY
 
-    def _load(self, backend: Backend, service: ports.Service, now: float) -> float:
-        load = self._occupied(backend, service, now)
+    def _affinity_load(self, backend: Backend, service: ports.Service, now: float) -> float:
+        """Its load for requests that could also go to a backend without their state."""
+        load = self._zone_load(backend, service, now)
         if backend.warming_up_ms > 0:
-            load += SLOW_START_LOAD
-        slower = (self._latency.ratio(backend.identity, now) or 1.0) - 1
-        if slower > 0:
-            load += LATENCY_LOAD * min(slower, MAX_EXCESS_RATIO)
+            load += SLOW_START_PENALTY
+        excess = (self._latency.ratio(backend.identity, now) or 1.0) - 1
+        if excess > 0:
+            load += EXCESS_LATENCY_PENALTY * min(excess, MAX_EXCESS_LATENCY)
         return load
 
     def has_capacity(self, backend: Backend, service: ports.Service, now: float) -> bool:
         """By this gateway's view a request sent there now would run at once."""
         return (
-            self._busy(backend, service, now) < 1
+            self._utilization(backend, service, now) < 1
             and not self._health.is_saturated(backend.identity, now)
             and self._connections.has_capacity(backend, service)
         )
 
     def choose(self, exchange: Exchange, backends: Sequence[Backend], now: float) -> Backend | None:
-        """The best of `backends`; None where there are none."""
+        """The best of `backends` at `now` (seconds on a steady clock); None where there are none."""
         service = exchange.service
         candidates = self._health.healthy(backends, now)
-        ready = [
+        available = [
             backend
             for backend in candidates
             if not self._health.is_saturated(backend.identity, now)
             and self._connections.has_capacity(backend, service)
         ]
-        candidates = ready or candidates
+        candidates = available or candidates
         if len(candidates) <= 1:
             return candidates[0] if candidates else None
         key = affinity_key(exchange) if service.is_model or exchange.route.sticky else None
         if key is not None or service.is_model:
-            return self._by_affinity(service, key, candidates, now)
+            return self._choose_by_affinity(service, key, candidates, now)
         sampled = self._sample(candidates)
         if self._rng.random() < EXPLORATION_SHARE:
-            return min(sampled, key=lambda backend: self._occupied(backend, service, now))
-        return min(sampled, key=lambda backend: self._expected(backend, service, now))
+            return min(sampled, key=lambda backend: self._zone_load(backend, service, now))
+        return min(sampled, key=lambda backend: self._expected_latency(backend, service, now))
 
     def _sample(self, candidates: list[Backend]) -> list[Backend]:
         """At random two, or where they report their load two of this zone's and one of the others'."""
         if not self._reported.is_reported(candidates[0].service):
             return self._rng.sample(candidates, 2)
-        near = [backend for backend in candidates if backend.zone == self._zone]
-        far = [backend for backend in candidates if backend.zone != self._zone]
-        near_count = min(len(near), 2)
-        return self._rng.sample(near, near_count) + self._rng.sample(far, min(len(far), 3 - near_count))
+        local = [backend for backend in candidates if backend.zone == self._zone]
+        remote = [backend for backend in candidates if backend.zone != self._zone]
+        local_count = min(len(local), 2)
+        return self._rng.sample(local, local_count) + self._rng.sample(
+            remote, min(len(remote), 3 - local_count)
+        )
 
-    def _by_affinity(
+    def _choose_by_affinity(
         self, service: ports.Service, key: bytes | None, candidates: list[Backend], now: float
     ) -> Backend:
         """The first in the key's order, this zone's before others, that is not clearly busier."""
-        loads = {backend.identity: self._load(backend, service, now) for backend in candidates}
-        least = min(candidates, key=lambda backend: loads[backend.identity])
+        loads = {backend.identity: self._affinity_load(backend, service, now) for backend in candidates}
+        least_loaded = min(candidates, key=lambda backend: loads[backend.identity])
         if key is None:
-            return least
-        max_load = loads[least.identity] + AFFINITY_SLACK
-        near_enough = (backend for backend in candidates if loads[backend.identity] <= max_load)
+            return least_loaded
+        max_load = loads[least_loaded.identity] + AFFINITY_SLACK
+        eligible = (backend for backend in candidates if loads[backend.identity] <= max_load)
         return max(
-            near_enough,
-            key=lambda backend: (backend.zone == self._zone, _weight(key, backend.identity)),
+            eligible,
+            key=lambda backend: (backend.zone == self._zone, _rendezvous_weight(key, backend.identity)),
         )
 
-    def _expected(self, backend: Backend, service: ports.Service, now: float) -> float:
-        """In proportion to the time in which an answer may be expected."""
+    def _expected_latency(self, backend: Backend, service: ports.Service, now: float) -> float:
+        """In proportion to the time in which an answer may be expected; the unit does not matter."""
         slots = backend.slots or service.slots or 1
-        load = self._occupied(backend, service, now) + 1 / slots
+        load = self._zone_load(backend, service, now) + 1 / slots
         if backend.warming_up_ms > 0:
-            load += SLOW_START_LOAD
+            load += SLOW_START_PENALTY
         if not self._connections.has_idle(backend.identity):
-            load += NEW_CONNECTION_LOAD
+            load += NEW_CONNECTION_PENALTY
         return load * (self._latency.ratio(backend.identity, now) or 1.0)
 
 
-def _weight(key: bytes, identity: str) -> int:
+def _rendezvous_weight(key: bytes, identity: str) -> int:
     """Rendezvous weight: each key has its own order of the backends, whatever others come and go."""
     mixed = zlib.crc32(identity.encode(), zlib.crc32(key))
     mixed = (mixed ^ (mixed >> 16)) * 0x45D9F3B & 0xFFFFFFFF
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
 import attrs
@@ -16,6 +16,18 @@
 from ..discovery.messages import Backend
 
 
+class Target(Protocol):
+    """A service that gets a part of a route's requests."""
+
+    @property
+    def service(self) -> str:
+        """The service's name."""
+
+    @property
+    def weight(self) -> int:
+        """Above 0; its part is this over the sum of the route's weights."""
+
+
 class Route(Protocol):
     """One route of the operator's configuration."""
 
@@ -64,8 +76,8 @@
         """Latency target: the longest time between two tokens of a stream that is in time."""
 
     @property
-    def targets(self) -> tuple[tuple[str, int], ...]:
-        """The services that share the route's requests, at least one, each with its weight above 0."""
+    def targets(self) -> Sequence[Target]:
+        """The services that share the route's requests, at least one."""
 
 
 class Service(Protocol):
--- a/kestrelbend/tier/dataplane/reading.py
+++ b/kestrelbend/tier/dataplane/reading.py
@@ -16,7 +16,7 @@
 from . import ports
 from .client import OwnAnswer
 from .exchange import DEADLINE_MS, REQUEST_ID, Exchange, Headers
-from .split import Split
+from .split import TrafficSplit
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 NO_SERVICE_RETRY_S = 0.5
@@ -115,7 +115,7 @@
     body: bytes,
     table: ports.RoutingTable,
     route: ports.Route | None,
-    split: Split,
+    split: TrafficSplit,
 ) -> Exchange | OwnAnswer:
     """The exchange of a request that was read completely, or its rejection: nothing was sent.
 
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -15,7 +15,7 @@
 import h11
 
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, Verdict
-from kestrelbend.tier.configuration.routing import Limits, Route, RoutingTable, Service
+from kestrelbend.tier.configuration.routing import Limits, Route, RoutingTable, Service, Target
 from kestrelbend.tier.dataplane.app import assemble
 from kestrelbend.tier.dataplane.lifecycle import Lifecycle
 from kestrelbend.tier.dataplane.network import TcpStream
@@ -382,7 +382,7 @@
     values = dict(
         name=name, hostname="a.example", path_prefix=f"/{name}/", kind=kind, timeout_ms=2000, slo_ms=200,
         priority=1, retries=1, stored=False, retain_s=60, sticky=False, resumable=False,
-        inter_token_target_ms=200, targets=((service, 1),),
+        inter_token_target_ms=200, targets=(Target(service, 1),),
     )  # fmt: skip
     return Route(**{**values, **changes})
 
