--- a/benchmarks/late_second_answers.py
+++ b/benchmarks/late_second_answers.py
@@ -27,7 +27,7 @@
     """The trust in a backend whose latest answers took so long."""
     trust = Trust()
     for _ in range(TIMES_KEPT):
-        trust.took(draw(chance, mean))
+        trust.record_latency(draw(chance, mean))
     return trust
 
 
@@ -36,7 +36,7 @@
     trust = known_backend(chance, draw, mean)
     late, own = chance.uniform(0, REST_S), draw(chance, mean)
     first = late < own
-    return first, first and not trust.slow and own > late + REST_S
+    return first, first and not trust.is_slow and own > late + REST_S
 
 
 def main():
--- a/kestrelbend/__main__.py
+++ b/kestrelbend/__main__.py
@@ -17,9 +17,9 @@
     # for some takes a seventh of the start.  Collecting begins when the gateway serves.
     gc.disable()
     from .net.accept_queue import AcceptQueue
-    from .net.signals import Early
+    from .net.signals import EarlySignals
 
-    early, accept_queue = Early(), AcceptQueue.open(os.environ, path)
+    early, accept_queue = EarlySignals(), AcceptQueue.open(os.environ, path)
     from .net.gateway import serve as serving
 
     serving(early, accept_queue, path)
--- a/kestrelbend/net/answers.py
+++ b/kestrelbend/net/answers.py
@@ -75,7 +75,7 @@
         self.began, came_at = True, self._loop.time()
         if self.settled:
             if self.sending.d is not None:
-                self.trust.took(came_at - self.written_at)
+                self.trust.record_latency(came_at - self.written_at)
             return
         came_at -= age(self.transport.get_extra_info("socket")) / 1e6
         if came_at < self.settles_at:
@@ -96,7 +96,7 @@
     def more_behind(self):
         """Bytes came that belong to no request."""
         counters["answers_with_more_behind"] += 1
-        self.trust.spoke()
+        self.trust.record_noise()
         if not self.settled and self.proof is None:
             self.proof = self._loop.create_future()
         self.prove(False)
--- a/kestrelbend/net/backends.py
+++ b/kestrelbend/net/backends.py
@@ -12,7 +12,7 @@
 from .answers import SENDING
 from .connections import LONGEST_BODY
 from .headers import PASSED_BACK, load_report, passed_on, told
-from .links import Link
+from .connection_pool import ConnectionPool
 from .sending import NotWanted, Sending, Settling, Stale
 from .tally import counters
 from .trust import REST_S, Trust
@@ -38,7 +38,9 @@
         """Made when it is first needed: one for each of hundreds costs time at the start, and memory."""
         link = self.links.get(backend)
         if link is None and backend in self.endpoints:
-            link = self.links[backend] = Link(self.endpoints[backend], self.settings, self.trust[backend])
+            link = self.links[backend] = ConnectionPool(
+                self.endpoints[backend], self.settings, self.trust[backend]
+            )
         return link
 
     def unlisted(self, backend):
--- a/kestrelbend/net/configuration.py
+++ b/kestrelbend/net/configuration.py
@@ -36,7 +36,8 @@
     most_in: float  # datagrams that a gateway takes a second
 
 
-def address(text, what):
+def address(text: object, what: str) -> tuple[str, int]:
+    """Host and port of `host:port`; raises `Malformed`, which names `what` the text is."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise Malformed(f"{what}: not an address: {text!r}")
--- /dev/null
+++ b/kestrelbend/net/connection_pool.py
@@ -0,0 +1,102 @@
+"""The pool of connections to one backend at one address, and how long each rests after an answer.
+
+aiohttp's client is kept from three things: it hands a connection out again at once after an answer, its
+reader takes whatever comes next for the next answer, and it sends a GET again when a kept connection breaks.
+The names of its inside that this rests on are checked when a pool is made, so that a release without them is
+noticed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+from functools import partial
+from typing import Any, Final, cast
+
+import aiohttp
+from aiohttp.client_proto import ResponseHandler
+from aiohttp.client_reqrep import ConnectionKey
+
+from .answers import Answers
+from .counter import LOOP_TURN_S, MICROSECONDS_OF_SECOND
+from .sending import TURNS, trace
+from .tally import must
+from .trust import REST_S, Trust
+
+AUTO_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+
+
+class RestingConnector(aiohttp.TCPConnector):
+    """Keeps a connection out of use for a moment after an answer, as long as its backend is not trusted, and
+    after an early answer as long as that is in doubt.
+
+    `resting`: how many connections are kept out of use now.
+    """
+
+    def __init__(self, trust: Trust, **options: Any) -> None:
+        super().__init__(**options)
+        self.trust = trust
+        self.resting = 0
+
+    def _release(self, key: ConnectionKey, protocol: Any, *, should_close: bool = False) -> None:
+        """Take a connection back; overrides aiohttp's. `protocol` is an `Answers`."""
+        must_rest = self.trust.rests or protocol.proof is not None
+        if should_close or protocol.should_close or not must_rest:
+            protocol.released()
+            super()._release(key, protocol, should_close=should_close)
+        else:
+            self.resting += 1
+            self._loop.call_later(REST_S, self._end_rest, key, protocol)
+
+    def _end_rest(self, key: ConnectionKey, protocol: Any, turns: int = TURNS) -> None:
+        """Its moment is over: it is free, or was ended meanwhile.
+
+        After a stall of this gateway the timer comes before what lies unread: that is read first, in as many
+        as `turns` turns of the loop.
+        """
+        if turns and protocol.is_connected() and protocol.unread():
+            self._loop.call_later(LOOP_TURN_S, self._end_rest, key, protocol, turns - 1)
+            return
+        self.resting -= 1
+        was_silent = protocol.is_connected() and not protocol.should_close and not protocol.unread()
+        if was_silent:
+            self.trust.record_silence()
+        super()._release(key, protocol)
+        protocol.prove(was_silent)
+
+
+class ConnectionPool:
+    """The connections to one backend at one address (`endpoint`, host:port).
+
+    `users`: requests that use it now. `heard`: when the last answer was complete, in microseconds of the
+    gateway's clock. `retired`: the backend is elsewhere or gone; the pool is closed with its last user.
+    `settings`: the gateway's; `idle_close` and `connect_timeout` are read, in microseconds.
+    """
+
+    def __init__(self, endpoint: str, settings: Mapping[str, Any], trust: Trust) -> None:
+        connect_timeout = settings["connect_timeout"] / MICROSECONDS_OF_SECOND
+        # Closed here before the far side's machine does: what is written after that would be lost.
+        idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_OF_SECOND
+        must(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
+        self.connector = RestingConnector(
+            trust, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
+        )
+        must(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
+        factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, trust)
+        self.connector._factory = cast("partial[ResponseHandler]", factory)
+        self.session = aiohttp.ClientSession(
+            connector=self.connector,
+            cookie_jar=aiohttp.DummyCookieJar(),
+            auto_decompress=False,
+            trust_env=False,
+            skip_auto_headers=AUTO_HEADERS,
+            trace_configs=[trace()],
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
+        )
+        # It would send a GET again by itself when a kept connection breaks; each sending is a delivery.
+        must(hasattr(self.session, "_retry_connection"), "client_resends_can_be_stopped")
+        self.session._retry_connection = False
+        self.endpoint = endpoint
+        self.users = 0
+        self.heard = 0
+        self.retired = False
--- a/kestrelbend/net/connections.py
+++ b/kestrelbend/net/connections.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from .closing import HalfClosing, readable
+from .closing import HalfClosingTransport, readable
 from .tally import counters
 
 LONGEST_BODY = 1 << 16  # bytes, by the protocol
@@ -29,7 +29,7 @@
     def connection_made(self, transport):
         """What was read before goes first.  (Seen in the code: handed in only after the loop had begun to
         read, so that the second half of a request could come before its first.)"""
-        self.closing = HalfClosing(transport, self._loop, self._manager.sockets)
+        self.closing = HalfClosingTransport(transport, self._loop, self._manager.sockets)
         super().connection_made(self.closing)
         held, self.held = self.held, None
         if held is not None and held.data:
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -20,7 +20,7 @@
 from .clients import Clients
 from .counter import CounterService
 from .owner import Owner
-from .roster import Roster, entries
+from .endpoint_discovery import EndpointDiscovery, entries
 from .tally import counters
 
 LINGER_S = 0.5  # new connections go on coming so long after SIGTERM
@@ -51,7 +51,7 @@
     owner.backend_peer = Backends(queue, clock, told.settings, sockets)
     owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_peer.renew, longest(told))
     owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter.timeout)
-    owner.roster = Roster(queue, told.discovery, owner.heard)
+    owner.roster = EndpointDiscovery(queue, told.discovery, owner.heard)
     if told.known:
         owner.on_listing(entries(told.known))
     serving = asyncio.create_task(owner.serve())
--- a/kestrelbend/net/news.py
+++ b/kestrelbend/net/news.py
@@ -7,7 +7,7 @@
 
 from ..shares.errors import UnreadableUsageDatagram
 from ..shares.exchange import MeteredUsageExchange
-from .datagrams import Carrier
+from .datagrams import DatagramReceiver
 from .tally import counters
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
         """`part`: of the first period, drawn, so that not all gateways speak at once."""
         loop = asyncio.get_running_loop()
         _, self.carrier = await loop.create_datagram_endpoint(
-            lambda: Carrier(self.queue), local_addr=self.told.listen
+            lambda: DatagramReceiver(self.queue), local_addr=self.told.listen
         )
         self.later(part)
 
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/net/peers.py
@@ -15,7 +15,7 @@
 from ..membership.messages import LeaseMessage, LeaseVerdict, MemberState
 from ..membership.parameters import SwimParameters
 from ..membership.swim import SwimNode
-from .datagrams import Carrier
+from .datagrams import DatagramReceiver
 from .tally import counters
 
 log = logging.getLogger(__name__)
@@ -49,7 +49,7 @@
     async def start(self):
         loop = asyncio.get_running_loop()
         _, self.carrier = await loop.create_datagram_endpoint(
-            lambda: Carrier(self.queue), local_addr=self.told.listen
+            lambda: DatagramReceiver(self.queue), local_addr=self.told.listen
         )
         self.after()
 
--- a/kestrelbend/net/sending.py
+++ b/kestrelbend/net/sending.py
@@ -50,7 +50,7 @@
         second one to the request before, or a request that may not be repeated would fail by the doubt."""
         if self.d is None:
             return False
-        return self.answers.trust.slow or self.d.inv.op.effect is RepeatEffect.NON_IDEMPOTENT
+        return self.answers.trust.is_slow or self.d.inv.op.effect is RepeatEffect.NON_IDEMPOTENT
 
     def wanted(self):
         """Whether its first byte may be written now: rule 3 counts from then, a client may have gone or got
@@ -107,7 +107,8 @@
     context.trace_request_ctx.over()
 
 
-def trace():
+def trace() -> aiohttp.TraceConfig:
+    """The hooks of aiohttp's client by which a `Sending`, its requests' trace context, is decided on."""
     config = aiohttp.TraceConfig()
     config.on_connection_create_start.append(_connects)
     config.on_connection_create_end.append(_connected)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 import pytest
 
 from kestrelbend.interface import Delivery, Invocation, Result, State
-from kestrelbend.net import roster, sending
+from kestrelbend.net import endpoint_discovery, sending
 from kestrelbend.net.answers import Answers
 from kestrelbend.net.gateway import start
 from kestrelbend.net.accept_queue import AcceptQueue, Held
@@ -260,7 +260,7 @@
         "all": False,
         "targets": [{"uid": "s1", "endpoint": "127.0.0.1:80", "state": "draining", **spoilt}],
     }
-    assert [(entry[0], entry[4]) for entry in roster.entries(told)[2]] == [("s1", State.DRAINING)]
+    assert [(entry[0], entry[4]) for entry in endpoint_discovery.entries(told)[2]] == [("s1", State.DRAINING)]
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
@@ -310,7 +310,7 @@
                 "left out": [world.rows[1]],
                 "moved": [entry | {"endpoint": world.backends[1].address}],
             }[how]
-            told = roster.entries({"rev": 90, "all": how == "left out", "targets": rows})
+            told = endpoint_discovery.entries({"rev": 90, "all": how == "left out", "targets": rows})
             owner.backend_peer.queue = sent
             owner.backend_peer.deliver(delivery(owner, target), asked_for(owner, "c1"))
             await gate.reached.wait()
@@ -1284,7 +1284,7 @@
             assert not seen_at
             began = time.time()
             back = [row("s0", fresh, started=round(began * 1000)), *world.rows[1:]]
-            told = roster.entries({"rev": 3, "all": True, "targets": back})
+            told = endpoint_discovery.entries({"rev": 3, "all": True, "targets": back})
             for _, owner, _ in all_[::2]:
                 owner.roster.take(told)
             asyncio.get_running_loop().call_later(0.3, world.discovery.tell, *back)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,7 +28,7 @@
 from kestrelbend.net.requests import Request
 from kestrelbend.net.gateway import reload, start
 from kestrelbend.net.accept_queue import AcceptQueue, Held
-from kestrelbend.net.roster import entries
+from kestrelbend.net.endpoint_discovery import entries
 from kestrelbend.net.tally import counters
 
 from .helpers import BASE, StandCounter, StandDiscovery, World, free_address, row
