--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -276,6 +276,14 @@
         self.assertEqual([], sent(sender, 2.4))
         self.assertEqual([2, 4], [chunk.offset for chunk in sent(sender, 2.6)])
 
+    def test_a_follower_that_stays_stuck_for_hours_is_still_sent_to(self):
+        sender = sender_of(b"0123456789")
+        sent(sender, 0.0)
+        sender.receive_reply(reply(sender, 2), 0.1)
+        sent(sender, 0.1)
+        for minute in range(1, 20 * 60):
+            self.assertEqual([2, 4], [chunk.offset for chunk in sent(sender, 60.0 * minute)])
+
     def test_no_more_than_the_window_is_under_way(self):
         sender = sender_of(b"0123456789")
         self.assertEqual([0, 2], [chunk.offset for chunk in sent(sender, 0.0)])
