--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -262,6 +262,16 @@
     assert by["all in"]["served"] < by["as it is"]["served"] - 0.1
 
 
+def test_a_checkout_without_the_package_of_decisions_is_compared_on_sockets_alone(tmp_path):
+    (tmp_path / "other" / "kestrelbend").mkdir(parents=True)
+    (tmp_path / "other" / "kestrelbend" / "hosting.py").write_text("")
+    text = EXPERIMENT.replace('baseline = "let-all-in"', 'checkout = "other"')
+    with pytest.raises(experiment.Unusable, match="no checkout of this repository"):
+        experiment.load(few(tmp_path, text))
+    plan = experiment.load(few(tmp_path, 'clock = "sockets"\n' + text))
+    assert plan.jobs[2].variant.checkout == str(tmp_path / "other")
+
+
 def test_an_interval_of_paired_differences_holds_their_mean():
     mean, low, high = experiment.interval([0.1, 0.2, 0.3, 0.2, 0.1, 0.25])
     assert low < mean < high and low > 0
