--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -215,7 +215,7 @@
     with logbook.NullHandler().applicationbound():
         result = play_day(Day.draw(seed))
     add_turns()
-    recording.add_at_end("day", result.day.closing, len(result.failures), result.turns, result.orders)
+    recording.add_at_end("day", result.day.closing, len(result.violations), result.turns, result.orders)
     return recording.hexdigest()
 
 
--- a/kestrelbend/command/lab_fleet.py
+++ b/kestrelbend/command/lab_fleet.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from kestrelbend.tier.fleet.day import Result
 
-MOST_FAILURES_TOLD = 5  # of one day
+MAX_VIOLATIONS_SHOWN = 5  # of one day
 
 
 def _play_line(line: str) -> Result:
@@ -59,10 +59,10 @@
             result = _play_line(line)
         except ValueError:
             raise wrong(f"--day: '{line}' names no day") from None
-        self.say(result.day.tell())
-        for note in result.notes:
-            self.say(note)
-        return FAILED if result.failures else DONE
+        self.say(result.day.describe())
+        for line in result.log_lines:
+            self.say(line)
+        return FAILED if result.violations else DONE
 
     def _search(self, first: int, count: int, jobs: int) -> int:
         begun = time.monotonic()
@@ -73,19 +73,19 @@
             for result in pool.imap(_play_line, lines):
                 turns += result.turns
                 orders += result.orders
-                if result.failures:
+                if result.violations:
                     failed += 1
-                    self._tell_failure(result)
+                    self._show_violations(result)
         self.say(
             f"{count} days from seed {first}: {failed} broke a rule; {turns} tries of turns, {orders} orders,"
             f" {time.monotonic() - begun:.0f} s"
         )
         return FAILED if failed else DONE
 
-    def _tell_failure(self, result: Result) -> None:
+    def _show_violations(self, result: Result) -> None:
         from kestrelbend.tier.fleet.day import shrink
 
         day = shrink(result.day) if self.option("shrink") else result.day
-        self.say(f"--day {day}  ({day.tell()})")
-        for failure in result.failures[:MOST_FAILURES_TOLD]:
-            self.say(f"    {failure}")
+        self.say(f"--day {day}  ({day.describe()})")
+        for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
+            self.say(f"    {violation}")
--- a/kestrelbend/tier/fleet/answers.py
+++ b/kestrelbend/tier/fleet/answers.py
@@ -17,8 +17,8 @@
     """A control node that was cut off when it was asked confirms nothing and refuses nothing."""
     if not isinstance(reply, Reply) or reply.status == UNAVAILABLE:
         return
-    if fleet.is_cut_off(address.partition(":")[0], requested_at - CONTACT_S - SLACK_S):
-        fleet.broken(f"{address} is cut off and answers {reply.status}: {reply.body[:80]!r}")
+    if fleet.is_partitioned(address.partition(":")[0], requested_at - CONTACT_S - SLACK_S):
+        fleet.report_violation(f"{address} is cut off and answers {reply.status}: {reply.body[:80]!r}")
 
 
 def check_emptied(fleet: Fleet, node: str) -> None:
@@ -35,5 +35,7 @@
 
 def _check_group(fleet: Fleet, machine: Machine, replica: Replica) -> None:
     group = replica._state.log.voters_at(replica.commit_index)
-    if any(address_of(voter).startswith(f"{machine.place.ip}:") for voter in group):
-        fleet.broken(f"{machine.name} counts as emptied and is in the group of {replica.shard}: {group}")
+    if any(address_of(voter).startswith(f"{machine.spec.ip}:") for voter in group):
+        fleet.report_violation(
+            f"{machine.name} counts as emptied and is in the group of {replica.shard}: {group}"
+        )
--- a/kestrelbend/tier/fleet/backends.py
+++ b/kestrelbend/tier/fleet/backends.py
@@ -26,14 +26,14 @@
         self.service = service
         self.zone = zone
         self.address = address
-        self.began_at = fleet.now()
+        self.started_at = fleet.now()
         self.state = "ready"
         self.draining_acknowledged_at: float | None = None
         self.ended_at: float | None = None
         self._sequence = 0
         self._random = random.Random(f"backend {identity} {fleet.seed}")
         self._target = ""
-        self._life = asyncio.create_task(self._live())
+        self._task = asyncio.create_task(self._live())
 
     async def _live(self) -> None:
         await asyncio.sleep(self._random.uniform(0.0, HEARTBEAT_S))
@@ -54,16 +54,16 @@
             "ColdLeftMs": 0,
             "Seq": self._sequence,
         }
-        return await self._call("Heartbeat", json.dumps(report).encode(), tries=3)
+        return await self._call("Heartbeat", json.dumps(report).encode(), max_attempts=3)
 
-    async def _call(self, call: str, body: bytes, tries: int) -> bool:
-        addresses = list(self.fleet.known_control_list())
+    async def _call(self, call: str, body: bytes, max_attempts: int) -> bool:
+        addresses = list(self.fleet.published_control_addresses())
         self._random.shuffle(addresses)
         if self._target in addresses:
             addresses.remove(self._target)
             addresses.insert(0, self._target)
         path = f"/api/Instances.{call}/{self.identity}"
-        for address in addresses[:tries]:
+        for address in addresses[:max_attempts]:
             requested_at = self.fleet.now()
             reply = await self.fleet.http.call(address, "POST", path, (), body, CALL_TIMEOUT_S)
             if self.state != "ready":
@@ -79,39 +79,39 @@
         acknowledged_at = self.draining_acknowledged_at
         return acknowledged_at is not None and acknowledged_at < latest
 
-    def lure(self, address: str) -> None:
+    def report_first_to(self, address: str) -> None:
         """The backend reports to this control node first."""
         self._target = address
 
     def crash(self) -> None:
         """The backend falls silent."""
-        self.fleet.note(f"backend {self.identity} crashes")
+        self.fleet.log(f"backend {self.identity} crashes")
         self._end()
 
     async def drain_and_leave(self) -> None:
         """A planned end: says so until it is acknowledged, serves on a while, leaves."""
-        self.fleet.note(f"backend {self.identity} drains")
+        self.fleet.log(f"backend {self.identity} drains")
         self.state = "draining"
-        said_at = self.fleet.now()
-        while self.draining_acknowledged_at is None and self.fleet.now() - said_at < LEAVE_ANYWAY_S:
+        announced_at = self.fleet.now()
+        while self.draining_acknowledged_at is None and self.fleet.now() - announced_at < LEAVE_ANYWAY_S:
             if await self._heartbeat():
                 self.draining_acknowledged_at = self.fleet.now()
             else:
                 await asyncio.sleep(0.1)
-            self._check_time(said_at)
+            self._check_time(announced_at)
         await asyncio.sleep(DRAIN_S + self._random.uniform(0.5, 3.0))
-        await self._call("Leave", b"", tries=3)
+        await self._call("Leave", b"", max_attempts=3)
         self._end()
 
-    def _check_time(self, said_at: float) -> None:
-        stable_since = max(said_at, self.fleet.contact.core_stable_since())
+    def _check_time(self, announced_at: float) -> None:
+        stable_since = max(announced_at, self.fleet.contact.core_stable_since())
         if self.draining_acknowledged_at is None and self.fleet.now() - stable_since > ACK_S:
-            self.fleet.broken(f"backend {self.identity} has no acknowledgement in a calm time")
+            self.fleet.report_violation(f"backend {self.identity} has no acknowledgement in a calm time")
 
     def _end(self) -> None:
         self.state = "gone"
         self.ended_at = self.fleet.now()
-        self._life.cancel()
+        self._task.cancel()
 
 
 class Backends:
--- a/kestrelbend/tier/fleet/contact.py
+++ b/kestrelbend/tier/fleet/contact.py
@@ -13,51 +13,51 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._last: dict[str, float] = {}
-        self._under_way: dict[str, int] = {}
+        self._last_event: dict[str, float] = {}
+        self._ongoing: dict[str, int] = {}
         self._core: set[str] = set()
 
     def add(self, machine: str, is_core: bool) -> None:
         """A machine starts."""
         if is_core:
             self._core.add(machine)
-        self.touched(machine)
+        self.record_event(machine)
 
-    def touched(self, machine: str) -> None:
+    def record_event(self, machine: str) -> None:
         """Something has just happened to a machine."""
-        self._last[machine] = self._now()
+        self._last_event[machine] = self._now()
 
-    def begin(self, machine: str) -> None:
+    def fault_began(self, machine: str) -> None:
         """A fault begins that lasts."""
-        self._under_way[machine] = self._under_way.get(machine, 0) + 1
-        self.touched(machine)
+        self._ongoing[machine] = self._ongoing.get(machine, 0) + 1
+        self.record_event(machine)
 
-    def end(self, machine: str) -> None:
+    def fault_ended(self, machine: str) -> None:
         """It is over."""
-        self._under_way[machine] -= 1
-        self.touched(machine)
+        self._ongoing[machine] -= 1
+        self.record_event(machine)
 
     def remove(self, machine: str) -> None:
         """The machine is gone for good."""
-        self.touched(machine)
-        self._under_way.pop(machine, None)
+        self.record_event(machine)
+        self._ongoing.pop(machine, None)
 
-    def core_quiet_since(self) -> float:
+    def core_fault_free_since(self) -> float:
         """When the last fault of the core was over; infinite while there is one."""
-        if any(self._under_way.get(machine) for machine in self._core):
+        if any(self._ongoing.get(machine) for machine in self._core):
             return float("inf")
-        return max((self._last[machine] for machine in self._core), default=NEVER)
+        return max((self._last_event[machine] for machine in self._core), default=NEVER)
 
     def core_stable_since(self) -> float:
         """Since when the core has been stable; infinite while it is not."""
-        return self.core_quiet_since() + CONTACT_S
+        return self.core_fault_free_since() + CONTACT_S
 
-    def in_touch_since(self, machine: str) -> float:
+    def in_contact_since(self, machine: str) -> float:
         """Since when the machine has been in touch; infinite while it is not."""
-        if self._under_way.get(machine):
+        if self._ongoing.get(machine):
             return float("inf")
-        return max(self._last.get(machine, NEVER) + CONTACT_S, self.core_stable_since())
+        return max(self._last_event.get(machine, NEVER) + CONTACT_S, self.core_stable_since())
 
-    def in_touch(self, machine: str) -> bool:
+    def in_contact(self, machine: str) -> bool:
         """Whether the bounds of time hold for the machine now."""
-        return self.in_touch_since(machine) <= self._now()
+        return self.in_contact_since(machine) <= self._now()
--- a/kestrelbend/tier/fleet/day.py
+++ b/kestrelbend/tier/fleet/day.py
@@ -11,12 +11,12 @@
 
 import attrs
 
-from .faults import KINDS, FaultKind, acknowledged, start_all
+from .faults import KINDS, FaultKind, acknowledging_machine, start_all
 from .fleet import Size
 from .world import World, play
 
 LENGTH_S = 5.0  # faults begin within this
-LEAST_APART_S = 4.5  # CatchupS and a little, between faults of machines that count
+MIN_INTERVAL_S = 4.5  # CatchupS and a little, between faults of machines that count
 MAX_FAULTS = 3
 CLOSINGS = ("none", "none", "power_off_all", "kill_all", "wipe_after_ack")
 
@@ -25,7 +25,7 @@
 class Fault:
     """One fault of a day; `place` is where it stands in the seed's whole list."""
 
-    place: int
+    index: int
     at: float
     kind: str
 
@@ -47,7 +47,7 @@
         drawn = [rng.choice(names) for _ in range(rng.randint(1, MAX_FAULTS))]
         times = sorted(rng.uniform(0.0, LENGTH_S) for _ in drawn)
         pairs = enumerate(zip(times, drawn, strict=True))
-        faults = tuple(Fault(place, at, kind) for place, (at, kind) in pairs)
+        faults = tuple(Fault(index, at, kind) for index, (at, kind) in pairs)
         return cls(seed, faults, rng.choice(CLOSINGS), tuple(kinds))
 
     @classmethod
@@ -59,17 +59,17 @@
         if not places:
             return whole
         kept = places.split(",")
-        faults = tuple(fault for fault in whole.faults if str(fault.place) in kept)
+        faults = tuple(fault for fault in whole.faults if str(fault.index) in kept)
         closing = whole.closing if "end" in kept else "none"
         return attrs.evolve(whole, faults=faults, closing=closing)
 
     def __str__(self) -> str:
-        places = [str(fault.place) for fault in self.faults]
+        places = [str(fault.index) for fault in self.faults]
         places += ["end"] if self.closing != "none" else [] if places else ["none"]
         names = f"/{','.join(self.kinds)}" if self.kinds else ""
         return f"{self.seed}:{','.join(places)}{names}"
 
-    def tell(self) -> str:
+    def describe(self) -> str:
         """The faults in words."""
         told = [f"{fault.kind} at {fault.at:.1f}" for fault in self.faults]
         return "; ".join([*told, f"closing {self.closing}"])
@@ -80,8 +80,8 @@
     """What became of a day."""
 
     day: Day
-    failures: tuple[str, ...]
-    notes: tuple[str, ...]
+    violations: tuple[str, ...]
+    log_lines: tuple[str, ...]
     turns: int
     orders: int
 
@@ -92,8 +92,8 @@
     def __init__(self, world: World, day: Day) -> None:
         self._world = world
         self._day = day
-        self._counted = asyncio.Lock()
-        self._counted_after = 0.0
+        self._quorum_lock = asyncio.Lock()
+        self._quorum_free_at = 0.0
 
     async def play(self) -> None:
         began = self._world.fleet.now()
@@ -104,18 +104,18 @@
 
     async def _play_one(self, fault: Fault, began: float) -> None:
         kind = KINDS[fault.kind]
-        rng = random.Random(f"trouble {self._day.seed} {fault.place}")
+        rng = random.Random(f"trouble {self._day.seed} {fault.index}")
         await asyncio.sleep(began + fault.at - self._world.fleet.now())
-        if not kind.counted:
+        if not kind.affects_quorum:
             await self._run(kind, rng)
             return
-        async with self._counted:
-            await asyncio.sleep(self._counted_after - self._world.fleet.now())
+        async with self._quorum_lock:
+            await asyncio.sleep(self._quorum_free_at - self._world.fleet.now())
             await self._run(kind, rng)
-            self._counted_after = self._world.fleet.now() + LEAST_APART_S
+            self._quorum_free_at = self._world.fleet.now() + MIN_INTERVAL_S
 
     async def _run(self, kind: FaultKind, rng: random.Random) -> None:
-        self._world.fleet.note(f"-- {kind.name}")
+        self._world.fleet.log(f"-- {kind.name}")
         await kind.play(self._world, rng)
 
     async def _close(self, rng: random.Random) -> None:
@@ -123,16 +123,18 @@
         closing, fleet = self._day.closing, self._world.fleet
         if closing == "none":
             return
-        await asyncio.sleep(self._counted_after - fleet.now())
-        machine = await acknowledged(self._world)
-        fleet.note(f"-- closing {closing}")
+        await asyncio.sleep(self._quorum_free_at - fleet.now())
+        machine = await acknowledging_machine(self._world)
+        fleet.log(f"-- closing {closing}")
         everybody = list(fleet.machines.values())
         if closing == "wipe_after_ack":
-            victim = machine if machine is not None and rng.random() < 0.6 else rng.choice(fleet.counted())
+            victim = (
+                machine if machine is not None and rng.random() < 0.6 else rng.choice(fleet.quorum_machines())
+            )
             fleet.wipe(victim)
             everybody = [victim]
             if rng.random() < 0.6:
-                others = [other for other in fleet.counted() if other is not victim]
+                others = [other for other in fleet.quorum_machines() if other is not victim]
                 everybody += others
                 for other in others:
                     fleet.lose_power(other)
@@ -148,9 +150,9 @@
     programs = world.programs.all.values()
     return Result(
         day=day,
-        failures=tuple(world.fleet.failures),
-        notes=tuple(world.fleet.notes),
-        turns=sum(len(program.tries) for program in programs),
+        violations=tuple(world.fleet.violations),
+        log_lines=tuple(world.fleet.log_lines),
+        turns=sum(len(program.attempts) for program in programs),
         orders=len(world.operator.orders),
     )
 
@@ -161,7 +163,7 @@
     while smaller:
         smaller = False
         for candidate in _smaller_days(day):
-            if play_day(candidate).failures:
+            if play_day(candidate).violations:
                 day, smaller = candidate, True
                 break
     return day
--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -25,7 +25,7 @@
 LATE_FACTOR = 5.0
 
 
-class CutShort(Exception):
+class Interrupted(Exception):
     """The machine or the process went away in the middle of an operation."""
 
 
@@ -33,7 +33,7 @@
 class _File:
     content: bytes = b""
     synced: bytes = b""
-    lasts: bool = False  # under some name
+    durable: bool = False  # under some name
 
 
 class MemoryDisk:
@@ -45,9 +45,9 @@
         self.full = False
         self.slowness = 1.0
         self._random = random.Random(f"disk {name} {seed}")
-        self._steps_left = -1  # until an operation is cut short; below 0 none is
+        self._remaining_steps = -1  # until an operation is cut short; below 0 none is
         self._files: dict[str, _File] = {}
-        self._lasting: dict[str, _File] = {}
+        self._durable: dict[str, _File] = {}
 
     # storage.disk.Disk
 
@@ -69,14 +69,14 @@
     def create(self, path: str) -> None:
         """An empty file, durable with its own sync."""
         if path not in self._files:
-            self._take_bytes()
+            self._check_space()
             self._step()
             self._files[path] = _File()
 
     def write(self, path: str, content: bytes) -> None:
         """Replaces the content; an interruption leaves the beginning of the new one."""
         self.create(path)
-        self._take_bytes()
+        self._check_space()
         file = self._files[path]
         file.content = content[: self._random.randint(0, len(content))]
         self._step()
@@ -84,7 +84,7 @@
 
     def append(self, path: str, content: bytes | memoryview) -> None:
         """Adds to the end; an interruption leaves part of what was added."""
-        self._take_bytes()
+        self._check_space()
         file = self._files[path]
         before = file.content
         file.content = before + bytes(content[: self._random.randint(0, len(content))])
@@ -96,9 +96,9 @@
         self._step()
         file = self._files[path]
         file.synced = file.content
-        if not file.lasts:
-            file.lasts = True
-            self._lasting[path] = file
+        if not file.durable:
+            file.durable = True
+            self._durable[path] = file
 
     def rename(self, old: str, new: str) -> None:
         """Another name, durable once its directory is synced."""
@@ -114,39 +114,39 @@
         """Makes the names in a directory durable."""
         self._step()
         start = f"{path}/"
-        kept = {name: file for name, file in self._lasting.items() if not name.startswith(start)}
+        kept = {name: file for name, file in self._durable.items() if not name.startswith(start)}
         kept.update((name, file) for name, file in self._files.items() if name.startswith(start))
         for file in kept.values():
-            file.lasts = True
-        self._lasting = kept
+            file.durable = True
+        self._durable = kept
 
     # Faults
 
     def lose_power(self) -> None:
         """Keeps what lasts, and of everything else any part, or nothing at all."""
         all_gone = self._random.random() < 0.3
-        left: dict[str, _File] = {}
-        for name in sorted(self._files.keys() | self._lasting.keys()):
-            lasting, current = self._lasting.get(name), self._files.get(name)
-            keeps_new = lasting is not current and not all_gone and self._random.random() < 0.5
-            file = current if keeps_new else lasting
+        remaining: dict[str, _File] = {}
+        for name in sorted(self._files.keys() | self._durable.keys()):
+            durable, current = self._durable.get(name), self._files.get(name)
+            keeps_new = durable is not current and not all_gone and self._random.random() < 0.5
+            file = current if keeps_new else durable
             if file is not None:
-                content = file.synced if all_gone else self._left_of(file)
-                left[name] = _File(content, content, True)
-        self._files = left
-        self._lasting = dict(left)
+                content = file.synced if all_gone else self._after_power_loss(file)
+                remaining[name] = _File(content, content, True)
+        self._files = remaining
+        self._durable = dict(remaining)
 
     def wipe(self) -> None:
         """Everything is gone."""
         self._files = {}
-        self._lasting = {}
+        self._durable = {}
 
-    def cut_short(self, operation: Callable[[], object]) -> None:
+    def interrupt(self, operation: Callable[[], object]) -> None:
         """Carries an operation out up to a step drawn by chance."""
-        self._steps_left = self._random.randint(0, 4)
-        with contextlib.suppress(CutShort, OSError):
+        self._remaining_steps = self._random.randint(0, 4)
+        with contextlib.suppress(Interrupted, OSError):
             operation()
-        self._steps_left = -1
+        self._remaining_steps = -1
 
     async def wait_for(self, syncs: int) -> None:
         """Returns once the disk has had the time for so many syncs."""
@@ -155,21 +155,21 @@
         while self.stalled:  # noqa: ASYNC110 -- an event would change the order in which callbacks run
             await asyncio.sleep(STALL_CHECK_S)
 
-    def _left_of(self, file: _File) -> bytes:
+    def _after_power_loss(self, file: _File) -> bytes:
         if file.synced == file.content:
             return file.content
         torn = file.content[: self._random.randint(0, len(file.content))]
         return self._random.choice((file.synced, torn, file.content))
 
-    def _take_bytes(self) -> None:
+    def _check_space(self) -> None:
         if self.full:
             raise OSError(errno.ENOSPC, "no space left")
 
     def _step(self) -> None:
-        if self._steps_left == 0:
-            raise CutShort
-        if self._steps_left > 0:
-            self._steps_left -= 1
+        if self._remaining_steps == 0:
+            raise Interrupted
+        if self._remaining_steps > 0:
+            self._remaining_steps -= 1
 
 
 class SteppedJournal(DiskJournal):
@@ -210,10 +210,10 @@
         if self._task is not None:
             await asyncio.wait([self._task], timeout=within)
 
-    def cut_short(self) -> None:
+    def interrupt(self) -> None:
         """The process has died: what it was writing is there in part."""
         if self._writing:
-            self._memory_disk.cut_short(self.write_once)
+            self._memory_disk.interrupt(self.write_once)
 
     async def _write_always(self) -> None:
         more_maintenance = True
--- a/kestrelbend/tier/fleet/faults/__init__.py
+++ b/kestrelbend/tier/fleet/faults/__init__.py
@@ -6,12 +6,12 @@
 
 from . import backends, disks, machines, network, orders, pairs
 from .kinds import KINDS, FaultKind
-from .picking import acknowledged, owner_machine, pick_counted, start_all
+from .picking import acknowledging_machine, owner_machine, pick_quorum_machine, start_all
 
 __all__ = [
     "KINDS",
     "FaultKind",
-    "acknowledged",
+    "acknowledging_machine",
     "backends",
     "disks",
     "machines",
@@ -19,6 +19,6 @@
     "orders",
     "owner_machine",
     "pairs",
-    "pick_counted",
+    "pick_quorum_machine",
     "start_all",
 ]
--- a/kestrelbend/tier/fleet/faults/backends.py
+++ b/kestrelbend/tier/fleet/faults/backends.py
@@ -9,7 +9,7 @@
 from .kinds import fault
 
 
-@fault("release", counted=False)
+@fault("release", affects_quorum=False)
 async def release(world: World, rng: random.Random) -> None:
     """Backends are replaced one after the other."""
     for backend in world.backends.ready():
@@ -18,7 +18,7 @@
             await asyncio.sleep(rng.uniform(0.1, 1.0))
 
 
-@fault("backend_crash", counted=False)
+@fault("backend_crash", affects_quorum=False)
 async def backend_crash(world: World, rng: random.Random) -> None:
     """A backend falls silent, and another one comes."""
     backend = rng.choice(world.backends.ready())
--- a/kestrelbend/tier/fleet/faults/disks.py
+++ b/kestrelbend/tier/fleet/faults/disks.py
@@ -7,39 +7,39 @@
 
 from ..world import World
 from .kinds import fault
-from .picking import acknowledged, pick_counted, start_all, taken
+from .picking import acknowledging_machine, pick_quorum_machine, reserving_store, start_all
 
 
-@fault("after_ack_wipe", counted=True)
+@fault("after_ack_wipe", affects_quorum=True)
 async def after_ack_wipe(world: World, rng: random.Random) -> None:
     """The machine that acknowledged a change, or another one, loses its disk right after it."""
-    machine = await acknowledged(world)
+    machine = await acknowledging_machine(world)
     if machine is None or rng.random() < 0.4:
-        machine = rng.choice(world.fleet.counted())
+        machine = rng.choice(world.fleet.quorum_machines())
     world.fleet.wipe(machine)
     await asyncio.sleep(rng.uniform(1.0, 3.0))
     world.fleet.start(machine)
 
 
-@fault("wipe_and_power", counted=True)
+@fault("wipe_and_power", affects_quorum=True)
 async def wipe_and_power(world: World, rng: random.Random) -> None:
     """A machine loses its disk while all others that count lose power."""
-    machine = await (acknowledged(world) if rng.random() < 0.5 else taken(world, rng))
+    machine = await (acknowledging_machine(world) if rng.random() < 0.5 else reserving_store(world, rng))
     await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 0.004))))
     if machine is None or rng.random() < 0.7:
-        machine = rng.choice(world.fleet.counted())
-    others = [other for other in world.fleet.counted() if other is not machine and other.has_power]
+        machine = rng.choice(world.fleet.quorum_machines())
+    others = [other for other in world.fleet.quorum_machines() if other is not machine and other.has_power]
     world.fleet.wipe(machine)
     for other in others:
         world.fleet.lose_power(other)
     await start_all(world, rng, [machine, *others], rng.uniform(0.5, 2.0))
 
 
-@fault("disk_trouble", counted=True)
+@fault("disk_trouble", affects_quorum=True)
 async def disk_trouble(world: World, rng: random.Random) -> None:
     """A disk answers nothing, is slow, or takes no more bytes."""
-    machine = pick_counted(world, rng)
+    machine = pick_quorum_machine(world, rng)
     how = rng.choice(("stall", "slow", "full"))
-    world.fleet.harm_disk(machine, how)
+    world.fleet.degrade_disk(machine, how)
     await asyncio.sleep(rng.uniform(1.0, 4.0))
-    world.fleet.mend_disk(machine)
+    world.fleet.restore_disk(machine)
--- a/kestrelbend/tier/fleet/faults/kinds.py
+++ b/kestrelbend/tier/fleet/faults/kinds.py
@@ -15,21 +15,21 @@
 
 @attrs.frozen
 class FaultKind:
-    """One kind of fault; `counted`: it takes a machine of those whose loss is counted."""
+    """One kind of fault; `affects_quorum`: it takes a machine of those whose loss is counted."""
 
     name: str
-    counted: bool
+    affects_quorum: bool
     play: Play
 
 
 KINDS: dict[str, FaultKind] = {}
 
 
-def fault(name: str, counted: bool) -> Callable[[Play], Play]:
+def fault(name: str, affects_quorum: bool) -> Callable[[Play], Play]:
     """Adds a kind."""
 
     def add(play: Play) -> Play:
-        KINDS[name] = FaultKind(name, counted, play)
+        KINDS[name] = FaultKind(name, affects_quorum, play)
         return play
 
     return add
--- a/kestrelbend/tier/fleet/faults/machines.py
+++ b/kestrelbend/tier/fleet/faults/machines.py
@@ -9,33 +9,40 @@
 from ..machines import Machine
 from ..world import World
 from .kinds import fault
-from .picking import acknowledged, owner_machine, pick_counted, plain_gateways, start_all, taken
+from .picking import (
+    acknowledging_machine,
+    diskless_gateways,
+    owner_machine,
+    pick_quorum_machine,
+    reserving_store,
+    start_all,
+)
 
 LONG_S = 9.0  # long enough for others to take the place of what is gone
 
 
-@fault("kill", counted=True)
+@fault("kill", affects_quorum=True)
 async def kill(world: World, rng: random.Random) -> None:
     """SIGKILL to a machine's processes or one of them, and back after a while, a long one at times."""
-    machine = pick_counted(world, rng)
+    machine = pick_quorum_machine(world, rng)
     world.fleet.kill(machine, rng.choice((None, *machine.processes)))
     await asyncio.sleep(rng.uniform(0.3, 4.0) if rng.random() < 0.8 else LONG_S)
     world.fleet.start(machine)
 
 
-@fault("power", counted=True)
+@fault("power", affects_quorum=True)
 async def power(world: World, rng: random.Random) -> None:
     """No power for a while."""
-    machine = pick_counted(world, rng)
+    machine = pick_quorum_machine(world, rng)
     world.fleet.lose_power(machine)
     await asyncio.sleep(rng.uniform(0.5, 4.0))
     world.fleet.start(machine)
 
 
-@fault("after_ack_kill", counted=True)
+@fault("after_ack_kill", affects_quorum=True)
 async def after_ack_kill(world: World, rng: random.Random) -> None:
     """The machine that acknowledged a change loses power right after it."""
-    machine = await acknowledged(world)
+    machine = await acknowledging_machine(world)
     await asyncio.sleep(rng.uniform(0.0, 0.004))
     if machine is None:
         return
@@ -44,10 +51,10 @@
     world.fleet.start(machine)
 
 
-@fault("owner_killed_midway", counted=True)
+@fault("owner_killed_midway", affects_quorum=True)
 async def owner_killed_midway(world: World, rng: random.Random) -> None:
     """The owner goes down while a change is under way."""
-    machine = owner_machine(world) or pick_counted(world, rng)
+    machine = owner_machine(world) or pick_quorum_machine(world, rng)
     change = asyncio.create_task(world.operator.change())
     await asyncio.sleep(rng.uniform(0.003, 0.4) if rng.random() < 0.3 else rng.uniform(0.003, 0.02))
     world.fleet.lose_power(machine)
@@ -56,10 +63,10 @@
     await change
 
 
-@fault("store_taken_power", counted=True)
+@fault("store_taken_power", affects_quorum=True)
 async def store_taken_power(world: World, rng: random.Random) -> None:
     """A store loses power, or its disk, right after a reservation."""
-    machine = await taken(world, rng)
+    machine = await reserving_store(world, rng)
     if machine is None or "store" not in machine.processes:
         return
     if rng.random() < 0.5:
@@ -70,10 +77,12 @@
     world.fleet.start(machine)
 
 
-@fault("herd_kill", counted=True)
+@fault("herd_kill", affects_quorum=True)
 async def herd_kill(world: World, rng: random.Random) -> None:
     """All processes of the core, or of all machines, are killed or without power at once."""
-    machines = rng.choice((world.fleet.core(), world.fleet.counted(), list(world.fleet.machines.values())))
+    machines = rng.choice(
+        (world.fleet.control_machines(), world.fleet.quorum_machines(), list(world.fleet.machines.values()))
+    )
     machines = [machine for machine in machines if machine.has_power]
     dark = rng.random() < 0.4
     for machine in machines:
@@ -81,20 +90,20 @@
     await start_all(world, rng, machines, rng.uniform(0.2, 1.0))
 
 
-@fault("freeze", counted=True)
+@fault("freeze", affects_quorum=True)
 async def freeze(world: World, rng: random.Random) -> None:
     """A machine stands still and goes on."""
-    machine = pick_counted(world, rng)
+    machine = pick_quorum_machine(world, rng)
     world.fleet.freeze(machine, silent=rng.random() < 0.5)
     await asyncio.sleep(rng.choice((rng.uniform(0.1, 0.6), rng.uniform(0.6, 4.5))))
     world.fleet.thaw(machine)
 
 
-@fault("replace_core", counted=True)
+@fault("replace_core", affects_quorum=True)
 async def replace_core(world: World, rng: random.Random) -> None:
     """A machine is replaced by an empty one at another address, planned or not."""
-    old = pick_counted(world, rng)
-    place, roles = old.place, tuple(old.processes)
+    old = pick_quorum_machine(world, rng)
+    place, roles = old.spec, tuple(old.processes)
     if rng.random() < 0.5:
         world.fleet.remove(old)
         await asyncio.sleep(rng.uniform(0.5, 2.0))
@@ -106,16 +115,16 @@
         await asyncio.sleep(GRACE_S)
 
 
-@fault("add_store", counted=True)
+@fault("add_store", affects_quorum=True)
 async def add_store(world: World, rng: random.Random) -> None:
     """A storage machine comes."""
     world.fleet.add_machine("storage", rng.choice(ZONES), True, ("store",))
 
 
-@fault("core_term", counted=True)
+@fault("core_term", affects_quorum=True)
 async def core_term(world: World, rng: random.Random) -> None:
     """SIGTERM to a machine that counts, which starts again."""
-    await restart(world, pick_counted(world, rng))
+    await restart(world, pick_quorum_machine(world, rng))
 
 
 async def restart(world: World, machine: Machine) -> None:
@@ -129,7 +138,7 @@
     world.fleet.start(machine)
 
 
-@fault("clock_step", counted=True)
+@fault("clock_step", affects_quorum=True)
 async def clock_step(world: World, rng: random.Random) -> None:
     """The time of day jumps on some machines and back later; processes may start meanwhile."""
     step = rng.choice((-1, 1)) * rng.uniform(1.0, 3.0)
@@ -146,10 +155,10 @@
         world.fleet.step_clock(machine, -step)
 
 
-@fault("gateway_kill", counted=False)
+@fault("gateway_kill", affects_quorum=False)
 async def gateway_kill(world: World, rng: random.Random) -> None:
     """Gateways without a disk are killed, lose power, or stand still."""
-    machines = [machine for machine in plain_gateways(world) if rng.random() < 0.6]
+    machines = [machine for machine in diskless_gateways(world) if rng.random() < 0.6]
     how = rng.choice(("kill", "power", "freeze"))
     for machine in machines:
         if how == "freeze":
@@ -161,14 +170,14 @@
         (world.fleet.thaw if how == "freeze" else world.fleet.start)(machine)
 
 
-@fault("gateway_term", counted=False)
+@fault("gateway_term", affects_quorum=False)
 async def gateway_term(world: World, rng: random.Random) -> None:
     """Gateways without a disk are restarted in turn."""
-    for machine in plain_gateways(world):
+    for machine in diskless_gateways(world):
         await restart(world, machine)
 
 
-@fault("add_gateway", counted=False)
+@fault("add_gateway", affects_quorum=False)
 async def add_gateway(world: World, rng: random.Random) -> None:
     """A front machine without a disk comes."""
     world.fleet.add_machine("front", rng.choice(ZONES), False, ("gateway",))
--- a/kestrelbend/tier/fleet/faults/orders.py
+++ b/kestrelbend/tier/fleet/faults/orders.py
@@ -14,7 +14,7 @@
 ABSENT_CHANGES = 30
 
 
-@fault("retire", counted=True)
+@fault("retire", affects_quorum=True)
 async def retire(world: World, rng: random.Random) -> None:
     """A storage machine is emptied and taken away; right after, another one may lose its disk."""
     if len(world.fleet.stores()) < 4:
@@ -31,7 +31,7 @@
         world.fleet.start(other)
 
 
-@fault("config_change", counted=False)
+@fault("config_change", affects_quorum=False)
 async def config_change(world: World, rng: random.Random) -> None:
     """Some changes, one after the other; the last one goes out again."""
     orders = []
@@ -43,7 +43,7 @@
         await world.operator.send(order)
 
 
-@fault("config_race", counted=False)
+@fault("config_race", affects_quorum=False)
 async def config_race(world: World, rng: random.Random) -> None:
     """Pairs of changes on the same version."""
     for _ in range(rng.randint(1, 3)):
@@ -51,27 +51,27 @@
         await asyncio.sleep(rng.uniform(0.0, 0.5))
 
 
-@fault("bad_config", counted=False)
+@fault("bad_config", affects_quorum=False)
 async def bad_config(world: World, rng: random.Random) -> None:
     """Invalid configurations."""
     for _ in range(rng.randint(1, 3)):
         await world.operator.send(world.operator.invalid())
 
 
-@fault("ack_lost", counted=False)
+@fault("ack_lost", affects_quorum=False)
 async def ack_lost(world: World, rng: random.Random) -> None:
     """Acknowledgements are lost on their way, and the same orders sent again."""
-    world.operator.lost_acknowledgements = 0.7
+    world.operator.acknowledgement_loss = 0.7
     for _ in range(2):
         await world.operator.change()
         await asyncio.sleep(rng.uniform(0.0, 0.5))
-    world.operator.lost_acknowledgements = 0.0
+    world.operator.acknowledgement_loss = 0.0
 
 
-@fault("lost_answers", counted=True)
+@fault("lost_answers", affects_quorum=True)
 async def lost_answers(world: World, rng: random.Random) -> None:
     """Two operators race under one number, at every control node, with lost answers and a change of owner."""
-    world.operator.lost_acknowledgements = 0.5
+    world.operator.acknowledgement_loss = 0.5
     rivals = world.operator.rivals()
     sending = [asyncio.create_task(world.operator.send_everywhere(order)) for order in rivals]
     await asyncio.sleep(rng.uniform(0.0, 0.3))
@@ -81,16 +81,16 @@
         await asyncio.sleep(rng.uniform(0.3, 2.0))
         world.fleet.start(machine)
     await asyncio.gather(*sending)
-    world.operator.lost_acknowledgements = 0.0
+    world.operator.acknowledgement_loss = 0.0
     for order in rivals:
         if order.acknowledged_at is not None:
             await world.operator.send(order)
 
 
-@fault("absent", counted=True)
+@fault("absent", affects_quorum=True)
 async def absent(world: World, rng: random.Random) -> None:
     """A control machine is away for many changes, and killed again at some moment of its catching up."""
-    machine = rng.choice(world.fleet.core())
+    machine = rng.choice(world.fleet.control_machines())
     world.fleet.kill(machine)
     for _ in range(ABSENT_CHANGES):
         await world.operator.change()
--- a/kestrelbend/tier/fleet/faults/pairs.py
+++ b/kestrelbend/tier/fleet/faults/pairs.py
@@ -16,17 +16,17 @@
 MATTERS = (kill, after_ack_wipe, replace_core, retire, core_term)
 
 
-@fault("pair", counted=True)
+@fault("pair", affects_quorum=True)
 async def pair(world: World, rng: random.Random) -> None:
     """Any two of loss, repair, replacement, retirement and restart, `CatchupS` apart."""
     first, second = rng.choice(MATTERS), rng.choice(MATTERS)
     await _play(world, rng, first)
-    quiet = world.fleet.contact.core_quiet_since()
+    quiet = world.fleet.contact.core_fault_free_since()
     await asyncio.sleep(max(0.0, quiet + CATCH_UP_S - world.fleet.now()))
     await _play(world, rng, second)
 
 
-@fault("retire_beside_loss", counted=True)
+@fault("retire_beside_loss", affects_quorum=True)
 async def retire_beside_loss(world: World, rng: random.Random) -> None:
     """A store is emptied while another machine is lost or restarted."""
     retiring = asyncio.create_task(retire(world, rng))
@@ -36,5 +36,5 @@
 
 
 async def _play(world: World, rng: random.Random, matter: Play) -> None:
-    world.fleet.note(f"-- {matter.__name__}")
+    world.fleet.log(f"-- {matter.__name__}")
     await matter(world, rng)
--- a/kestrelbend/tier/fleet/faults/picking.py
+++ b/kestrelbend/tier/fleet/faults/picking.py
@@ -21,27 +21,27 @@
     return None
 
 
-def pick_counted(world: World, rng: random.Random) -> Machine:
+def pick_quorum_machine(world: World, rng: random.Random) -> Machine:
     """The owner of the configuration or of a budget, or any machine with a disk."""
     shard = rng.choice(("configuration", "configuration", f"budget-{rng.randrange(6)}", ""))
-    return (owner_machine(world, shard) if shard else None) or rng.choice(world.fleet.counted())
+    return (owner_machine(world, shard) if shard else None) or rng.choice(world.fleet.quorum_machines())
 
 
-def plain_gateways(world: World) -> list[Machine]:
+def diskless_gateways(world: World) -> list[Machine]:
     """The machines whose loss is not counted."""
-    return [machine for machine in world.fleet.machines.values() if not machine.place.has_disk]
+    return [machine for machine in world.fleet.machines.values() if not machine.spec.has_disk]
 
 
-async def acknowledged(world: World) -> Machine | None:
+async def acknowledging_machine(world: World) -> Machine | None:
     """Makes a change; the machine that has just acknowledged it."""
     order = await world.operator.change()
     if order.acknowledged_at is None:
         return None
-    by_ip = {machine.place.ip: machine for machine in world.fleet.core()}
+    by_ip = {machine.spec.ip: machine for machine in world.fleet.control_machines()}
     return by_ip.get(world.operator.acknowledged_by)
 
 
-async def taken(world: World, rng: random.Random) -> Machine | None:
+async def reserving_store(world: World, rng: random.Random) -> Machine | None:
     """The store that has just recorded a reservation."""
     ends = world.fleet.now() + ACK_WAIT_S
     count = world.programs.admitted
--- a/kestrelbend/tier/fleet/fleet.py
+++ b/kestrelbend/tier/fleet/fleet.py
@@ -18,7 +18,7 @@
 from .loop import VirtualLoop
 from .machines import Machine, Process
 from .network import Network
-from .settings import Place, settings_of
+from .settings import MachineSpec, make_settings
 
 ZONES = ("zone-1", "zone-2", "zone-3")
 IN_ZONE_S = 0.0001
@@ -50,22 +50,22 @@
         self.http = Http(loop, self.network)
         self.contact = Contact(loop.time)
         self.machines: dict[str, Machine] = {}
-        self.notes: list[str] = []
-        self.failures: list[str] = []
+        self.log_lines: list[str] = []
+        self.violations: list[str] = []
         self.settings_version = 1
-        self._cut_off_since: dict[str, float] = {}
+        self._partitioned_since: dict[str, float] = {}
         self._zone_of: dict[str, str] = {}
-        self._control_lists: list[tuple[float, tuple[str, ...]]] = []
+        self._published_addresses: list[tuple[float, tuple[str, ...]]] = []
         self._numbers = {"front": 0, "storage": 0}
         loop.set_exception_handler(self._unhandled)
         size = size or Size()
         for number in range(size.control):
-            self.place_machine("front", ZONES[number % 3], True, ("control", "gateway"))
+            self.create_machine("front", ZONES[number % 3], True, ("control", "gateway"))
         for number in range(size.gateways):
-            self.place_machine("front", ZONES[number % 3], False, ("gateway",))
+            self.create_machine("front", ZONES[number % 3], False, ("gateway",))
         for number in range(size.stores):
-            self.place_machine("storage", ZONES[number % 3], True, ("store",))
-        self.seeds = tuple(self.control_list()[:3])
+            self.create_machine("storage", ZONES[number % 3], True, ("store",))
+        self.seeds = tuple(self.control_addresses()[:3])
 
     # What is there
 
@@ -73,20 +73,24 @@
         """Seconds since the world began."""
         return self.loop.time()
 
-    def place_machine(self, machine_class: str, zone: str, has_disk: bool, roles: tuple[str, ...]) -> Machine:
+    def create_machine(
+        self, machine_class: str, zone: str, has_disk: bool, roles: tuple[str, ...]
+    ) -> Machine:
         """Adds a machine without starting it."""
         self._numbers[machine_class] += 1
         number = self._numbers[machine_class]
         offset = 0 if machine_class == "front" else 100
         ip = f"10.{ZONES.index(zone) + 1}.0.{offset + number}"
-        machine = Machine(self, Place(f"{machine_class}-{number}", machine_class, zone, ip, has_disk), roles)
+        machine = Machine(
+            self, MachineSpec(f"{machine_class}-{number}", machine_class, zone, ip, has_disk), roles
+        )
         self.machines[machine.name] = machine
         self._zone_of[ip] = zone
         self.contact.add(machine.name, has_disk)
-        self._list_changed()
+        self._publish_control_addresses()
         return machine
 
-    def core(self) -> list[Machine]:
+    def control_machines(self) -> list[Machine]:
         """The machines with a disk that serve control."""
         return [machine for machine in self.machines.values() if "control" in machine.processes]
 
@@ -94,39 +98,39 @@
         """The storage machines."""
         return [machine for machine in self.machines.values() if "store" in machine.processes]
 
-    def counted(self) -> list[Machine]:
+    def quorum_machines(self) -> list[Machine]:
         """The machines whose loss is counted."""
-        return [machine for machine in self.machines.values() if machine.place.has_disk]
+        return [machine for machine in self.machines.values() if machine.spec.has_disk]
 
     def processes(self, role: str) -> list[Process]:
         """The processes of a role that run now."""
         found = (machine.processes.get(role) for machine in self.machines.values())
         return [process for process in found if process is not None and process.running]
 
-    def control_list(self) -> list[str]:
+    def control_addresses(self) -> list[str]:
         """The control addresses that the platform lists now."""
-        return [machine.place.control_address for machine in self.core()]
+        return [machine.spec.control_address for machine in self.control_machines()]
 
-    def known_control_list(self) -> tuple[str, ...]:
+    def published_control_addresses(self) -> tuple[str, ...]:
         """The list as callers know it, `SeedLagS` late."""
-        known = self._control_lists[0][1]
-        for since, addresses in self._control_lists:
+        known = self._published_addresses[0][1]
+        for since, addresses in self._published_addresses:
             if since <= self.now() - SEED_LAG_S:
                 known = addresses
         return known
 
-    def _list_changed(self) -> None:
-        self._control_lists.append((self.now(), tuple(self.control_list())))
+    def _publish_control_addresses(self) -> None:
+        self._published_addresses.append((self.now(), tuple(self.control_addresses())))
 
     def settings_for(self, machine: Machine, role: str, bootstrap: bool) -> Settings:
         """What the platform writes for a process now."""
-        return settings_of(machine.place, role, self.seeds, bootstrap, ZONES)
+        return make_settings(machine.spec, role, self.seeds, bootstrap, ZONES)
 
-    def turn_seeds(self, seeds: tuple[str, ...]) -> None:
+    def change_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings name other seeds from now on."""
         self.seeds = seeds
         self.settings_version += 1
-        self.note(f"seeds are {seeds}")
+        self.log(f"seeds are {seeds}")
 
     def _distance(self, source: str, target: str) -> float:
         if source == target:
@@ -136,24 +140,24 @@
 
     # What has happened
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Adds a line to the account of the day."""
-        self.notes.append(f"{self.now():8.3f} {text}")
+        self.log_lines.append(f"{self.now():8.3f} {text}")
 
-    def broken(self, rule: str) -> None:
+    def report_violation(self, rule: str) -> None:
         """A rule is broken; each is noted once."""
         line = f"{self.now():8.3f} BROKEN {rule}"
-        self.notes.append(line)
-        self.failures.append(line)
+        self.log_lines.append(line)
+        self.violations.append(line)
 
-    def process_failed(self, process: Process, reason: str) -> None:
+    def process_crashed(self, process: Process, reason: str) -> None:
         """A process ended by itself."""
-        self.broken(f"{process.name} ended by itself: {reason}")
+        self.report_violation(f"{process.name} ended by itself: {reason}")
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None:
-            self.broken(f"unhandled: {context['message']}: {error!r}")
+            self.report_violation(f"unhandled: {context['message']}: {error!r}")
 
     # Beginning, and faults
 
@@ -161,13 +165,13 @@
         """The first start, within 0.3 s, in any order."""
         for machine in order or self.machines.values():
             delay = self.random.uniform(0.0, START_SPREAD_S)
-            self.network.later(delay, machine.start, True)
+            self.network.call_later(delay, machine.start, True)
 
     def add_machine(self, machine_class: str, zone: str, has_disk: bool, roles: tuple[str, ...]) -> Machine:
         """A machine that comes later, with an empty disk."""
-        machine = self.place_machine(machine_class, zone, has_disk, roles)
+        machine = self.create_machine(machine_class, zone, has_disk, roles)
         machine.start()
-        self.note(f"{machine.name} is added in {zone}")
+        self.log(f"{machine.name} is added in {zone}")
         return machine
 
     def remove(self, machine: Machine) -> None:
@@ -176,15 +180,15 @@
         machine.removed = True
         del self.machines[machine.name]
         self.contact.remove(machine.name)
-        self._list_changed()
-        self.note(f"{machine.name} is gone for good")
+        self._publish_control_addresses()
+        self.log(f"{machine.name} is gone for good")
 
     def terminate_and_remove(self, machine: Machine) -> None:
         """SIGTERM, and the machine leaves once its processes have ended or after the grace."""
         machine.terminate()
-        self.contact.touched(machine.name)
-        self.note(f"{machine.name} is told to end")
-        self.network.later(GRACE_S, self._remove_if_there, machine)
+        self.contact.record_event(machine.name)
+        self.log(f"{machine.name} is told to end")
+        self.network.call_later(GRACE_S, self._remove_if_there, machine)
 
     def _remove_if_there(self, machine: Machine) -> None:
         if not machine.removed:
@@ -192,20 +196,20 @@
 
     def kill(self, machine: Machine, role: str | None = None) -> None:
         """SIGKILL to all of a machine's processes, or to that of one role."""
-        self.note(f"{machine.name} is killed{f' ({role})' if role else ''}")
-        self.contact.begin(machine.name)
+        self.log(f"{machine.name} is killed{f' ({role})' if role else ''}")
+        self.contact.fault_began(machine.name)
         machine.kill(role)
 
     def lose_power(self, machine: Machine) -> None:
         """A machine goes dark."""
-        self.note(f"{machine.name} loses power")
-        self.contact.begin(machine.name)
+        self.log(f"{machine.name} loses power")
+        self.contact.fault_began(machine.name)
         machine.lose_power()
 
     def wipe(self, machine: Machine) -> None:
         """A machine goes dark and loses its disk."""
-        self.note(f"{machine.name} loses its disk")
-        self.contact.begin(machine.name)
+        self.log(f"{machine.name} loses its disk")
+        self.contact.fault_began(machine.name)
         machine.lose_power()
         machine.present_disk().wipe()
 
@@ -213,69 +217,71 @@
         """A machine that was killed or dark comes back."""
         if machine.removed:
             return
-        self.note(f"{machine.name} is back")
-        self.contact.end(machine.name)
+        self.log(f"{machine.name} is back")
+        self.contact.fault_ended(machine.name)
         machine.start()
 
     def freeze(self, machine: Machine, silent: bool = False) -> None:
         """A machine's processes stand still."""
-        self.note(f"{machine.name} stands still")
-        self.contact.begin(machine.name)
+        self.log(f"{machine.name} stands still")
+        self.contact.fault_began(machine.name)
         machine.freeze(silent)
 
     def thaw(self, machine: Machine) -> None:
         """They go on."""
-        self.note(f"{machine.name} goes on")
-        self.contact.end(machine.name)
+        self.log(f"{machine.name} goes on")
+        self.contact.fault_ended(machine.name)
         machine.thaw()
 
-    def cut(self, machine: Machine, others: Sequence[Machine], one_way: bool = False) -> None:
+    def partition(self, machine: Machine, others: Sequence[Machine], one_way: bool = False) -> None:
         """Packets of a machine to others are dropped, and with `one_way` only these."""
-        self.note(f"{machine.name} is cut off from {', '.join(other.name for other in others)}")
-        self._begin_cut(machine, others)
+        self.log(f"{machine.name} is cut off from {', '.join(other.name for other in others)}")
+        self._begin_partition(machine, others)
         for other in others:
-            self.network.cut(machine.place.ip, other.place.ip)
+            self.network.block(machine.spec.ip, other.spec.ip)
             if not one_way:
-                self.network.cut(other.place.ip, machine.place.ip)
+                self.network.block(other.spec.ip, machine.spec.ip)
 
-    def deafen(self, machine: Machine, others: Sequence[Machine]) -> None:
+    def partition_inbound(self, machine: Machine, others: Sequence[Machine]) -> None:
         """Packets of others to a machine are dropped."""
-        self.note(f"{machine.name} hears nothing of {', '.join(other.name for other in others)}")
-        self._begin_cut(machine, others)
+        self.log(f"{machine.name} hears nothing of {', '.join(other.name for other in others)}")
+        self._begin_partition(machine, others)
         for other in others:
-            self.network.cut(other.place.ip, machine.place.ip)
+            self.network.block(other.spec.ip, machine.spec.ip)
 
-    def _begin_cut(self, machine: Machine, others: Sequence[Machine]) -> None:
-        self.contact.begin(machine.name)
-        if machine in self.core() and all(other in others for other in self.core() if other is not machine):
-            self._cut_off_since[machine.place.ip] = self.now()
+    def _begin_partition(self, machine: Machine, others: Sequence[Machine]) -> None:
+        self.contact.fault_began(machine.name)
+        if machine in self.control_machines() and all(
+            other in others for other in self.control_machines() if other is not machine
+        ):
+            self._partitioned_since[machine.spec.ip] = self.now()
 
-    def is_cut_off(self, ip: str, since: float) -> bool:
+    def is_partitioned(self, ip: str, since: float) -> bool:
         """Whether a control machine is cut off, one way at least, from all others, and was at `since`."""
-        return self._cut_off_since.get(ip, float("inf")) <= since
+        return self._partitioned_since.get(ip, float("inf")) <= since
 
-    def join(self, machine: Machine, others: Sequence[Machine]) -> None:
+    def heal(self, machine: Machine, others: Sequence[Machine]) -> None:
         """The cut is over."""
-        self.note(f"{machine.name} is joined again")
-        self._cut_off_since.pop(machine.place.ip, None)
-        self.contact.end(machine.name)
+        self.log(f"{machine.name} is joined again")
+        self._partitioned_since.pop(machine.spec.ip, None)
+        self.contact.fault_ended(machine.name)
         for other in others:
-            self.network.join(machine.place.ip, other.place.ip)
-            self.network.join(other.place.ip, machine.place.ip)
+            self.network.unblock(machine.spec.ip, other.spec.ip)
+            self.network.unblock(other.spec.ip, machine.spec.ip)
 
-    def harm_disk(self, machine: Machine, how: str) -> None:
+    def degrade_disk(self, machine: Machine, how: str) -> None:
         """A disk stalls, is slow, or takes no more bytes."""
-        self.note(f"the disk of {machine.name}: {how}")
-        self.contact.begin(machine.name)
+        self.log(f"the disk of {machine.name}: {how}")
+        self.contact.fault_began(machine.name)
         disk = machine.present_disk()
         disk.stalled = how == "stall"
         disk.full = how == "full"
         disk.slowness = SLOW_DISK if how == "slow" else 1.0
 
-    def mend_disk(self, machine: Machine) -> None:
+    def restore_disk(self, machine: Machine) -> None:
         """The disk works again."""
-        self.note(f"the disk of {machine.name} works again")
-        self.contact.end(machine.name)
+        self.log(f"the disk of {machine.name} works again")
+        self.contact.fault_ended(machine.name)
         disk = machine.present_disk()
         disk.stalled = False
         disk.full = False
@@ -283,18 +289,18 @@
 
     def begin_restart(self, machine: Machine) -> None:
         """SIGTERM to a machine that is started again later."""
-        self.note(f"{machine.name} is restarted")
-        self.contact.begin(machine.name)
+        self.log(f"{machine.name} is restarted")
+        self.contact.fault_began(machine.name)
         machine.terminate()
 
     def step_clock(self, machine: Machine, seconds: float) -> None:
         """The time of day jumps."""
-        self.note(f"the clock of {machine.name} jumps by {seconds:.1f} s")
-        self.contact.touched(machine.name)
+        self.log(f"the clock of {machine.name} jumps by {seconds:.1f} s")
+        self.contact.record_event(machine.name)
         machine.clock_step_s += seconds
 
     def reset_connections(self, machine: Machine, share: float) -> None:
         """A share of a machine's connections is reset."""
-        self.note(f"{machine.name} loses {share:.0%} of its connections")
-        self.contact.touched(machine.name)
-        self.network.reset_some(machine.place.ip, share)
+        self.log(f"{machine.name} loses {share:.0%} of its connections")
+        self.contact.record_event(machine.name)
+        self.network.reset_some(machine.spec.ip, share)
--- a/kestrelbend/tier/fleet/guards.py
+++ b/kestrelbend/tier/fleet/guards.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Guard:
-    """`target` is `module:Name.name` below `kestrelbend.tier`; `mutation` takes its place."""
+    """`target` is `module:Name.name` below `kestrelbend.tier`; `mutation` takes its attribute."""
 
     name: str
     target: str
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class _Place:
+class _Attribute:
     """Where a guard's function stands: an attribute of a class or of a module."""
 
     holder: Any
@@ -76,7 +76,7 @@
     return GUARDS[name]
 
 
-def locate(target: str) -> _Place:
+def locate(target: str) -> _Attribute:
     """The function that a guard names; raises `UnknownGuard` where it is gone."""
     module_name, _, path = target.partition(":")
     try:
@@ -84,7 +84,7 @@
         *owners, attribute = path.split(".")
         for owner in owners:
             holder = getattr(holder, owner)
-        return _Place(holder, attribute, vars(holder)[attribute])
+        return _Attribute(holder, attribute, vars(holder)[attribute])
     except (ImportError, AttributeError, KeyError) as error:
         raise UnknownGuard(f"{target}: {error!r}") from None
 
@@ -93,24 +93,24 @@
 def without(name: str) -> Iterator[None]:
     """Takes a guard out for as long as the context lasts, wherever its function was imported."""
     removed = find(name)
-    place = locate(removed.target)
-    places = [place, *_imported(place)]
+    attribute = locate(removed.target)
+    attributes = [attribute, *_imported(attribute)]
     try:
-        for one in places:
+        for one in attributes:
             setattr(one.holder, one.attribute, removed.mutation)
         yield
     finally:
-        for one in places:
+        for one in attributes:
             setattr(one.holder, one.attribute, one.present)
 
 
-def _imported(place: _Place) -> list[_Place]:
+def _imported(attribute: _Attribute) -> list[_Attribute]:
     """Other modules that hold the same function under any name, but for the mutations themselves."""
     found = []
     for name, module in list(sys.modules.items()):
-        if _may_be_patched(name) and module is not place.holder:
-            names = [key for key, value in vars(module).items() if value is place.present]
-            found += [_Place(module, key, place.present) for key in names]
+        if _may_be_patched(name) and module is not attribute.holder:
+            names = [key for key, value in vars(module).items() if value is attribute.present]
+            found += [_Attribute(module, key, attribute.present) for key in names]
     return found
 
 
--- a/kestrelbend/tier/fleet/http.py
+++ b/kestrelbend/tier/fleet/http.py
@@ -30,7 +30,7 @@
 
     REFUSED = "refused"
     ENDED = "connection ended"
-    SILENT = "silent"
+    NO_ANSWER = "no answer"
 
 
 @attrs.frozen
@@ -88,9 +88,9 @@
         await asyncio.sleep(CALLER_DELAY_S)
         ip = address.partition(":")[0]
         served = self._served.get(address)
-        if not self._network.open("outside", ip):
+        if not self._network.is_open("outside", ip):
             await asyncio.sleep(timeout)
-            return Failure.SILENT
+            return Failure.NO_ANSWER
         if served is None or served.execution.ended:
             await asyncio.sleep(CALLER_DELAY_S)
             return Failure.REFUSED
@@ -103,7 +103,7 @@
             async with asyncio.timeout(timeout):
                 return await call.answer
         except TimeoutError:
-            return Failure.SILENT
+            return Failure.NO_ANSWER
         finally:
             self._calls.pop(call, None)
 
@@ -134,17 +134,17 @@
         await application(scope, receive, send)
 
     def _answer(self, call: _Call, reply: Reply | Failure) -> None:
-        if self._network.open(call.execution.ip, "outside"):
-            self._network.later(CALLER_DELAY_S, _set, call.answer, reply)
+        if self._network.is_open(call.execution.ip, "outside"):
+            self._network.call_later(CALLER_DELAY_S, _set, call.answer, reply)
 
-    def end_execution(self, execution: Execution, told: bool) -> None:
+    def end_execution(self, execution: Execution, notify_peers: bool) -> None:
         """A process is gone, and with it the calls that it had not answered."""
         for address, served in list(self._served.items()):
             if served.execution is execution:
                 del self._served[address]
         for call in list(self._calls):
-            if told and call.execution is execution:
-                self._network.later(CALLER_DELAY_S, _set, call.answer, Failure.ENDED)
+            if notify_peers and call.execution is execution:
+                self._network.call_later(CALLER_DELAY_S, _set, call.answer, Failure.ENDED)
 
 
 def _scope(method: str, path: str, headers: Headers) -> Scope:
--- a/kestrelbend/tier/fleet/loop.py
+++ b/kestrelbend/tier/fleet/loop.py
@@ -33,9 +33,9 @@
     name: str
     ip: str
     context: contextvars.Context = attrs.field(init=False)
-    held: bool = attrs.field(default=False, init=False)
+    suspended: bool = attrs.field(default=False, init=False)
     ended_at: float | None = attrs.field(default=None, init=False)
-    _waiting: list[asyncio.Handle] = attrs.field(factory=list, init=False)
+    _deferred: list[asyncio.Handle] = attrs.field(factory=list, init=False)
 
     def __attrs_post_init__(self) -> None:
         self.context = contextvars.copy_context()
@@ -47,28 +47,28 @@
         return self.ended_at is not None
 
     def admits(self, handle: asyncio.Handle) -> bool:
-        """Whether a callback may run now; one of a held execution is kept."""
+        """Whether a callback may run now; one of a suspended execution is kept."""
         if self.ended_at is not None:
             return False
-        if self.held:
-            self._waiting.append(handle)
+        if self.suspended:
+            self._deferred.append(handle)
             return False
         return True
 
-    def hold(self) -> None:
+    def suspend(self) -> None:
         """The process stands still."""
-        self.held = True
+        self.suspended = True
 
-    def release(self, loop: VirtualLoop) -> None:
+    def resume(self, loop: VirtualLoop) -> None:
         """The process goes on, with all that came due meanwhile."""
-        self.held = False
-        waiting, self._waiting = self._waiting, []
-        loop.run_again(waiting)
+        self.suspended = False
+        deferred, self._deferred = self._deferred, []
+        loop.requeue(deferred)
 
     def end(self, now: float) -> None:
         """The process is gone; nothing of it ever runs again."""
         self.ended_at = now
-        self._waiting.clear()
+        self._deferred.clear()
 
 
 def current_execution() -> Execution | None:
@@ -138,7 +138,7 @@
         """Seconds since the world began."""
         return self._selector.now
 
-    def run_again(self, handles: list[asyncio.Handle]) -> None:
+    def requeue(self, handles: list[asyncio.Handle]) -> None:
         """Runs callbacks that were kept, in their order, before all that comes later."""
         self._ready.extend(handles)
 
--- a/kestrelbend/tier/fleet/machines.py
+++ b/kestrelbend/tier/fleet/machines.py
@@ -18,7 +18,7 @@
 from ..storage.journal import DiskJournal
 from .disks import MemoryDisk, SteppedJournal
 from .loop import Execution
-from .settings import Place
+from .settings import MachineSpec
 
 if TYPE_CHECKING:
     from ..dataplane.server import CurrentLimits, Listener
@@ -95,7 +95,7 @@
 
     def abort(self) -> None:
         """Ends the process and breaks a rule of the day."""
-        self._process.ended_by_itself("an invariant was broken")
+        self._process.report_crash("an invariant was broken")
 
 
 @attrs.define(eq=False)
@@ -115,17 +115,17 @@
     stop: Callable[[], None] | None = None
     reload: Callable[[], None] | None = None
     started_at: float = 0.0  # in seconds of the loop
-    wanted: bool = False
+    should_run: bool = False
 
     @property
     def name(self) -> str:
         """The role and its machine."""
-        return f"{self.role}@{self.machine.place.node}"
+        return f"{self.role}@{self.machine.spec.node}"
 
     @property
     def running(self) -> bool:
         """Whether its callbacks run now."""
-        return self.instance is not None and not self.current().held
+        return self.instance is not None and not self.current().suspended
 
     def current(self) -> Execution:
         """The present execution, or the last one; for a process that was started."""
@@ -176,10 +176,12 @@
 
     def start(self, bootstrap: bool = False) -> None:
         """Begins an incarnation, after the time that loading takes."""
-        self.wanted = True
-        execution = Execution(self.name, self.machine.place.ip)
+        self.should_run = True
+        execution = Execution(self.name, self.machine.spec.ip)
         self.execution = execution
-        self.fleet.network.later(self.fleet.random.uniform(*STARTING_S), self._begin, execution, bootstrap)
+        self.fleet.network.call_later(
+            self.fleet.random.uniform(*STARTING_S), self._begin, execution, bootstrap
+        )
 
     def _begin(self, execution: Execution, bootstrap: bool) -> None:
         if execution is self.execution and not execution.ended:
@@ -191,7 +193,7 @@
         try:
             self.instance = load_role(self.role)(settings, "boot.yaml", FleetEnvironment(self))
         except Exception as fault:  # noqa: BLE001 -- whatever it is, the day must report it
-            self.ended_by_itself(f"did not start: {fault!r}")
+            self.report_crash(f"did not start: {fault!r}")
             return
         task = self.fleet.loop.create_task(self.instance.run())
         self.task = task
@@ -201,64 +203,64 @@
         if execution is not self.execution or execution.ended:
             return
         if task.cancelled() or task.exception() is not None:
-            self.ended_by_itself(f"ended: {task.exception()!r}")
+            self.report_crash(f"ended: {task.exception()!r}")
         else:
-            self.fleet.note(f"{self.name} has stopped")
-            self.end(told=True)
+            self.fleet.log(f"{self.name} has stopped")
+            self.end(notify_peers=True)
 
-    def ended_by_itself(self, reason: str) -> None:
+    def report_crash(self, reason: str) -> None:
         """The process failed; the platform starts it again."""
-        self.fleet.process_failed(self, reason)
-        self.end(told=True)
-        self.fleet.network.later(RESTART_S, self._restart)
+        self.fleet.process_crashed(self, reason)
+        self.end(notify_peers=True)
+        self.fleet.network.call_later(RESTART_S, self._restart)
 
     def _restart(self) -> None:
-        if self.wanted and self.current().ended and self.machine.has_power:
+        if self.should_run and self.current().ended and self.machine.has_power:
             self.start()
 
-    def end(self, told: bool) -> None:
-        """The incarnation is over at once; `told`: the machine closes its connections."""
+    def end(self, notify_peers: bool) -> None:
+        """The incarnation is over at once; `notify_peers`: the machine closes its connections."""
         if self.execution is None or self.execution.ended:
             return
         self.execution.end(self.fleet.loop.time())
         if self.journal is not None:
-            self.journal.cut_short()
-        self.fleet.network.end_execution(self.execution, told)
-        self.fleet.http.end_execution(self.execution, told)
+            self.journal.interrupt()
+        self.fleet.network.end_execution(self.execution, notify_peers)
+        self.fleet.http.end_execution(self.execution, notify_peers)
         self.instance = None
         self.task = None
         self.journal = None
         self.stop = None
         self.reload = None
 
-    def hold(self) -> None:
+    def suspend(self) -> None:
         """The process stands still."""
         if self.execution is not None:
-            self.execution.hold()
+            self.execution.suspend()
 
-    def release(self) -> None:
+    def resume(self) -> None:
         """The process goes on."""
-        if self.execution is not None and self.execution.held:
-            self.execution.release(self.fleet.loop)
+        if self.execution is not None and self.execution.suspended:
+            self.execution.resume(self.fleet.loop)
 
 
 class Machine:
     """A machine with its disk and the processes of its roles."""
 
-    def __init__(self, fleet: Fleet, place: Place, roles: tuple[str, ...]) -> None:
+    def __init__(self, fleet: Fleet, spec: MachineSpec, roles: tuple[str, ...]) -> None:
         self.fleet = fleet
-        self.place = place
-        self.disk = MemoryDisk(fleet.seed, place.node) if place.has_disk else None
+        self.spec = spec
+        self.disk = MemoryDisk(fleet.seed, spec.node) if spec.has_disk else None
         self.processes = {role: Process(fleet, self, role) for role in roles}
         self.has_power = True
         self.removed = False
         self.clock_step_s = 0.0
-        self._skew_s = random.Random(f"{place.node} {fleet.seed}").uniform(-0.05, 0.05)
+        self._skew_s = random.Random(f"{spec.node} {fleet.seed}").uniform(-0.05, 0.05)
 
     @property
     def name(self) -> str:
         """The node that the platform calls it."""
-        return self.place.node
+        return self.spec.node
 
     def present_disk(self) -> MemoryDisk:
         """The disk of a machine that has one."""
@@ -273,45 +275,45 @@
     def start(self, bootstrap: bool = False) -> None:
         """Starts all processes that don't run, with power."""
         self.has_power = True
-        self.fleet.network.lighten(self.place.ip)
+        self.fleet.network.reconnect(self.spec.ip)
         for process in self.processes.values():
-            if not process.wanted:
+            if not process.should_run:
                 process.start(bootstrap)
 
     def kill(self, role: str | None = None) -> None:
         """SIGKILL to all processes, or that of one role."""
         for process in self.processes.values():
             if role in (None, process.role):
-                process.wanted = False
-                process.end(told=True)
+                process.should_run = False
+                process.end(notify_peers=True)
 
     def lose_power(self) -> None:
         """All is gone that was not synced; nobody is told."""
         self.has_power = False
-        self.fleet.network.darken(self.place.ip)
+        self.fleet.network.isolate(self.spec.ip)
         for process in self.processes.values():
-            process.wanted = False
-            process.end(told=False)
+            process.should_run = False
+            process.end(notify_peers=False)
         if self.disk is not None:
             self.disk.lose_power()
 
     def freeze(self, silent: bool) -> None:
         """All processes stand still; `silent`: the machine's system, too."""
         for process in self.processes.values():
-            process.hold()
+            process.suspend()
         if silent:
-            self.fleet.network.darken(self.place.ip)
+            self.fleet.network.isolate(self.spec.ip)
 
     def thaw(self) -> None:
         """All goes on."""
         if self.has_power:
-            self.fleet.network.lighten(self.place.ip)
+            self.fleet.network.reconnect(self.spec.ip)
         for process in self.processes.values():
-            process.release()
+            process.resume()
 
     def terminate(self) -> None:
         """SIGTERM to all processes."""
         for process in self.processes.values():
-            process.wanted = False
+            process.should_run = False
             if process.stop is not None:
                 self.fleet.loop.call_soon(process.stop, context=process.current().context)
--- a/kestrelbend/tier/fleet/network.py
+++ b/kestrelbend/tier/fleet/network.py
@@ -2,7 +2,7 @@
 
 What TCP does is kept where processes can notice it: bytes behind a cut wait and arrive late or never; a
 connection whose bytes or probes stay unanswered ends after the times that the processes' sockets set; the
-peer of a killed process is told, the peer of a machine without power is not; a dead port refuses.
+peer of a killed process is notify_peers, the peer of a machine without power is not; a dead port refuses.
 Invariant: a receiver gets a prefix of what its peer wrote, in order.
 """
 
@@ -18,13 +18,13 @@
 
 from .loop import Execution, ProtocolFactory, VirtualLoop
 
-UNACKNOWLEDGED_S = 1.5  # until bytes that nobody acknowledges end a connection here
-PROBE_S = 1.0
-PROBES_LOST = 3  # after so many intervals without an answer a connection at rest ends
-CONNECT_AGAIN_S = 1.0
+UNACKNOWLEDGED_TIMEOUT_S = 1.5  # until bytes that nobody acknowledges end a connection here
+PROBE_INTERVAL_S = 1.0
+MAX_LOST_PROBES = 3  # after so many intervals without an answer a connection at rest ends
+CONNECT_RETRY_S = 1.0
 PACKET_BYTES = 1460
 RETRANSMISSION_S = (0.2, 0.4)
-AFTER_CUT_S = (0.02, 0.4)  # until bytes that a cut held up are sent again
+AFTER_PARTITION_S = (0.02, 0.4)  # until bytes that a cut held up are sent again
 
 Address = tuple[str, int]  # IP and port, as asyncio gives them
 Arguments = TypeVarTuple("Arguments")
@@ -99,23 +99,23 @@
         """Ends the connection; the peer learns of it if it can be reached."""
         if not self.closed:
             self._end(None)
-            self._tell_peer_of_end()
+            self._notify_peer_of_end()
 
     # What the network does
 
     @property
     def reachable(self) -> bool:
         """Whether packets go both ways."""
-        return self._network.open(self.ip, self.peer.ip) and self._network.open(self.peer.ip, self.ip)
+        return self._network.is_open(self.ip, self.peer.ip) and self._network.is_open(self.peer.ip, self.ip)
 
-    def vanish(self, told: bool) -> None:
-        """The process or its machine is gone; `told`: its system closes the connection."""
+    def vanish(self, notify_peers: bool) -> None:
+        """The process or its machine is gone; `notify_peers`: its system closes the connection."""
         if self.closed:
             return
         self.closed = True
-        self._network.forget(self)
-        if told:
-            self._tell_peer_of_end()
+        self._network.remove(self)
+        if notify_peers:
+            self._notify_peer_of_end()
         else:
             self.peer.probe()
 
@@ -129,17 +129,17 @@
         if not self._probing and not self.closed:
             self._probing = True
             self._lost_probes = 0
-            self._network.later(PROBE_S, self._probe)
+            self._network.call_later(PROBE_INTERVAL_S, self._probe)
 
     def flush(self) -> None:
         """The path has changed: what waited goes on."""
         if self.closed:
             return
-        if self._backlog and self._network.open(self.ip, self.peer.ip):
+        if self._backlog and self._network.is_open(self.ip, self.peer.ip):
             backlog, self._backlog = self._backlog, []
-            pause = self._network.random.uniform(*AFTER_CUT_S)
+            extra_delay = self._network.random.uniform(*AFTER_PARTITION_S)
             for data in backlog:
-                self._send(data, pause)
+                self._send(data, extra_delay)
         if self.reachable and self._unacknowledged is not None:
             self._unacknowledged.cancel()
             self._unacknowledged = None
@@ -154,35 +154,37 @@
             return
         self._probing = True
         self._lost_probes += 1
-        if self._lost_probes >= PROBES_LOST:
+        if self._lost_probes >= MAX_LOST_PROBES:
             self.reset(TimeoutError("the peer is silent"))
         else:
-            self._network.later(PROBE_S, self._probe)
+            self._network.call_later(PROBE_INTERVAL_S, self._probe)
 
     def _transmit(self, data: bytes | None) -> None:
-        if self._network.open(self.ip, self.peer.ip):
+        if self._network.is_open(self.ip, self.peer.ip):
             self._send(data, 0.0)
         else:
             self._backlog.append(data)
         if not self.reachable and self._unacknowledged is None:
-            self._unacknowledged = self._network.later(UNACKNOWLEDGED_S, self._not_acknowledged)
+            self._unacknowledged = self._network.call_later(UNACKNOWLEDGED_TIMEOUT_S, self._not_acknowledged)
 
     def _not_acknowledged(self) -> None:
         self._unacknowledged = None
         if not self.closed and not self.reachable:
             self.reset(TimeoutError("bytes stayed unacknowledged"))
 
-    def _send(self, data: bytes | None, pause: float) -> None:
+    def _send(self, data: bytes | None, extra_delay: float) -> None:
         if self.peer.closed:
             if data is not None:
-                self._network.later(self._delay(), self.reset, ConnectionResetError("the peer has closed"))
+                self._network.call_later(
+                    self._delay(), self.reset, ConnectionResetError("the peer has closed")
+                )
             return
         for part in self._network.packets(self.ip, self.peer.ip, data):
-            self._send_packet(part, pause)
+            self._send_packet(part, extra_delay)
 
-    def _send_packet(self, data: bytes | None, pause: float) -> None:
-        leaves_at = self._network.leaves_at(self.ip, self.peer.ip, data)
-        self._arrives_at = max(self._arrives_at + 1e-7, leaves_at + pause + self._delay())
+    def _send_packet(self, data: bytes | None, extra_delay: float) -> None:
+        departs_at = self._network.departs_at(self.ip, self.peer.ip, data)
+        self._arrives_at = max(self._arrives_at + 1e-7, departs_at + extra_delay + self._delay())
         peer = self.peer
         self._loop.call_at(self._arrives_at, peer.deliver, data, context=peer.execution.context)
 
@@ -202,16 +204,16 @@
 
     def _end(self, error: Exception | None) -> None:
         self.closed = True
-        self._network.forget(self)
+        self._network.remove(self)
         if self.protocol is not None:
             context = self.execution.context
             self._loop.call_soon(self.protocol.connection_lost, error, context=context)
 
-    def _tell_peer_of_end(self) -> None:
+    def _notify_peer_of_end(self) -> None:
         peer = self.peer
         if peer.closed:
             return
-        if self._network.open(self.ip, peer.ip):
+        if self._network.is_open(self.ip, peer.ip):
             when = max(self._arrives_at + 1e-7, self._loop.time() + self._delay())
             reset = ConnectionResetError("reset by the peer")
             self._loop.call_at(when, peer.reset, reset, context=peer.execution.context)
@@ -253,35 +255,35 @@
         self._free_at: dict[tuple[str, bool], float] = {}  # of a machine's link, and whether outwards
         self._listening: dict[Address, _Listening] = {}
         self._ends: dict[Connection, None] = {}
-        self._cut: set[tuple[str, str]] = set()
-        self._dark: set[str] = set()
+        self._blocked: set[tuple[str, str]] = set()
+        self._isolated: set[str] = set()
 
     # Paths
 
-    def open(self, source: str, target: str) -> bool:
+    def is_open(self, source: str, target: str) -> bool:
         """Whether packets get from one machine to another."""
-        if source in self._dark or target in self._dark:
+        if source in self._isolated or target in self._isolated:
             return False
-        return (source, target) not in self._cut
+        return (source, target) not in self._blocked
 
-    def cut(self, source: str, target: str) -> None:
+    def block(self, source: str, target: str) -> None:
         """Packets of this way are dropped from now on."""
-        self._cut.add((source, target))
+        self._blocked.add((source, target))
         self._impaired({source, target})
 
-    def join(self, source: str, target: str) -> None:
+    def unblock(self, source: str, target: str) -> None:
         """The way is open again."""
-        self._cut.discard((source, target))
+        self._blocked.discard((source, target))
         self._flush()
 
-    def darken(self, ip: str) -> None:
+    def isolate(self, ip: str) -> None:
         """Nothing comes from this machine or goes to it."""
-        self._dark.add(ip)
+        self._isolated.add(ip)
         self._impaired({ip})
 
-    def lighten(self, ip: str) -> None:
+    def reconnect(self, ip: str) -> None:
         """The machine answers again."""
-        self._dark.discard(ip)
+        self._isolated.discard(ip)
         self._flush()
 
     def _impaired(self, ips: set[str]) -> None:
@@ -300,11 +302,11 @@
             delay += self.random.uniform(*RETRANSMISSION_S)
         return delay
 
-    def narrow(self, ip: str, bytes_a_second: float) -> None:
-        """All that a machine sends, and all that it gets, shares a link of this width from now on."""
+    def limit_bandwidth(self, ip: str, bytes_a_second: float) -> None:
+        """All that a machine sends, and all that it gets, shares a link of this bandwidth from now on."""
         self._bandwidth[ip] = bytes_a_second
 
-    def widen(self, ip: str) -> None:
+    def remove_bandwidth_limit(self, ip: str) -> None:
         """The machine's link has no bound any more."""
         self._bandwidth.pop(ip, None)
 
@@ -314,17 +316,17 @@
             return [data]
         return [data[begin : begin + PACKET_BYTES] for begin in range(0, len(data), PACKET_BYTES)]
 
-    def leaves_at(self, source: str, target: str, data: bytes | None) -> float:
+    def departs_at(self, source: str, target: str, data: bytes | None) -> float:
         """When the links of both machines have taken the bytes, behind all that was sent before."""
-        leaves_at = self.loop.time()
+        departs_at = self.loop.time()
         for ip, outwards in ((source, True), (target, False)):
-            width = self._bandwidth.get(ip)
-            if width and data and source != target:
-                leaves_at = max(leaves_at, self._free_at.get((ip, outwards), 0.0)) + len(data) / width
-                self._free_at[ip, outwards] = leaves_at
-        return leaves_at
+            bandwidth = self._bandwidth.get(ip)
+            if bandwidth and data and source != target:
+                departs_at = max(departs_at, self._free_at.get((ip, outwards), 0.0)) + len(data) / bandwidth
+                self._free_at[ip, outwards] = departs_at
+        return departs_at
 
-    def later(
+    def call_later(
         self, seconds: float, callback: Callable[[*Arguments], object], *args: *Arguments
     ) -> asyncio.TimerHandle:
         """A timer of the world, which no process can hold."""
@@ -351,8 +353,8 @@
         Raises `ConnectionRefusedError` where nobody listens.
         """
         ip = address[0]
-        while not (self.open(execution.ip, ip) and self.open(ip, execution.ip)):  # noqa: ASYNC110 -- virtual time
-            await asyncio.sleep(CONNECT_AGAIN_S)
+        while not (self.is_open(execution.ip, ip) and self.is_open(ip, execution.ip)):  # noqa: ASYNC110 -- virtual time
+            await asyncio.sleep(CONNECT_RETRY_S)
         await asyncio.sleep(self.delay(execution.ip, ip) + self.delay(ip, execution.ip))
         listening = self._listening.get(address)
         if listening is None or listening.execution.ended:
@@ -375,18 +377,18 @@
             return
         end.protocol.connection_made(end)
 
-    def forget(self, end: Connection) -> None:
+    def remove(self, end: Connection) -> None:
         """An end is closed."""
         self._ends.pop(end, None)
 
-    def end_execution(self, execution: Execution, told: bool) -> None:
-        """A process is gone; `told`: its machine goes on and closes its connections."""
+    def end_execution(self, execution: Execution, notify_peers: bool) -> None:
+        """A process is gone; `notify_peers`: its machine goes on and closes its connections."""
         for address, listening in list(self._listening.items()):
             if listening.execution is execution:
                 del self._listening[address]
         for end in list(self._ends):
             if end.execution is execution:
-                end.vanish(told)
+                end.vanish(notify_peers)
 
     def reset_some(self, ip: str, share: float) -> None:
         """Resets this share of a machine's connections."""
--- a/kestrelbend/tier/fleet/operator.py
+++ b/kestrelbend/tier/fleet/operator.py
@@ -18,11 +18,11 @@
 
 MARKER = "marker"  # the route whose prefix names the order that brought a configuration
 CALL_TIMEOUT_S = 1.0
-BACKOFF_FIRST_S = 0.1
-BACKOFF_MOST_S = 1.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
 ACK_S = 4.0  # AckMs
 GIVE_UP_S = 14.0
-FINAL = (400, 409, 412, 413, 422)
+FINAL_STATUSES = (400, 409, 412, 413, 422)
 BASE_VERSION = b"x-kestrelbend-base-version"
 READ_BACK_S = 15.0
 
@@ -39,9 +39,9 @@
     valid: bool = True
     sent_at: float = 0.0
     acknowledged_at: float | None = None
-    refused_at: float | None = None
-    unclear: bool = False
-    late: bool = False
+    rejected_at: float | None = None
+    undetermined: bool = False
+    overdue: bool = False
 
     def was_acknowledged(self, by: float) -> bool:
         """Whether it was acknowledged up to a moment, in seconds of the loop."""
@@ -85,7 +85,7 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.orders: dict[int, Order] = {}
-        self.lost_acknowledgements = 0.0  # the share of answers that get lost
+        self.acknowledgement_loss = 0.0  # the share of answers that get lost
         self.acknowledged_by: str = ""  # the machine that acknowledged last
         self.version = 0  # the newest that is known to be in force
         self._random = random.Random(f"operator {fleet.seed}")
@@ -158,8 +158,8 @@
     async def send_everywhere(self, order: Order) -> None:
         """Sends an order to every control node without an answer, and then until one comes."""
         order.sent_at = order.sent_at or self.fleet.now()
-        order.unclear = True
-        addresses = list(self.fleet.known_control_list())
+        order.undetermined = True
+        addresses = list(self.fleet.published_control_addresses())
         self._random.shuffle(addresses)
         for address in addresses:
             await self._call(address, order)
@@ -169,19 +169,19 @@
         """Sends an order until it is answered, to another node after each failure."""
         order.sent_at = order.sent_at or self.fleet.now()
         begun = self.fleet.now()
-        backoff = BACKOFF_FIRST_S
+        backoff = INITIAL_BACKOFF_S
         for address in self._addresses():
             reply = await self._call(address, order)
-            if isinstance(reply, Reply) and (reply.status == 200 or reply.status in FINAL):
+            if isinstance(reply, Reply) and (reply.status == 200 or reply.status in FINAL_STATUSES):
                 self._answered(order, reply, address)
                 return order
-            order.unclear = True
+            order.undetermined = True
             self._check_time(order, begun)
             if self.fleet.now() - begun > GIVE_UP_S:
-                self.fleet.note(f"{order} is given up")
+                self.fleet.log(f"{order} is given up")
                 return order
             await asyncio.sleep(backoff * self._random.uniform(0.7, 1.3))
-            backoff = min(2 * backoff, BACKOFF_MOST_S)
+            backoff = min(2 * backoff, MAX_BACKOFF_S)
         return order
 
     async def _call(self, address: str, order: Order) -> Reply | Failure:
@@ -190,54 +190,54 @@
         requested_at = self.fleet.now()
         reply = await self.fleet.http.call(address, "POST", path, headers, order.body, CALL_TIMEOUT_S)
         check_contact(self.fleet, address, requested_at, reply)
-        if self._random.random() < self.lost_acknowledgements:
-            return Failure.SILENT
+        if self._random.random() < self.acknowledgement_loss:
+            return Failure.NO_ANSWER
         return reply
 
     def _addresses(self) -> Iterator[str]:
         """Control addresses without end, in any order; those of now come in with the platform's list."""
         while True:
-            addresses = list(self.fleet.known_control_list())
+            addresses = list(self.fleet.published_control_addresses())
             self._random.shuffle(addresses)
             yield from addresses
 
     def _check_time(self, order: Order, begun: float) -> None:
         stable_since = max(begun, self.fleet.contact.core_stable_since())
         late = self.fleet.now() - stable_since > ACK_S
-        if late and order.valid and not order.late and not self.lost_acknowledgements:
-            order.late = True
-            self.fleet.broken(f"{order} has no answer after AckMs with a stable core")
+        if late and order.valid and not order.overdue and not self.acknowledgement_loss:
+            order.overdue = True
+            self.fleet.report_violation(f"{order} has no answer after AckMs with a stable core")
 
     def _answered(self, order: Order, reply: Reply, address: str) -> None:
         if reply.status == 200:
             self._acknowledged(order, address)
         else:
-            self._refused(order, reply)
+            self._rejected(order, reply)
 
     def _acknowledged(self, order: Order, address: str) -> None:
         now = self.fleet.now()
-        self.fleet.note(f"{order} is acknowledged")
+        self.fleet.log(f"{order} is acknowledged")
         self.acknowledged_by = address.partition(":")[0]
         if not order.valid:
-            self.fleet.broken(f"{order} is invalid and acknowledged")
-        if order.refused_at is not None:
-            self.fleet.broken(f"{order} was refused and then acknowledged")
+            self.fleet.report_violation(f"{order} is invalid and acknowledged")
+        if order.rejected_at is not None:
+            self.fleet.report_violation(f"{order} was refused and then acknowledged")
         if order.acknowledged_at is None:
             order.acknowledged_at = now
         for other in self.orders.values():
             if other is not order and other.acknowledged_at is not None and other.base == order.base:
-                self.fleet.broken(f"{order} and {other} are both acknowledged")
+                self.fleet.report_violation(f"{order} and {other} are both acknowledged")
         self.version = max(self.version, order.version)
 
-    def _refused(self, order: Order, reply: Reply) -> None:
-        self.fleet.note(f"{order} is refused with {reply.status}: {reply.body.decode()[:80]}")
-        order.refused_at = self.fleet.now()
+    def _rejected(self, order: Order, reply: Reply) -> None:
+        self.fleet.log(f"{order} is refused with {reply.status}: {reply.body.decode()[:80]}")
+        order.rejected_at = self.fleet.now()
         if not order.valid:
             return
         if order.acknowledged_at is not None and self.newest_acknowledged() is order:
-            self.fleet.broken(f"{order} was acknowledged and is refused with {reply.status}")
+            self.fleet.report_violation(f"{order} was acknowledged and is refused with {reply.status}")
         elif order.acknowledged_at is None and not self.rivals_of(order):
-            self.fleet.broken(f"{order} is refused with {reply.status}, and nothing else was sent")
+            self.fleet.report_violation(f"{order} is refused with {reply.status}, and nothing else was sent")
 
     def rivals_of(self, order: Order) -> list[Order]:
         """Other changes that may have been taken on the same version or a later one."""
@@ -247,21 +247,23 @@
     async def retire(self, node: str, within: float) -> bool:
         """Asks for a storage machine to be emptied; whether it may be taken away."""
         body = json.dumps({"DeadlineS": within}).encode()
-        reply = await self._until_clear("POST", f"/api/Retire.Start/{node}", body, ACK_S)
-        self.fleet.note(f"retire {node}: {reply and reply.status}")
+        reply = await self._call_until_determined("POST", f"/api/Retire.Start/{node}", body, ACK_S)
+        self.fleet.log(f"retire {node}: {reply and reply.status}")
         if reply is None or reply.status != 200:
             return False
         ends = self.fleet.now() + within
         while self.fleet.now() < ends:
-            reply = await self._until_clear("GET", f"/api/Retire.Get/{node}", b"", ACK_S)
+            reply = await self._call_until_determined("GET", f"/api/Retire.Get/{node}", b"", ACK_S)
             if reply is not None and reply.status == 200 and json.loads(reply.body)["State"] == "complete":
                 check_emptied(self.fleet, node)
                 return True
             await asyncio.sleep(0.3)
-        self.fleet.broken(f"{node} is not emptied within {within:.0f} s")
+        self.fleet.report_violation(f"{node} is not emptied within {within:.0f} s")
         return False
 
-    async def _until_clear(self, method: str, path: str, body: bytes, within: float) -> Reply | None:
+    async def _call_until_determined(
+        self, method: str, path: str, body: bytes, within: float
+    ) -> Reply | None:
         ends = self.fleet.now() + within
         for address in self._addresses():
             requested_at = self.fleet.now()
@@ -271,7 +273,7 @@
                 return reply
             if self.fleet.now() > ends:
                 return None
-            await asyncio.sleep(BACKOFF_FIRST_S)
+            await asyncio.sleep(INITIAL_BACKOFF_S)
         return None
 
     # What must be in force
@@ -309,10 +311,10 @@
         document = await self.read()
         if document is None:
             if newest is not None:
-                self.fleet.broken("the configuration can't be read back")
+                self.fleet.report_violation("the configuration can't be read back")
             return
         if newest is not None and document["Ver"] < newest.version:
-            self.fleet.broken(f"version {document['Ver']} is read back, {newest} was acknowledged")
+            self.fleet.report_violation(f"version {document['Ver']} is read back, {newest} was acknowledged")
         self.check_in_force(document["Ver"], order_number(document["Routes"]), "read back")
         self.learn(document["Ver"])
 
@@ -320,11 +322,11 @@
         """A configuration that was refused, or that nobody sent, must not be in force."""
         order = self.orders.get(number)
         if order is None or order.version != version:
-            self.fleet.broken(f"{where}: version {version} with the routes of order {number}")
+            self.fleet.report_violation(f"{where}: version {version} with the routes of order {number}")
         elif not order.valid:
-            self.fleet.broken(f"{where}: {order} is invalid and in force")
-        elif order.refused_at is not None and order.acknowledged_at is None:
-            self.fleet.broken(f"{where}: {order} was refused and is in force")
+            self.fleet.report_violation(f"{where}: {order} is invalid and in force")
+        elif order.rejected_at is not None and order.acknowledged_at is None:
+            self.fleet.report_violation(f"{where}: {order} was refused and is in force")
 
 
 def order_number(routes: list[Json]) -> int:
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -26,9 +26,9 @@
 EVENT_S = 0.03
 DEADLINE_S = 4.0
 RESERVE_BOUND_S = 1.0  # in touch, a reservation is answered within this
-AGAIN_S = (0.1, 0.4)
-TRIES = 5
-MOST_TURNS = 8
+RETRY_BACKOFF_S = (0.1, 0.4)
+MAX_ATTEMPTS = 5
+MAX_TURNS = 8
 SETTLE_S = 1.0  # SettleMs
 POLL_S = 0.25
 
@@ -38,35 +38,35 @@
     """One try of a turn at one gateway."""
 
     reservation: str
-    most: int
+    max_tokens: int
     gateway: str
-    life: Execution  # of the gateway's process
+    execution: Execution  # of the gateway's process
     verdict: Verdict | None = None
     requested_at: float = 0.0
     answered_at: float | None = None
-    handed: int = 0
-    ended_whole_at: float | None = None
-    given_up: bool = False
-    over: asyncio.Event = attrs.field(factory=asyncio.Event)  # its client has a whole answer
+    delivered_tokens: int = 0
+    completed_at: float | None = None
+    abandoned: bool = False
+    finished: asyncio.Event = attrs.field(factory=asyncio.Event)  # its client has a whole answer
 
     @property
-    def refused(self) -> bool:
+    def rejected(self) -> bool:
         """Nothing ran, and the client was told so."""
         return self.verdict is not None and self.verdict != Verdict.ADMITTED
 
     def counts(self, now: float) -> int:
         """The tokens that may count against the program when it is refused."""
-        if self.refused:
+        if self.rejected:
             settled = self.answered_at is not None and now - self.answered_at >= SETTLE_S
-            return 0 if settled else self.most
-        ended_at = self.ended_whole_at
+            return 0 if settled else self.max_tokens
+        ended_at = self.completed_at
         if ended_at is None or now - ended_at < SETTLE_S or self._settlement_lost(ended_at):
-            return self.most
-        return self.handed
+            return self.max_tokens
+        return self.delivered_tokens
 
     def _settlement_lost(self, turn_ended_at: float) -> bool:
         """The gateway ended so soon after the turn that its word of it may have gone with it."""
-        ended_at = self.life.ended_at
+        ended_at = self.execution.ended_at
         return ended_at is not None and ended_at - turn_ended_at < SETTLE_S
 
 
@@ -79,58 +79,58 @@
         self.name = name
         self.budget = budget
         self.turns = turns
-        self.tries: list[Turn] = []
+        self.attempts: list[Turn] = []
         self.failed = False
         self._random = random.Random(f"program {name} {self._fleet.seed}")
 
     @property
-    def handed(self) -> int:
+    def delivered_tokens(self) -> int:
         """Tokens that its clients have received."""
-        return sum(turn.handed for turn in self.tries)
+        return sum(turn.delivered_tokens for turn in self.attempts)
 
     async def run(self, session: str = "main") -> None:
         """All turns of a session; each is tried anew a few times."""
         for number in range(self.turns):
-            most = STRIDE * self._random.randint(2, 9)
-            if not await self._take_turn(session, number, most):
+            max_tokens = STRIDE * self._random.randint(2, 9)
+            if not await self._take_turn(session, number, max_tokens):
                 return
             await asyncio.sleep(self._random.uniform(0.02, 0.2))
 
-    async def _take_turn(self, session: str, number: int, most: int) -> bool:
-        for attempt in range(TRIES):
-            turn = await self._try(session, number, f"{session}-{number}-{attempt}", most)
-            if turn is not None and turn.ended_whole_at is not None:
+    async def _take_turn(self, session: str, number: int, max_tokens: int) -> bool:
+        for attempt in range(MAX_ATTEMPTS):
+            turn = await self._attempt(session, number, f"{session}-{number}-{attempt}", max_tokens)
+            if turn is not None and turn.completed_at is not None:
                 return True
             if turn is not None and turn.verdict == Verdict.SPENT:
                 return False
-            await asyncio.sleep(self._random.uniform(*AGAIN_S) * (1 + attempt))
+            await asyncio.sleep(self._random.uniform(*RETRY_BACKOFF_S) * (1 + attempt))
         self.failed = True
         return False
 
-    async def _try(self, session: str, number: int, name: str, most: int) -> Turn | None:
+    async def _attempt(self, session: str, number: int, name: str, max_tokens: int) -> Turn | None:
         gateways = self._programs.gateways()
         if not gateways:
             return None
         gateway = self._random.choice(gateways)
-        turn = Turn(f"{self.name}-{name}", most, gateway.machine.name, gateway.current())
+        turn = Turn(f"{self.name}-{name}", max_tokens, gateway.machine.name, gateway.current())
         turn.requested_at = self._fleet.now()
-        self.tries.append(turn)
-        reserve = Reserve(self.name, session, turn.reservation, number, most, self.budget, True)
-        life = gateway.current()
+        self.attempts.append(turn)
+        reserve = Reserve(self.name, session, turn.reservation, number, max_tokens, self.budget, True)
+        execution = gateway.current()
         serve = functools.partial(self._serve, gateway.gateway.budgets, turn, reserve)
-        self._fleet.loop.call_soon(_begin, self._fleet.loop, serve, context=life.context)
+        self._fleet.loop.call_soon(_begin, self._fleet.loop, serve, context=execution.context)
         ends = self._fleet.now() + DEADLINE_S
-        while not life.ended and not turn.over.is_set() and self._fleet.now() < ends:
-            self._programs.check_silent(gateway, turn)
-            await _wait(turn.over, POLL_S)
-        turn.given_up = turn.ended_whole_at is None and not turn.refused
+        while not execution.ended and not turn.finished.is_set() and self._fleet.now() < ends:
+            self._programs.check_answered(gateway, turn)
+            await _wait(turn.finished, POLL_S)
+        turn.abandoned = turn.completed_at is None and not turn.rejected
         return turn
 
     async def _serve(self, budgets: GatewayBudgets, turn: Turn, reserve: Reserve) -> None:
         """What the gateway does with the turn; runs as a part of its process."""
         reserve = attrs.evolve(reserve, reservation=budgets.reservation_name(turn.reservation))
         turn.reservation = reserve.reservation
-        if budgets.spent_locally(self.name, turn.most, self.budget):
+        if budgets.spent_locally(self.name, turn.max_tokens, self.budget):
             verdict = Verdict.SPENT
         else:
             outcome = await budgets.reserve("model", reserve)
@@ -139,32 +139,34 @@
         turn.verdict = verdict
         self._programs.admitted += verdict == Verdict.ADMITTED
         if verdict == Verdict.SPENT:
-            self._check_refusal(turn)
+            self._check_rejection(turn)
         if verdict != Verdict.ADMITTED:
-            turn.over.set()
+            turn.finished.set()
             return
-        while turn.handed < turn.most and not turn.given_up:
+        while turn.delivered_tokens < turn.max_tokens and not turn.abandoned:
             await asyncio.sleep(EVENT_S)
-            if turn.given_up:
+            if turn.abandoned:
                 break
-            turn.handed += STRIDE
-            if self.handed > self.budget:
-                self._fleet.broken(f"{self.name} has got {self.handed} tokens of {self.budget}")
+            turn.delivered_tokens += STRIDE
+            if self.delivered_tokens > self.budget:
+                self._fleet.report_violation(
+                    f"{self.name} has got {self.delivered_tokens} tokens of {self.budget}"
+                )
             if self._random.random() < 0.1:
                 break
-        whole = not turn.given_up
-        if whole:
-            turn.ended_whole_at = self._fleet.now()
-            turn.over.set()
-        end = TurnEnd.COMPLETE if whole else TurnEnd.BROKEN_OFF
-        budgets.settle("model", Settlement(self.name, turn.reservation, turn.handed, int(end)))
-
-    def _check_refusal(self, turn: Turn) -> None:
+        complete = not turn.abandoned
+        if complete:
+            turn.completed_at = self._fleet.now()
+            turn.finished.set()
+        end = TurnEnd.COMPLETE if complete else TurnEnd.BROKEN_OFF
+        budgets.settle("model", Settlement(self.name, turn.reservation, turn.delivered_tokens, int(end)))
+
+    def _check_rejection(self, turn: Turn) -> None:
         now = self._fleet.now()
-        counted = sum(other.counts(now) for other in self.tries if other is not turn)
-        if counted + turn.most <= self.budget:
-            self._programs.false_refusals.append(turn)
-            self._fleet.broken(
+        counted = sum(other.counts(now) for other in self.attempts if other is not turn)
+        if counted + turn.max_tokens <= self.budget:
+            self._programs.false_rejections.append(turn)
+            self._fleet.report_violation(
                 f"{self.name} is refused as spent with at most {counted} of {self.budget} used"
             )
 
@@ -187,35 +189,35 @@
         self.fleet = fleet
         self.all: dict[str, Program] = {}
         self.admitted = 0
-        self.false_refusals: list[Turn] = []
+        self.false_rejections: list[Turn] = []
         self._random = random.Random(f"programs {fleet.seed}")
-        self._silent_told: set[str] = set()
+        self._reported: set[str] = set()
 
     def gateways(self) -> list[Process]:
         """Gateways that clients are sent to."""
         return [gateway for gateway in self.fleet.processes("gateway") if gateway.gateway.lifecycle.ready]
 
-    def begin(self, most_turns: int = MOST_TURNS) -> asyncio.Task[None]:
+    def begin(self, max_turns: int = MAX_TURNS) -> asyncio.Task[None]:
         """One more program."""
         name = f"program-{len(self.all) + 1}"
         budget = STRIDE * self._random.randint(8, 60)
-        program = Program(self, name, budget, self._random.randint(2, most_turns))
+        program = Program(self, name, budget, self._random.randint(2, max_turns))
         self.all[name] = program
         return asyncio.create_task(program.run())
 
-    async def begin_twice(self) -> None:
+    async def begin_in_two_sessions(self) -> None:
         """One program whose turns go through two gateways at once."""
-        program = Program(self, f"program-{len(self.all) + 1}", STRIDE * 40, MOST_TURNS)
+        program = Program(self, f"program-{len(self.all) + 1}", STRIDE * 40, MAX_TURNS)
         self.all[program.name] = program
         await asyncio.gather(program.run("a"), program.run("b"))
 
-    def check_silent(self, gateway: Process, turn: Turn) -> None:
+    def check_answered(self, gateway: Process, turn: Turn) -> None:
         """In touch, a reservation is answered within a second."""
-        if turn.answered_at is not None or turn.reservation in self._silent_told:
+        if turn.answered_at is not None or turn.reservation in self._reported:
             return
-        since = max(turn.requested_at, self.fleet.contact.in_touch_since(gateway.machine.name))
+        since = max(turn.requested_at, self.fleet.contact.in_contact_since(gateway.machine.name))
         if self.fleet.now() - since > RESERVE_BOUND_S:
-            self._silent_told.add(turn.reservation)
-            self.fleet.broken(
+            self._reported.add(turn.reservation)
+            self.fleet.report_violation(
                 f"{turn.reservation} waits at {turn.gateway} for its reservation in a calm time"
             )
--- a/kestrelbend/tier/fleet/rules/calm.py
+++ b/kestrelbend/tier/fleet/rules/calm.py
@@ -40,7 +40,7 @@
         self._check_members()
         order = await self._operator.change()
         if order.acknowledged_at is None and not self._operator.rivals_of(order):
-            self._fleet.broken(f"{order} is not taken in a calm time")
+            self._fleet.report_violation(f"{order} is not taken in a calm time")
         await self._operator.read_back()
         await self._check_reservations()
         self._check_replicas()
@@ -50,16 +50,16 @@
         for machine in self._fleet.machines.values():
             for process in machine.processes.values():
                 if not process.running:
-                    self._fleet.broken(f"{process.name} does not run at the end")
+                    self._fleet.report_violation(f"{process.name} does not run at the end")
 
     def _check_gateway(self, process: Process, now: float) -> None:
         if not process.gateway.lifecycle.ready:
-            self._fleet.broken(f"{process.name} is not ready in a calm time")
+            self._fleet.report_violation(f"{process.name} is not ready in a calm time")
         for backend in self._backends.ready():
             known = process.gateway.view.ready(backend.service)
-            old = now - backend.began_at > BACKEND_KNOWN_S
+            old = now - backend.started_at > BACKEND_KNOWN_S
             if old and all(one.identity != backend.identity for one in known):
-                self._fleet.broken(f"{process.name} does not know {backend.identity}")
+                self._fleet.report_violation(f"{process.name} does not know {backend.identity}")
 
     def _check_members(self) -> None:
         """Every control node knows every process that runs."""
@@ -68,16 +68,16 @@
             known = {member.address for member in process.control.members.members(self._fleet.now())}
             for other in running:
                 if other.address not in known:
-                    self._fleet.broken(f"{process.name} takes {other.name} for gone")
+                    self._fleet.report_violation(f"{process.name} takes {other.name} for gone")
 
     async def _check_reservations(self) -> None:
         """The turns of new programs get a verdict."""
-        runs = [self._programs.begin(most_turns=2) for _ in range(LAST_PROGRAMS)]
+        runs = [self._programs.begin(max_turns=2) for _ in range(LAST_PROGRAMS)]
         await asyncio.wait(runs)
         for program in list(self._programs.all.values())[-LAST_PROGRAMS:]:
-            if any(turn.verdict not in (Verdict.ADMITTED, Verdict.SPENT) for turn in program.tries):
-                verdicts = [(turn.gateway, turn.verdict) for turn in program.tries]
-                self._fleet.broken(f"{program.name} is not served in a calm time: {verdicts}")
+            if any(turn.verdict not in (Verdict.ADMITTED, Verdict.SPENT) for turn in program.attempts):
+                verdicts = [(turn.gateway, turn.verdict) for turn in program.attempts]
+                self._fleet.report_violation(f"{program.name} is not served in a calm time: {verdicts}")
 
     def _check_replicas(self) -> None:
         """Replicas that have applied the same number of entries hold the same state."""
@@ -88,13 +88,13 @@
                 state = process.state_machine(replica.shard).snapshot()
                 other, known = states.setdefault(key, (process.name, state))
                 if known != state:
-                    self._fleet.broken(f"{process.name} and {other} differ at {key}")
+                    self._fleet.report_violation(f"{process.name} and {other} differ at {key}")
 
     def _check_counters(self) -> None:
         """The owners' counters hold all that was handed out, and know each turn that was admitted."""
         owners = self._owners()
         if len(owners) != BUDGET_SHARDS + 1:
-            self._fleet.broken(f"shards without an owner at the end; owned are {sorted(owners)}")
+            self._fleet.report_violation(f"shards without an owner at the end; owned are {sorted(owners)}")
             return
         for program in self._programs.all.values():
             shard = shard_of(program.name, BUDGET_SHARDS)
@@ -110,10 +110,12 @@
         return owners
 
     def _check_program(self, program: Program, counter: ProgramBudget) -> None:
-        if counter.total < program.handed:
-            self._fleet.broken(f"{program.name} has got {program.handed}, its counter says {counter.total}")
-        for turn in program.tries:
+        if counter.total < program.delivered_tokens:
+            self._fleet.report_violation(
+                f"{program.name} has got {program.delivered_tokens}, its counter says {counter.total}"
+            )
+        for turn in program.attempts:
             if turn.verdict != Verdict.ADMITTED:
                 continue
             if turn.reservation not in counter.open_turns and turn.reservation not in counter.closed:
-                self._fleet.broken(f"{turn.reservation} was admitted and is not recorded")
+                self._fleet.report_violation(f"{turn.reservation} was admitted and is not recorded")
--- a/kestrelbend/tier/fleet/rules/contact.py
+++ b/kestrelbend/tier/fleet/rules/contact.py
@@ -25,7 +25,7 @@
             return
         now = self._fleet.now()
         replica = configuration.replica
-        cut_off = self._fleet.is_cut_off(process.machine.place.ip, now - CONTACT_S - SLACK_S)
+        cut_off = self._fleet.is_partitioned(process.machine.spec.ip, now - CONTACT_S - SLACK_S)
         if cut_off and in_contact(replica, now):
             self._violations.report(
                 f"contact {process.name}", f"{process.name} is cut off and claims contact"
--- a/kestrelbend/tier/fleet/rules/gateways.py
+++ b/kestrelbend/tier/fleet/rules/gateways.py
@@ -29,7 +29,7 @@
         version = 0 if table is None else table.version
         before = self._in_force.get(process.current(), 0)
         if version < before:
-            self._fleet.broken(f"{process.name} goes back from version {before} to {version}")
+            self._fleet.report_violation(f"{process.name} goes back from version {before} to {version}")
         if table is not None and version != before:
             self._in_force[process.current()] = version
             self._operator.check_in_force(version, _order_number(table), process.name)
@@ -37,7 +37,7 @@
 
     def _check_age(self, process: Process, version: int) -> None:
         now = self._fleet.now()
-        since = self._fleet.contact.in_touch_since(process.machine.name)
+        since = self._fleet.contact.in_contact_since(process.machine.name)
         if since > now or not process.gateway.lifecycle.ready:
             return
         required = self._operator.required_version(now - CONFIG_S)
--- a/kestrelbend/tier/fleet/rules/groups.py
+++ b/kestrelbend/tier/fleet/rules/groups.py
@@ -50,7 +50,7 @@
 
     def check_groups(self) -> None:
         """`CatchupS` after a fault the next machine may be lost: by then each group is complete and live."""
-        if self._fleet.now() < self._fleet.contact.core_quiet_since() + CATCH_UP_S:
+        if self._fleet.now() < self._fleet.contact.core_fault_free_since() + CATCH_UP_S:
             return
         processes = replica_processes(self._fleet)
         live = {process.host.identity for process in processes}
@@ -70,7 +70,7 @@
         if now < self._recorded_at + LAG_S:
             return
         processes = replica_processes(self._fleet)
-        if self._fleet.contact.core_quiet_since() + CATCH_UP_S < self._recorded_at:
+        if self._fleet.contact.core_fault_free_since() + CATCH_UP_S < self._recorded_at:
             for process in processes:
                 self._check_lag(process)
         self._recorded_at = now
--- a/kestrelbend/tier/fleet/rules/violations.py
+++ b/kestrelbend/tier/fleet/rules/violations.py
@@ -16,4 +16,4 @@
         """Reports a broken rule in words; `key` says which one, and of whom."""
         if key not in self._reported:
             self._reported.add(key)
-            self._fleet.broken(rule)
+            self._fleet.report_violation(rule)
--- a/kestrelbend/tier/fleet/settings.py
+++ b/kestrelbend/tier/fleet/settings.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Place:
+class MachineSpec:
     """Where a machine stands and what it has."""
 
     node: str
@@ -31,34 +31,34 @@
         return f"{self.ip}:{CONTROL_PORT}"
 
 
-def settings_of(
-    place: Place, role: str, seeds: tuple[str, ...], bootstrap: bool, zones: Iterable[str]
+def make_settings(
+    spec: MachineSpec, role: str, seeds: tuple[str, ...], bootstrap: bool, zones: Iterable[str]
 ) -> Settings:
     """What a process of a role is told on a machine."""
     serves = ROLES_SERVE[role]
     return Settings(
-        node=place.node,
+        node=spec.node,
         role=role,
-        machine_class=place.machine_class,
+        machine_class=spec.machine_class,
         serves=serves,
-        ip=place.ip,
-        zone=place.zone,
+        ip=spec.ip,
+        zone=spec.zone,
         region="region",
         zones=dict.fromkeys(zones, "region"),
-        listen_clients=f"{place.ip}:{FRONT_PORT}" if "front" in serves else "",
-        listen_ready=f"{place.ip}:{READY_PORT}" if "front" in serves else "",
-        listen_control=f"{place.ip}:{CONTROL_PORT}" if "control" in serves else "",
+        listen_clients=f"{spec.ip}:{FRONT_PORT}" if "front" in serves else "",
+        listen_ready=f"{spec.ip}:{READY_PORT}" if "front" in serves else "",
+        listen_control=f"{spec.ip}:{CONTROL_PORT}" if "control" in serves else "",
         port_range=PORT_RANGE,
         seeds=seeds,
         bootstrap=bootstrap,
-        counts_for_quorum=place.has_disk,
+        counts_for_quorum=spec.has_disk,
         cpu_share=1.0,
         cores=2,
         ram_mb=300,
         max_fds=4100,
         link_mbps=1000.0,
-        disk_mb=(64 if place.machine_class == "front" else 260) if place.has_disk else 0,
-        data_dir=f"/data/{role}" if place.has_disk else "",
+        disk_mb=(64 if spec.machine_class == "front" else 260) if spec.has_disk else 0,
+        data_dir=f"/data/{role}" if spec.has_disk else "",
         heartbeat_ms=1200,
         contracts=(),
         tolerate_nodes=1,
--- a/kestrelbend/tier/fleet/watch.py
+++ b/kestrelbend/tier/fleet/watch.py
@@ -51,7 +51,7 @@
         drained = self._gateways.drained_backends()
         for process in self._fleet.processes("gateway"):
             self._gateways.check_configuration(process)
-            if self._fleet.contact.in_touch(process.machine.name):
+            if self._fleet.contact.in_contact(process.machine.name):
                 self._gateways.check_backends(process, drained)
 
     async def check_calm(self) -> None:
--- a/kestrelbend/tier/fleet/world.py
+++ b/kestrelbend/tier/fleet/world.py
@@ -38,7 +38,7 @@
         await self.operator.change()
         while len(self.programs.gateways()) < len(self.fleet.processes("gateway")):
             if self.fleet.now() > READY_S:
-                self.fleet.broken("not all gateways are ready when traffic begins")
+                self.fleet.report_violation("not all gateways are ready when traffic begins")
                 return
             await asyncio.sleep(0.1)
         await asyncio.sleep(OWNERS_S)
@@ -58,7 +58,7 @@
         """After a calm time all is served again, and everything acknowledged is there."""
         if self._traffic is not None:
             self._traffic.cancel()
-        since = max([self.fleet.contact.in_touch_since(name) for name in self.fleet.machines])
+        since = max([self.fleet.contact.in_contact_since(name) for name in self.fleet.machines])
         await asyncio.sleep(max(0.0, min(since, self.fleet.now() + 30.0) - self.fleet.now()) + 0.5)
         if self._running:
             await asyncio.wait(self._running, timeout=15.0)
--- a/tests/tier/fleet_story.py
+++ b/tests/tier/fleet_story.py
@@ -21,7 +21,7 @@
     def tell(self, story, seeds=(1,), size=None):
         for seed in seeds:
             world = play(story, seed, size)
-            self.assertEqual([], world.fleet.failures, "\n".join(world.fleet.notes[-40:]))
+            self.assertEqual([], world.fleet.violations, "\n".join(world.fleet.log_lines[-40:]))
 
     def tell_kind(self, name, seeds=(1, 2)):
         async def story(world):
--- a/tests/tier/test_fleet_placement.py
+++ b/tests/tier/test_fleet_placement.py
@@ -62,7 +62,7 @@
 
 async def call(world, machine, method, path, body=b""):
     """One call of the operator at one control node; its status and body, or None."""
-    address = machine.place.control_address
+    address = machine.spec.control_address
     reply = await world.fleet.http.call(address, method, path, (), body, 1.0)
     return reply if isinstance(reply, Reply) else None
 
@@ -78,7 +78,7 @@
                 told.append((json.loads(reply.body)["State"], held))
             await asyncio.sleep(POLL_S)
 
-    await asyncio.gather(*(ask(machine) for machine in world.fleet.core()))
+    await asyncio.gather(*(ask(machine) for machine in world.fleet.control_machines()))
 
 
 def holders_or_none(world, shard):
@@ -99,13 +99,13 @@
             self.assertIn(replica, {voter for shard in budget_shards() for voter in holders(world, shard)})
             begun = [
                 call(world, machine, "POST", f"/api/Retire.Start/{leaving.name}", START)
-                for machine in world.fleet.core()
+                for machine in world.fleet.control_machines()
             ]
             replies = await asyncio.gather(*begun)
             self.assertIn(200, [reply.status for reply in replies if reply is not None])
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 world.fleet.kill(machine, "control")
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 world.fleet.start(machine)
             told = []
             asking = asyncio.create_task(ask_all_the_time(world, leaving.name, told))
@@ -127,14 +127,14 @@
             await asyncio.sleep(CATCHUP_S)
             down = world.fleet.stores()[0]
             world.fleet.kill(down)
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 world.fleet.kill(machine, "control")
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 world.fleet.start(machine)
             statuses = []
             ends = world.fleet.now() + 4.0
             while 200 not in statuses and world.fleet.now() < ends:
-                for machine in world.fleet.core():
+                for machine in world.fleet.control_machines():
                     reply = await call(world, machine, "POST", f"/api/Retire.Start/{down.name}", START)
                     statuses.append(reply.status if reply is not None else 503)
                 await asyncio.sleep(POLL_S)
@@ -146,15 +146,17 @@
 
     def test_given_a_name_that_no_store_ever_had_then_it_is_unknown_only_by_an_owner_of_some_time(self):
         async def story(world):
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 reply = await call(world, machine, "POST", "/api/Retire.Start/nobody", START)
                 self.assertEqual(404, reply.status)
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 world.fleet.kill(machine, "control")
                 world.fleet.start(machine)
             begun = world.fleet.now()
             while world.fleet.now() < begun + 1.8:
-                reply = await call(world, world.fleet.core()[0], "POST", "/api/Retire.Start/nobody", START)
+                reply = await call(
+                    world, world.fleet.control_machines()[0], "POST", "/api/Retire.Start/nobody", START
+                )
                 self.assertTrue(reply is None or reply.status == 503, reply)
 
         self.tell(story)
@@ -170,14 +172,14 @@
     def test_given_a_core_node_silent_for_long_then_the_order_that_would_leave_too_few_is_refused(self):
         async def story(world):
             store = world.fleet.stores()[0]
-            silent = world.fleet.core()[-1]
+            silent = world.fleet.control_machines()[-1]
             world.fleet.kill(silent)
             begun = world.fleet.now()
             told = {}
             while world.fleet.now() < begun + SHORT_FAULT_S + 3.0 and 409 not in told:
                 asked = f"/api/Retire.Start/{store.name}"
                 if world.fleet.now() > begun + SHORT_FAULT_S + 1.0:
-                    reply = await call(world, world.fleet.core()[0], "POST", asked, START)
+                    reply = await call(world, world.fleet.control_machines()[0], "POST", asked, START)
                     told.setdefault(reply.status, world.fleet.now() - begun)
                 await asyncio.sleep(1.0)
             world.fleet.start(silent)
@@ -231,10 +233,10 @@
     def test_given_the_owner_of_the_configuration_cut_off(self):
         async def cut(world, other, rng):
             owner = owner_machine(world)
-            others = [machine for machine in world.fleet.counted() if machine is not owner]
-            world.fleet.cut(owner, others)
+            others = [machine for machine in world.fleet.quorum_machines() if machine is not owner]
+            world.fleet.partition(owner, others)
             await asyncio.sleep(4.0)
-            world.fleet.join(owner, others)
+            world.fleet.heal(owner, others)
 
         self.beside(cut)
 
@@ -250,7 +252,9 @@
             await asyncio.sleep(CATCHUP_S)
             again = leaving.processes["store"].instance.replica_id
             self.assertNotIn(again, {voter for shard in SHARDS for voter in holders(world, shard)})
-            reply = await call(world, world.fleet.core()[0], "GET", f"/api/Retire.Get/{leaving.name}")
+            reply = await call(
+                world, world.fleet.control_machines()[0], "GET", f"/api/Retire.Get/{leaving.name}"
+            )
             self.assertEqual("complete", json.loads(reply.body)["State"])
 
         self.tell(story)
@@ -260,7 +264,7 @@
     def test_given_too_few_disks_when_they_come_late_then_budgets_are_founded_on_a_whole_group(self):
         async def story(loop):
             world = World(loop, 1, Size(control=3, stores=0, gateways=0))
-            *early, late = world.fleet.core()
+            *early, late = world.fleet.control_machines()
             for machine in early:
                 machine.start(True)
             await asyncio.sleep(8.0)
@@ -283,12 +287,12 @@
             old = next(iter(old._by_sender.values()))
             leaving = world.fleet.stores()[0]
             replica = leaving.processes["store"].instance.replica_id
-            world.fleet.add_machine("storage", leaving.place.zone, True, ("store",))
+            world.fleet.add_machine("storage", leaving.spec.zone, True, ("store",))
             await asyncio.sleep(CATCHUP_S)
             self.assertTrue(await world.operator.retire(leaving.name, 20.0))
             stores = world.fleet.stores()
             for machine in stores:
-                world.fleet.cut(machine, world.fleet.core())
+                world.fleet.partition(machine, world.fleet.control_machines())
                 world.fleet.kill(machine)
                 world.fleet.start(machine)
             await asyncio.sleep(2.0)
@@ -301,7 +305,7 @@
             for shard in budget_shards():
                 self.assertNotIn(replica, holders(world, shard))
             for machine in stores:
-                world.fleet.join(machine, world.fleet.core())
+                world.fleet.heal(machine, world.fleet.control_machines())
 
         self.tell(story)
 
@@ -319,10 +323,10 @@
             await asyncio.sleep(CATCHUP_S)
             before = placement_numbers(world)
             store, owner = world.fleet.stores()[0], owner_machine(world)
-            world.fleet.cut(store, [owner])
+            world.fleet.partition(store, [owner])
             await asyncio.sleep(6.0)
             self.assertEqual(before, placement_numbers(world))
-            world.fleet.join(store, [owner])
+            world.fleet.heal(store, [owner])
 
         self.tell(story, seeds=(1, 2))
 
@@ -346,7 +350,7 @@
     """A store is gone, and a new one comes."""
     world.fleet.remove(machine)
     await asyncio.sleep(rng.uniform(0.3, 2.5))
-    world.fleet.add_machine("storage", machine.place.zone, True, ("store",))
+    world.fleet.add_machine("storage", machine.spec.zone, True, ("store",))
 
 
 async def repaired(world, machine, rng):
@@ -358,7 +362,7 @@
 
 async def replaced(world, machine, rng):
     """A store is replaced as planned."""
-    world.fleet.add_machine("storage", machine.place.zone, True, ("store",))
+    world.fleet.add_machine("storage", machine.spec.zone, True, ("store",))
     await asyncio.sleep(rng.uniform(1.0, 2.0))
     world.fleet.terminate_and_remove(machine)
     await until(lambda: machine.removed, within=10.0)
@@ -366,7 +370,7 @@
 
 async def retired(world, machine, rng):
     """A store is emptied, and gone the moment that this is told."""
-    world.fleet.add_machine("storage", machine.place.zone, True, ("store",))
+    world.fleet.add_machine("storage", machine.spec.zone, True, ("store",))
     await asyncio.sleep(rng.uniform(0.0, 2.0))
     if await world.operator.retire(machine.name, 20.0):
         world.fleet.remove(machine)
--- a/tests/tier/test_fleet_search.py
+++ b/tests/tier/test_fleet_search.py
@@ -31,13 +31,13 @@
     def test_no_day_breaks_a_rule(self):
         with multiprocessing.get_context("fork").Pool(os.cpu_count()) as pool:
             results = pool.map(play_seed, range(1, SEEDS + 1), chunksize=1)
-        broken = [f"--day {result.day}: {result.failures[0]}" for result in results if result.failures]
+        broken = [f"--day {result.day}: {result.violations[0]}" for result in results if result.violations]
         self.assertEqual([], broken)
 
     def test_a_day_goes_the_same_way_each_time(self):
         with multiprocessing.get_context("fork").Pool(2) as pool:
             first, second = pool.map(play_seed, (7, 7), chunksize=1)
-        self.assertEqual(first.notes, second.notes)
+        self.assertEqual(first.log_lines, second.log_lines)
         self.assertEqual(first.turns, second.turns)
 
     def test_a_day_is_read_as_it_is_told(self):
@@ -49,4 +49,4 @@
     def test_a_mistake_is_found(self):
         with multiprocessing.get_context("fork").Pool(1) as pool:
             result = pool.map(play_with_disks_that_forget, (1,))[0]
-        self.assertNotEqual((), result.failures)
+        self.assertNotEqual((), result.violations)
--- a/tests/tier/test_fleet_stories.py
+++ b/tests/tier/test_fleet_stories.py
@@ -7,7 +7,7 @@
 
 
 from kestrelbend.tier.fleet.fleet import Size
-from kestrelbend.tier.fleet.faults import KINDS, owner_machine, pick_counted, start_all
+from kestrelbend.tier.fleet.faults import KINDS, owner_machine, pick_quorum_machine, start_all
 from tests.tier.fleet_story import FleetStory
 
 
@@ -48,7 +48,7 @@
 
     def test_the_core_is_killed_at_once(self):
         async def story(world):
-            machines = world.fleet.core()
+            machines = world.fleet.control_machines()
             for machine in machines:
                 world.fleet.kill(machine)
             await start_all(world, random.Random(1), machines, 0.5)
@@ -69,11 +69,11 @@
     def cut_the_owner(self, one_way):
         async def story(world):
             owner = owner_machine(world)
-            others = [machine for machine in world.fleet.counted() if machine is not owner]
-            world.fleet.cut(owner, others, one_way)
+            others = [machine for machine in world.fleet.quorum_machines() if machine is not owner]
+            world.fleet.partition(owner, others, one_way)
             race = asyncio.create_task(world.operator.race())
             await asyncio.sleep(4.0)
-            world.fleet.join(owner, others)
+            world.fleet.heal(owner, others)
             await race
 
         return story
@@ -87,10 +87,10 @@
     def test_a_store_is_cut_off_while_two_gateways_reserve_for_one_program(self):
         async def story(world):
             owner = owner_machine(world, "budget-0")
-            others = [machine for machine in world.fleet.counted() if machine is not owner]
-            world.fleet.cut(owner, others)
-            await asyncio.gather(*(world.programs.begin_twice() for _ in range(6)))
-            world.fleet.join(owner, others)
+            others = [machine for machine in world.fleet.quorum_machines() if machine is not owner]
+            world.fleet.partition(owner, others)
+            await asyncio.gather(*(world.programs.begin_in_two_sessions() for _ in range(6)))
+            world.fleet.heal(owner, others)
 
         self.tell(story)
 
@@ -117,14 +117,14 @@
         async def story(world):
             old = owner_machine(world)
             if planned:
-                world.fleet.add_machine("front", old.place.zone, True, tuple(old.processes))
+                world.fleet.add_machine("front", old.spec.zone, True, tuple(old.processes))
                 await asyncio.sleep(1.0)
                 world.fleet.terminate_and_remove(old)
                 await asyncio.sleep(8.5)
                 return
             world.fleet.remove(old)
             await asyncio.sleep(1.0)
-            world.fleet.add_machine("front", old.place.zone, True, tuple(old.processes))
+            world.fleet.add_machine("front", old.spec.zone, True, tuple(old.processes))
 
         return story
 
@@ -139,7 +139,7 @@
             old = world.fleet.stores()[0]
             world.fleet.remove(old)
             await asyncio.sleep(1.0)
-            world.fleet.add_machine("storage", old.place.zone, True, ("store",))
+            world.fleet.add_machine("storage", old.spec.zone, True, ("store",))
 
         self.tell(story)
 
@@ -162,11 +162,11 @@
 class TestDisksAndClocks(FleetStory):
     def harm(self, how):
         async def story(world):
-            machine = pick_counted(world, random.Random(world.fleet.seed))
-            world.fleet.harm_disk(machine, how)
+            machine = pick_quorum_machine(world, random.Random(world.fleet.seed))
+            world.fleet.degrade_disk(machine, how)
             await world.operator.change()
             await asyncio.sleep(3.0)
-            world.fleet.mend_disk(machine)
+            world.fleet.restore_disk(machine)
 
         return story
 
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -67,16 +67,16 @@
         async def story(world):
             fleet = world.fleet
             owner = owner_machine(world, SHARD)
-            former = f"{owner.place.ip}:"
+            former = f"{owner.spec.ip}:"
             gateways = fleet.processes("gateway")
-            counted = [machine for machine in fleet.counted() if machine is not owner]
+            counted = [machine for machine in fleet.quorum_machines() if machine is not owner]
             taken = []
             for gateway in gateways:
                 self.note_replies(world, gateway.instance, taken)
-            fleet.cut(owner, counted, one_way)
+            fleet.partition(owner, counted, one_way)
             cut_at = fleet.now()
             verdicts = await self.turns(world, gateways, seconds=5.0)
-            fleet.join(owner, counted)
+            fleet.heal(owner, counted)
             joined_at = fleet.now()
             await asyncio.sleep(3.0)
             self.check(taken, former, cut_at, joined_at)
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -94,10 +94,10 @@
             observer = Observer(world, gateway)
             await asyncio.sleep(1.0)
             cut_at = fleet.now()
-            fleet.cut(machine, others, one_way)
+            fleet.partition(machine, others, one_way)
             await asyncio.sleep(CUT_S)
             joined_at = fleet.now()
-            fleet.join(machine, others)
+            fleet.heal(machine, others)
             await asyncio.sleep(READY_AGAIN_S + 1.0)
             observer.stop()
             self.check_unready(observer, gateway.name, cut_at, joined_at)
@@ -167,10 +167,10 @@
                 return reply.status
 
             before = await ask()
-            fleet.cut(machine, others, one_way)
+            fleet.partition(machine, others, one_way)
             await asyncio.sleep(UNREADY_WITHIN_S)
             during = [await ask() for _ in range(50)]
-            fleet.join(machine, others)
+            fleet.heal(machine, others)
             await asyncio.sleep(READY_AGAIN_S)
             self.assertEqual((404, {503}, 404), (before, set(during), await ask()))
 
@@ -187,12 +187,12 @@
             fleet = world.fleet
             machine = owner_machine(world)
             others = [other for other in fleet.machines.values() if other is not machine]
-            fleet.cut(machine, others)
+            fleet.partition(machine, others)
             await asyncio.sleep(UNREADY_WITHIN_S)
             fleet.kill(machine, "gateway")
             await asyncio.sleep(0.5)
             machine.start()
-            fleet.contact.end(machine.name)
+            fleet.contact.fault_ended(machine.name)
             for _ in range(20):
                 await asyncio.sleep(0.3)
                 gateway = machine.processes["gateway"].instance
@@ -203,7 +203,7 @@
                     gateway.settings.listen_clients, "GET", "/no/such/route/", timeout=2.0
                 )
                 self.assertNotEqual(404, getattr(reply, "status", None))
-            fleet.join(machine, others)
+            fleet.heal(machine, others)
 
         self.tell(story, seeds=(1, 2))
 
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -43,7 +43,7 @@
     """One try at one node; the reply, or None without one."""
     order.sent_at = order.sent_at or world.fleet.now()
     headers = [(BASE_VERSION, str(order.base).encode())]
-    address = machine.place.control_address
+    address = machine.spec.control_address
     path = f"/api/Config.{order.kind}"
     reply = await world.fleet.http.call(address, "POST", path, headers, order.body, CALL_S)
     return reply if isinstance(reply, Reply) else None
@@ -54,7 +54,7 @@
     for _ in range(TRIES):
         reply = await send_once(world, order, machine)
         if reply is not None and reply.status != 503:
-            world.operator._answered(order, reply, machine.place.control_address)
+            world.operator._answered(order, reply, machine.spec.control_address)
             return reply.status
         await asyncio.sleep(0.2)
     return 0
@@ -64,7 +64,9 @@
     """For each order the clear answers of all control nodes."""
     answers = []
     for order in orders:
-        answers.append([await clear_answer(world, order, machine) for machine in world.fleet.core()])
+        answers.append(
+            [await clear_answer(world, order, machine) for machine in world.fleet.control_machines()]
+        )
     return answers
 
 
@@ -72,14 +74,14 @@
     """One order is taken at all nodes, the other one refused with 412 at all of them."""
     count = len(answers[0])
     if sorted(answers) != [[200] * count, [412] * count]:
-        world.fleet.broken(f"{when}: {answers}")
+        world.fleet.report_violation(f"{when}: {answers}")
 
 
 async def lose_answers(world, orders, rng):
     """Sends the orders at different nodes at once, and repeats them elsewhere; no answer is looked at."""
     sending = []
     for order in orders:
-        for machine in rng.sample(world.fleet.core(), 2):
+        for machine in rng.sample(world.fleet.control_machines(), 2):
             sending.append(asyncio.create_task(send_once(world, order, machine)))
             await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 0.01))))
     return sending
@@ -105,7 +107,7 @@
         return story
 
     async def restart_core(self, world):
-        machines = world.fleet.core()
+        machines = world.fleet.control_machines()
         for machine in machines:
             world.fleet.lose_power(machine)
         await asyncio.sleep(0.3)
@@ -131,10 +133,10 @@
 
     async def owner_is_cut_off(self, world, rng):
         machine = owner_machine(world)
-        others = [other for other in world.fleet.counted() if other is not machine]
-        world.fleet.cut(machine, others, one_way=rng.random() < 0.5)
+        others = [other for other in world.fleet.quorum_machines() if other is not machine]
+        world.fleet.partition(machine, others, one_way=rng.random() < 0.5)
         await asyncio.sleep(rng.uniform(0.5, 3.0))
-        world.fleet.join(machine, others)
+        world.fleet.heal(machine, others)
 
         async def recover():
             await asyncio.sleep(1.0)
@@ -173,10 +175,12 @@
                 orders.append(world.operator.put(base))
                 base = orders[-1].version
             answers = await asyncio.gather(
-                *(clear_answer(world, order, rng.choice(world.fleet.core())) for order in orders)
+                *(clear_answer(world, order, rng.choice(world.fleet.control_machines())) for order in orders)
             )
             if answers != [200] * AT_ONCE:
-                world.fleet.broken(f"orders on top of each other, sent at once, are answered {answers}")
+                world.fleet.report_violation(
+                    f"orders on top of each other, sent at once, are answered {answers}"
+                )
 
         self.tell(story, seeds=(1, 2, 3))
 
@@ -191,12 +195,12 @@
             taken = next(order for order in orders if order.acknowledged_at is not None)
             for _ in range(4):
                 newest = await world.operator.change()
-            for machine in world.fleet.core():
+            for machine in world.fleet.control_machines():
                 reply = await send_once(world, taken, machine)
                 if reply is None or reply.status != 503:
-                    world.fleet.broken(f"a forgotten order is answered {reply}")
+                    world.fleet.report_violation(f"a forgotten order is answered {reply}")
                 if await clear_answer(world, newest, machine) != 200:
-                    world.fleet.broken("the newest order is not taken again")
+                    world.fleet.report_violation("the newest order is not taken again")
 
         self.tell(story)
 
@@ -206,25 +210,25 @@
         async def story(world):
             slowest = 0.0
             for number in range(12):
-                machine = world.fleet.core()[number % 3]
+                machine = world.fleet.control_machines()[number % 3]
                 began = world.fleet.now()
                 order = world.operator.put()
                 if await clear_answer(world, order, machine) != 200:
-                    world.fleet.broken(f"{order} is not taken")
+                    world.fleet.report_violation(f"{order} is not taken")
                 slowest = max(slowest, world.fleet.now() - began)
             if slowest > 0.1:
-                world.fleet.broken(f"a change took {slowest:.3f} s in calm")
+                world.fleet.report_violation(f"a change took {slowest:.3f} s in calm")
 
         self.tell(story)
 
     def test_a_gateway_that_answers_nothing_holds_a_change_up_by_less_than_a_second(self):
         async def story(world):
-            machine = next(one for one in world.fleet.machines.values() if not one.place.has_disk)
+            machine = next(one for one in world.fleet.machines.values() if not one.spec.has_disk)
             world.fleet.freeze(machine)
             began = world.fleet.now()
             await clear_answer(world, world.operator.put(), owner_machine(world))
             if world.fleet.now() - began > 0.6:
-                world.fleet.broken(f"a change took {world.fleet.now() - began:.3f} s")
+                world.fleet.report_violation(f"a change took {world.fleet.now() - began:.3f} s")
             world.fleet.thaw(machine)
 
         self.tell(story)
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -76,7 +76,7 @@
             await fill(world, state)
             owner = owner_of(world, SHARD)
             epoch, size = owner.replica(SHARD).term, len(owner.machine(SHARD).snapshot())
-            fleet.network.narrow(store.place.ip, NARROW)
+            fleet.network.limit_bandwidth(store.spec.ip, NARROW)
             fleet.start(store)
             began = fleet.now()
             load = asyncio.create_task(propose_many(world, 1_000, 0.01))
@@ -86,17 +86,17 @@
                 await asyncio.sleep(0.02)
                 silence = max(silence, longest_silence(store, fleet.now()))
             took, wire = fleet.now() - began, size / NARROW
-            fleet.note(f"{size} bytes, {wire:.2f} s on the wire, caught up after {took:.2f} s")
+            fleet.log(f"{size} bytes, {wire:.2f} s on the wire, caught up after {took:.2f} s")
             figures.append((size, round(wire, 2), round(took, 2)))
-            fleet.note(f"the longest time that a replica heard no owner: {silence:.2f} s on the wire")
+            fleet.log(f"the longest time that a replica heard no owner: {silence:.2f} s on the wire")
             if silence > MOST_SILENCE_S:
-                fleet.broken("heartbeats waited behind the snapshot")
+                fleet.report_violation("heartbeats waited behind the snapshot")
             if took > wire + CATCH_UP_S:
-                fleet.broken("the store has not caught up in time")
+                fleet.report_violation("the store has not caught up in time")
             if owner_of(world, SHARD) is not owner or owner.replica(SHARD).term != epoch:
-                fleet.broken("the leader was voted out meanwhile")
+                fleet.report_violation("the leader was voted out meanwhile")
             await load
-            fleet.network.widen(store.place.ip)
+            fleet.network.remove_bandwidth_limit(store.spec.ip)
             await asyncio.sleep(1.0)
 
         figures = []
--- a/tests/tier/test_standing.py
+++ b/tests/tier/test_standing.py
@@ -61,13 +61,15 @@
         now = self._fleet.now()
         replica = configuration.replica
         if process.machine is self.expelled and in_contact(replica, now):
-            self._fleet.broken(f"{process.name} counts itself in contact while it is cut off")
+            self._fleet.report_violation(f"{process.name} counts itself in contact while it is cut off")
         if not is_current(replica, now):
             return
         self.current += 1
         required = self._world.operator.required_version(replica.current_at)
         if configuration.state.version < required:
-            self._fleet.broken(f"{process.name} is current by version {configuration.state.version}")
+            self._fleet.report_violation(
+                f"{process.name} is current by version {configuration.state.version}"
+            )
 
     def _look_at_gateway(self, process):
         if not process.instance.configuration.is_current or process.execution in self._confirmed:
@@ -76,7 +78,9 @@
         required = self._world.operator.required_version(self._fleet.now() - CONTACT_S - TOLD_S)
         version = process.instance.routing.version
         if version < required:
-            self._fleet.broken(f"{process.name} begins to serve by version {version}, not {required}")
+            self._fleet.report_violation(
+                f"{process.name} begins to serve by version {version}, not {required}"
+            )
 
 
 class StandingStory(FleetStory):
@@ -89,32 +93,32 @@
             await asyncio.sleep(2.0)
             watch.stop()
             if not watch.current:
-                world.fleet.broken("nobody was ever current")
+                world.fleet.report_violation("nobody was ever current")
 
         self.tell(watched, seeds, size)
 
 
 def control_but(world, *machines):
     """The control machines but for some."""
-    return [machine for machine in world.fleet.core() if machine not in machines]
+    return [machine for machine in world.fleet.control_machines() if machine not in machines]
 
 
 def cut_ways(world, machine, to_others, from_others):
     """Cuts a control machine off from all others, one way or both."""
     others = [other for other in world.fleet.machines.values() if other is not machine]
-    world.fleet.note(f"{machine.name} is cut off: to others {to_others}, from others {from_others}")
-    world.fleet.contact.begin(machine.name)
+    world.fleet.log(f"{machine.name} is cut off: to others {to_others}, from others {from_others}")
+    world.fleet.contact.fault_began(machine.name)
     for other in others:
         if to_others:
-            world.fleet.network.cut(machine.place.ip, other.place.ip)
+            world.fleet.network.block(machine.spec.ip, other.spec.ip)
         if from_others:
-            world.fleet.network.cut(other.place.ip, machine.place.ip)
+            world.fleet.network.block(other.spec.ip, machine.spec.ip)
     return others
 
 
 async def call(world, machine, method, path, body=b"", headers=()):
     """The status of one call at a control machine; 0 without an answer."""
-    address = machine.place.control_address
+    address = machine.spec.control_address
     reply = await world.fleet.http.call(address, method, path, headers, body, CALL_S)
     return reply.status if isinstance(reply, Reply) else 0
 
@@ -163,7 +167,7 @@
                 await asyncio.sleep(2.0)
             await changing
             watch.expelled = None
-            world.fleet.join(machine, others)
+            world.fleet.heal(machine, others)
 
         return story
 
@@ -174,7 +178,7 @@
 
     async def begin_beside(self, world, machine):
         """Gateways start on the machine itself and on another one; backends come and go."""
-        plain = [other for other in world.fleet.machines.values() if not other.place.has_disk][0]
+        plain = [other for other in world.fleet.machines.values() if not other.spec.has_disk][0]
         for beginning in (machine, plain):
             gateway = beginning.processes["gateway"]
             gateway.wanted = False
@@ -186,10 +190,10 @@
     async def ask(self, world, machine):
         statuses = await ask_everything(world, machine)
         if any(status not in (0, 503) for status in statuses):
-            world.fleet.broken(f"{machine.name} answers {statuses} while it is cut off")
+            world.fleet.report_violation(f"{machine.name} answers {statuses} while it is cut off")
         plain = await call(world, machine, "POST", "/api/Instances.Heartbeat/i-cut-2", report(Seq=1))
         if plain != 200:
-            world.fleet.broken(f"{machine.name} refuses a plain heartbeat: {plain}")
+            world.fleet.report_violation(f"{machine.name} refuses a plain heartbeat: {plain}")
 
     def test_a_follower_is_cut_off_both_ways(self):
         self.tell_watched(self.cut_off("follower", True, True), seeds=(1, 2))
@@ -220,7 +224,7 @@
             elif how == "freeze":
                 world.fleet.freeze(machine)
             else:
-                world.fleet.cut(machine, others)
+                world.fleet.partition(machine, others)
             for _ in range(30):
                 await world.operator.change()
             changing = asyncio.create_task(self.change_on(world))
@@ -229,7 +233,7 @@
             elif how == "freeze":
                 world.fleet.thaw(machine)
             else:
-                world.fleet.join(machine, others)
+                world.fleet.heal(machine, others)
             await changing
 
         return story
@@ -263,7 +267,7 @@
 
     def test_a_core_that_was_killed_at_once_takes_plain_heartbeats_as_soon_as_it_runs(self):
         async def story(world, watch):
-            machines = world.fleet.core()
+            machines = world.fleet.control_machines()
             for machine in machines:
                 world.fleet.kill(machine)
             await asyncio.sleep(0.5)
