--- a/kestrelbend/tier/fleet/backends.py
+++ b/kestrelbend/tier/fleet/backends.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import json
 import random
 
@@ -10,11 +11,19 @@
 from .fleet import Fleet
 from .http import Reply
 
-HEARTBEAT_S = 1.2
+HEARTBEAT_S = 1.2  # between two reports, give or take 5 %
 CALL_TIMEOUT_S = 1.0
 DRAIN_S = 2.0  # DrainMs
 LEAVE_ANYWAY_S = 5.0
-ACK_S = 4.0
+ACK_S = 4.0  # AckMs: with a stable core `draining` is acknowledged within this
+
+
+class BackendPhase(enum.StrEnum):
+    """What a backend says of itself in `State`; one that is gone says nothing."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
 
 
 class Backend:
@@ -27,7 +36,7 @@
         self.zone = zone
         self.address = address
         self.started_at = fleet.now()
-        self.state = "ready"
+        self.state = BackendPhase.READY
         self.draining_acknowledged_at: float | None = None
         self.ended_at: float | None = None
         self._sequence = 0
@@ -37,7 +46,7 @@
 
     async def _live(self) -> None:
         await asyncio.sleep(self._random.uniform(0.0, HEARTBEAT_S))
-        while self.state == "ready":
+        while self.state == BackendPhase.READY:
             await self._heartbeat()
             await asyncio.sleep(HEARTBEAT_S * self._random.uniform(0.95, 1.05))
 
@@ -66,7 +75,7 @@
         for address in addresses[:max_attempts]:
             requested_at = self.fleet.now()
             reply = await self.fleet.http.call(address, "POST", path, (), body, CALL_TIMEOUT_S)
-            if self.state != "ready":
+            if self.state != BackendPhase.READY:
                 check_contact(self.fleet, address, requested_at, reply)
             if isinstance(reply, Reply) and 200 <= reply.status < 300:
                 self._target = address
@@ -91,7 +100,7 @@
     async def drain_and_leave(self) -> None:
         """A planned end: says so until it is acknowledged, serves on a while, leaves."""
         self.fleet.log(f"backend {self.identity} drains")
-        self.state = "draining"
+        self.state = BackendPhase.DRAINING
         announced_at = self.fleet.now()
         while self.draining_acknowledged_at is None and self.fleet.now() - announced_at < LEAVE_ANYWAY_S:
             if await self._heartbeat():
@@ -109,7 +118,7 @@
             self.fleet.report_violation(f"backend {self.identity} has no acknowledgement in a calm time")
 
     def _end(self) -> None:
-        self.state = "gone"
+        self.state = BackendPhase.GONE
         self.ended_at = self.fleet.now()
         self._task.cancel()
 
@@ -131,7 +140,7 @@
 
     def ready(self, service: str | None = None) -> list[Backend]:
         """Those that say that they are ready."""
-        ready = (backend for backend in self.all.values() if backend.state == "ready")
+        ready = (backend for backend in self.all.values() if backend.state == BackendPhase.READY)
         return [backend for backend in ready if service in (None, backend.service)]
 
     def replace(self, backend: Backend) -> None:
--- a/kestrelbend/tier/fleet/disks.py
+++ b/kestrelbend/tier/fleet/disks.py
@@ -10,6 +10,7 @@
 
 import asyncio
 import contextlib
+import enum
 import errno
 import random
 from collections.abc import Callable
@@ -25,6 +26,14 @@
 LATE_FACTOR = 5.0
 
 
+class DiskFault(enum.StrEnum):
+    """What can be wrong with a disk that is still there."""
+
+    STALL = "stall"  # it answers nothing
+    SLOW = "slow"
+    FULL = "full"  # it takes no more bytes
+
+
 class Interrupted(Exception):
     """The machine or the process went away in the middle of an operation."""
 
--- a/kestrelbend/tier/fleet/faults/disks.py
+++ b/kestrelbend/tier/fleet/faults/disks.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 
+from ..disks import DiskFault
 from ..world import World
 from .kinds import fault
 from .picking import acknowledging_machine, pick_quorum_machine, reserving_store, start_all
@@ -39,7 +40,7 @@
 async def disk_trouble(world: World, rng: random.Random) -> None:
     """A disk answers nothing, is slow, or takes no more bytes."""
     machine = pick_quorum_machine(world, rng)
-    how = rng.choice(("stall", "slow", "full"))
-    world.fleet.degrade_disk(machine, how)
+    disk_fault = rng.choice((DiskFault.STALL, DiskFault.SLOW, DiskFault.FULL))
+    world.fleet.degrade_disk(machine, disk_fault)
     await asyncio.sleep(rng.uniform(1.0, 4.0))
     world.fleet.restore_disk(machine)
--- a/kestrelbend/tier/fleet/faults/machines.py
+++ b/kestrelbend/tier/fleet/faults/machines.py
@@ -5,8 +5,9 @@
 import asyncio
 import random
 
-from ..fleet import GRACE_S, ZONES
+from ..fleet import GRACE_S
 from ..machines import Machine
+from ..topology import ZONES
 from ..world import World
 from .kinds import fault
 from .picking import (
@@ -103,13 +104,14 @@
 async def replace_core(world: World, rng: random.Random) -> None:
     """A machine is replaced by an empty one at another address, planned or not."""
     old = pick_quorum_machine(world, rng)
-    place, roles = old.spec, tuple(old.processes)
+    spec = old.spec
+    roles = tuple(old.processes)
     if rng.random() < 0.5:
         world.fleet.remove(old)
         await asyncio.sleep(rng.uniform(0.5, 2.0))
-        world.fleet.add_machine(place.machine_class, place.zone, True, roles)
+        world.fleet.add_machine(spec.machine_class, spec.zone, True, roles)
     else:
-        world.fleet.add_machine(place.machine_class, place.zone, True, roles)
+        world.fleet.add_machine(spec.machine_class, spec.zone, True, roles)
         await asyncio.sleep(rng.uniform(1.0, 2.0))
         world.fleet.terminate_and_remove(old)
         await asyncio.sleep(GRACE_S)
--- a/kestrelbend/tier/fleet/faults/network.py
+++ b/kestrelbend/tier/fleet/faults/network.py
@@ -5,8 +5,8 @@
 import asyncio
 import random
 
-from ..fleet import ZONES
 from ..machines import Machine
+from ..topology import ZONES
 from ..world import World
 from .kinds import fault
 from .picking import diskless_gateways, owner_machine, pick_quorum_machine
--- a/kestrelbend/tier/fleet/faults/orders.py
+++ b/kestrelbend/tier/fleet/faults/orders.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from ..fleet import ZONES
+from ..topology import ZONES
 from ..world import World
 from .kinds import fault
 from .picking import owner_machine
--- a/kestrelbend/tier/fleet/fleet.py
+++ b/kestrelbend/tier/fleet/fleet.py
@@ -14,19 +14,17 @@
 
 from ..roles.settings import Settings
 from .contact import Contact
+from .disks import DiskFault
 from .http import Http
 from .loop import VirtualLoop
 from .machines import Machine, Process
 from .network import Network
 from .settings import MachineSpec, make_settings
+from .topology import ZONES, PublishedAddresses, Topology
 
-ZONES = ("zone-1", "zone-2", "zone-3")
-IN_ZONE_S = 0.0001
-BETWEEN_ZONES_S = 0.0005
 START_SPREAD_S = 0.3
-GRACE_S = 8.0
-SEED_LAG_S = 3.0
-SLOW_DISK = 30.0
+GRACE_S = 8.0  # from SIGTERM to SIGKILL
+SLOW_DISK = 30.0  # times the time of a disk that works
 
 
 @attrs.frozen
@@ -45,7 +43,8 @@
         self.loop = loop
         self.seed = seed
         self.random = random.Random(f"fleet {seed}")
-        self.network = Network(loop, seed, self._distance)
+        self._topology = Topology()
+        self.network = Network(loop, seed, self._topology.distance)
         loop.network = self.network
         self.http = Http(loop, self.network)
         self.contact = Contact(loop.time)
@@ -54,8 +53,7 @@
         self.violations: list[str] = []
         self.settings_version = 1
         self._partitioned_since: dict[str, float] = {}
-        self._zone_of: dict[str, str] = {}
-        self._published_addresses: list[tuple[float, tuple[str, ...]]] = []
+        self._published_addresses = PublishedAddresses()
         self._numbers = {"front": 0, "storage": 0}
         loop.set_exception_handler(self._unhandled)
         size = size or Size()
@@ -85,7 +83,7 @@
             self, MachineSpec(f"{machine_class}-{number}", machine_class, zone, ip, has_disk), roles
         )
         self.machines[machine.name] = machine
-        self._zone_of[ip] = zone
+        self._topology.add(ip, zone)
         self.contact.add(machine.name, has_disk)
         self._publish_control_addresses()
         return machine
@@ -113,14 +111,10 @@
 
     def published_control_addresses(self) -> tuple[str, ...]:
         """The list as callers know it, `SeedLagS` late."""
-        known = self._published_addresses[0][1]
-        for since, addresses in self._published_addresses:
-            if since <= self.now() - SEED_LAG_S:
-                known = addresses
-        return known
+        return self._published_addresses.known(self.now())
 
     def _publish_control_addresses(self) -> None:
-        self._published_addresses.append((self.now(), tuple(self.control_addresses())))
+        self._published_addresses.publish(self.now(), tuple(self.control_addresses()))
 
     def settings_for(self, machine: Machine, role: str, bootstrap: bool) -> Settings:
         """What the platform writes for a process now."""
@@ -132,12 +126,6 @@
         self.settings_version += 1
         self.log(f"seeds are {seeds}")
 
-    def _distance(self, source: str, target: str) -> float:
-        if source == target:
-            return IN_ZONE_S / 5
-        same = self._zone_of.get(source) == self._zone_of.get(target)
-        return IN_ZONE_S if same else BETWEEN_ZONES_S
-
     # What has happened
 
     def log(self, text: str) -> None:
@@ -269,14 +257,14 @@
             self.network.unblock(machine.spec.ip, other.spec.ip)
             self.network.unblock(other.spec.ip, machine.spec.ip)
 
-    def degrade_disk(self, machine: Machine, how: str) -> None:
+    def degrade_disk(self, machine: Machine, disk_fault: DiskFault) -> None:
         """A disk stalls, is slow, or takes no more bytes."""
-        self.log(f"the disk of {machine.name}: {how}")
+        self.log(f"the disk of {machine.name}: {disk_fault}")
         self.contact.fault_began(machine.name)
         disk = machine.present_disk()
-        disk.stalled = how == "stall"
-        disk.full = how == "full"
-        disk.slowness = SLOW_DISK if how == "slow" else 1.0
+        disk.stalled = disk_fault == DiskFault.STALL
+        disk.full = disk_fault == DiskFault.FULL
+        disk.slowness = SLOW_DISK if disk_fault == DiskFault.SLOW else 1.0
 
     def restore_disk(self, machine: Machine) -> None:
         """The disk works again."""
--- a/kestrelbend/tier/fleet/guards.py
+++ b/kestrelbend/tier/fleet/guards.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Guard:
-    """`target` is `module:Name.name` below `kestrelbend.tier`; `mutation` takes its attribute."""
+    """The function `target` (`module:Name.name` below `kestrelbend.tier`) and the `mutation` in its place."""
 
     name: str
     target: str
--- a/kestrelbend/tier/fleet/network.py
+++ b/kestrelbend/tier/fleet/network.py
@@ -2,7 +2,7 @@
 
 What TCP does is kept where processes can notice it: bytes behind a cut wait and arrive late or never; a
 connection whose bytes or probes stay unanswered ends after the times that the processes' sockets set; the
-peer of a killed process is notify_peers, the peer of a machine without power is not; a dead port refuses.
+peer of a killed process is notified, the peer of a machine without power is not; a dead port refuses.
 Invariant: a receiver gets a prefix of what its peer wrote, in order.
 """
 
--- a/kestrelbend/tier/fleet/world.py
+++ b/kestrelbend/tier/fleet/world.py
@@ -6,10 +6,11 @@
 from collections.abc import Awaitable, Callable
 
 from .backends import Backends
-from .fleet import ZONES, Fleet, Size
+from .fleet import Fleet, Size
 from .loop import VirtualLoop, run
 from .operator import Operator
 from .programs import Programs
+from .topology import ZONES
 from .watch import Watch
 
 READY_S = 12.0  # from the start of the machines to the start of traffic
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -235,7 +235,7 @@
     """The rules that a day breaks without a guard, or with all of them."""
     logbook.NullHandler().push_application()
     with without(guard) if guard else contextlib.nullcontext():
-        return play_day(Day.read(DAY_OF_A_LONG_CUT)).failures
+        return play_day(Day.read(DAY_OF_A_LONG_CUT)).violations
 
 
 def problems(name):
