--- a/tests/tier/test_standing.py
+++ b/tests/tier/test_standing.py
@@ -181,8 +181,8 @@
         plain = [other for other in world.fleet.machines.values() if not other.spec.has_disk][0]
         for beginning in (machine, plain):
             gateway = beginning.processes["gateway"]
-            gateway.wanted = False
-            gateway.end(told=True)
+            gateway.should_run = False
+            gateway.end(notify_peers=True)
             gateway.start()
         backend = world.backends.ready("model")[0]
         world.backends.replace(backend)
