--- a/kestrelbend/lab/gossip.py
+++ b/kestrelbend/lab/gossip.py
@@ -210,12 +210,12 @@
 
 
 def share_moved(fleet, victim):
-    """The part of 500 duties that its death moves, beside what it had."""
+    """The part of 500 singleton tasks that its death moves, beside what it had."""
     from ..duties.rendezvous import RendezvousAssignment
 
     assignment, names = RendezvousAssignment(), [node.name for node in fleet.live()]
     assignment.set_members(dict.fromkeys(names, 1.0))
-    for duty in range(500):
-        assignment.add(f"s{duty}")
+    for task in range(500):
+        assignment.add(f"s{task}")
     had = len(assignment.tasks_of(victim.name))
     return (assignment.set_members({n: 1.0 for n in names if n != victim.name}) - had) / 500
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,6 +10,7 @@
 import signal
 import sys
 import time
+from types import SimpleNamespace
 
 import msgspec
 import pytest
@@ -30,6 +31,7 @@
 from kestrelbend.membership.swim import SwimNode
 from kestrelbend.membership.update_rules import UpdateRules
 from kestrelbend.net import configuration
+from kestrelbend.net.peers import Peers
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
 from tests.test_net import nested
@@ -310,8 +312,8 @@
     f.nodes[0].core.publish_result(f.nodes[0].time(), "probe", "s1", b"report")
     f.run(4)
     for node in f.nodes[1:]:
-        note, since = node.core.results.received.popleft()
-        assert (note.subject, note.body, note.origin) == ("s1", b"report", "n0")
+        result, since = node.core.results.received.popleft()
+        assert (result.subject, result.body, result.origin) == ("s1", b"report", "n0")
         assert abs(since - (f.clock.now - 4 * S)) < 20_000
     p = probing.SharedProbing("n1")
     p.set_backends({"s1": "backend"})
@@ -400,28 +402,28 @@
 
 @given(st.sets(st.integers(0, 60), min_size=1, max_size=20), st.integers(0, 60))
 def test_a_death_moves_the_duties_of_the_dead_alone(numbers, dead):
-    deal, names = RendezvousAssignment(), [f"n{n}" for n in numbers]
-    deal.set_members(dict.fromkeys(names, 1.0))
-    for duty in range(50):
-        deal.add(f"s{duty}")
-    before = {duty: deal.owner(duty) for duty in deal.assignments}
-    deal.set_members({name: 1.0 for name in names if name != f"n{dead}"})
-    for duty, owner in before.items():
+    assignment, names = RendezvousAssignment(), [f"n{n}" for n in numbers]
+    assignment.set_members(dict.fromkeys(names, 1.0))
+    for task in range(50):
+        assignment.add(f"s{task}")
+    before = {task: assignment.owner(task) for task in assignment.assignments}
+    assignment.set_members({name: 1.0 for name in names if name != f"n{dead}"})
+    for task, owner in before.items():
         if owner != f"n{dead}":
-            assert deal.owner(duty) == owner
+            assert assignment.owner(task) == owner
     plain = RendezvousAssignment()
-    plain.set_members(deal.members)
-    for duty in before:
-        plain.add(duty)
-    assert plain.assignments == deal.assignments
+    plain.set_members(assignment.members)
+    for task in before:
+        plain.add(task)
+    assert plain.assignments == assignment.assignments
 
 
 def test_duties_are_dealt_out_by_weight():
-    deal = RendezvousAssignment()
-    deal.set_members({"a": 1.0, "b": 3.0})
-    for duty in range(4000):
-        deal.add(f"s{duty}")
-    assert 2800 < len(deal.tasks_of("b")) < 3200
+    assignment = RendezvousAssignment()
+    assignment.set_members({"a": 1.0, "b": 3.0})
+    for task in range(4000):
+        assignment.add(f"s{task}")
+    assert 2800 < len(assignment.tasks_of("b")) < 3200
 
 
 def test_probes_are_taken_over_at_once_and_asked_as_often_as_by_one():
@@ -600,10 +602,10 @@
     elif what == "no wait":
         ask = leases.Voter.request
 
-        def careless(self, now, duty, fence, holder):
-            if duty in self.grants:
-                self.grants[duty].expires_at_us = 0
-            return ask(self, now, duty, fence, holder)
+        def careless(self, now, task, fence, holder):
+            if task in self.grants:
+                self.grants[task].expires_at_us = 0
+            return ask(self, now, task, fence, holder)
 
         monkeypatch.setattr(leases.Voter, "request", careless)
     else:
@@ -638,6 +640,75 @@
     assert fence.accepts(second.fencing_token) and not fence.accepts(first.fencing_token)
 
 
+class Trio:
+    """Three carriers of membership on loopback, each with its queue worked by a task."""
+
+    def __init__(self):
+        places = [free_address(n) for n in range(3)]
+        gateway = SimpleNamespace(
+            background=SimpleNamespace(load_reported=lambda *_: None),
+            slow_start=SimpleNamespace(is_warming_up=lambda backend: False),
+        )
+        owner = SimpleNamespace(gateway=gateway, listed={}, backend_ids={})
+        self.queues, self.peers, self.tasks = [asyncio.Queue() for _ in places], [], []
+        for n, place in enumerate(places):
+            given = SimpleNamespace(
+                name=f"n{n}",
+                listen=place,
+                seen_at=place,
+                peers=places,
+                keys=KEYS,
+                period=300_000,
+                most_per_s=40.0,
+            )
+            self.peers.append(Peers(given, self.queues[n], owner, str(n), True))
+            self.peers[n].voter.mute_until_us = 0  # as if all had run for longer than a lease
+
+    async def __aenter__(self):
+        for n, peer in enumerate(self.peers):
+            await peer.start()
+            self.tasks.append(asyncio.create_task(self.work(n)))
+        return self.peers
+
+    async def __aexit__(self, *_):
+        for task in self.tasks:
+            task.cancel()
+        for peer in self.peers:
+            peer.carrier.transport.close()
+            if peer.timer is not None:
+                peer.timer.cancel()
+
+    async def work(self, n):
+        while True:
+            what, *values = await self.queues[n].get()
+            self.peers[n].due() if what == "members_due" else self.peers[n].got(*values)
+
+
+async def comes_true(condition):
+    while not condition():
+        await asyncio.sleep(0.02)
+
+
+def test_a_task_is_held_over_sockets_by_one_and_by_the_next_once_it_is_released():
+    async def test():
+        async with Trio() as (first, second, third):
+            first.hold("renew")
+            await comes_true(lambda: first.holds("renew"))
+            token = first.holds("renew")
+            second.hold("renew")
+            await asyncio.sleep(1)
+            assert second.holds("renew") is None and first.view()[0]["leases"] == {"renew": token}
+            await comes_true(lambda: all("n0" in p.core.view.live_names() for p in (second, third)))
+            first.leave()
+            assert first.holds("renew") is None and first.view()[0]["state"] == "left"
+            second.holders["renew"].next_request_us = 0  # it need not wait for its next turn
+            await comes_true(lambda: second.holds("renew"))
+            assert second.holds("renew") > token
+            await comes_true(lambda: "n0" not in third.core.view.live_names())
+
+    run_long(test())
+
+
 # Configuration.
 
 MEMBERS = """
@@ -813,7 +884,7 @@
             for n in range(5):
                 rows = await five.sees(n, 5)
             began = time.monotonic()
-            owners = {duty: row["name"] for row in rows for duty in row["duties"]}
+            owners = {task: row["name"] for row in rows for task in row["duties"]}
             assert owners.keys() == {"s0", "s1"}
             await asyncio.sleep(1.5)
             before = sum(len([at for at in times if at > began]) for times in five.probes())
