--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -33,7 +33,7 @@
 import attrs
 import logbook
 
-from kestrelbend.tier.fleet import disks, http, network, programs
+from kestrelbend.tier.fleet import connection, disks, http, programs
 from kestrelbend.tier.fleet.day import Day, play_day
 from kestrelbend.tier.model import world
 from kestrelbend.tier.model.orders import search_orders
@@ -97,35 +97,35 @@
 
 def _record_connections(recording: Recording) -> None:
     write, deliver, close, abort = (
-        network.Connection.write,
-        network.Connection.deliver,
-        network.Connection.close,
-        network.Connection.abort,
+        connection.Connection.write,
+        connection.Connection.deliver,
+        connection.Connection.close,
+        connection.Connection.abort,
     )
 
-    def names(end: network.Connection) -> tuple[str, str]:
+    def names(end: connection.Connection) -> tuple[str, str]:
         return end.execution.name, end.peer.execution.name
 
-    def recorded_write(end: network.Connection, data: bytes) -> None:
+    def recorded_write(end: connection.Connection, data: bytes) -> None:
         recording.add("write", *names(end), end.closed, data)
         write(end, data)
 
-    def recorded_deliver(end: network.Connection, data: bytes | None) -> None:
+    def recorded_deliver(end: connection.Connection, data: bytes | None) -> None:
         recording.add("deliver", *names(end), end.closed, data)
         deliver(end, data)
 
-    def recorded_close(end: network.Connection) -> None:
+    def recorded_close(end: connection.Connection) -> None:
         recording.add("close", *names(end), end.closed)
         close(end)
 
-    def recorded_abort(end: network.Connection) -> None:
+    def recorded_abort(end: connection.Connection) -> None:
         recording.add("abort", *names(end), end.closed)
         abort(end)
 
-    network.Connection.write = recorded_write
-    network.Connection.deliver = recorded_deliver
-    network.Connection.close = recorded_close
-    network.Connection.abort = recorded_abort
+    connection.Connection.write = recorded_write
+    connection.Connection.deliver = recorded_deliver
+    connection.Connection.close = recorded_close
+    connection.Connection.abort = recorded_abort
 
 
 def _record_disks(recording: Recording) -> None:
--- a/kestrelbend/tier/fleet/contact.py
+++ b/kestrelbend/tier/fleet/contact.py
@@ -1,15 +1,18 @@
-"""Which machines are in touch, as the rules count it: no fault, and a stable core, for `ContactMs`."""
+"""Which machines are in contact, as the rules count it: no fault, and a stable core, for `ContactMs`.
+
+Times are in seconds of the loop.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-CONTACT_S = 3.0
+CONTACT_S = 3.0  # ContactMs
 NEVER = float("-inf")
 
 
 class Contact:
-    """Notes faults on machines; those on machines with a disk make the core unstable."""
+    """Records faults of machines; those on machines with a disk make the core unstable."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
@@ -53,7 +56,7 @@
         return self.core_fault_free_since() + CONTACT_S
 
     def in_contact_since(self, machine: str) -> float:
-        """Since when the machine has been in touch; infinite while it is not."""
+        """Since when the machine has been in contact; infinite while it is not."""
         if self._ongoing.get(machine):
             return float("inf")
         return max(self._last_event.get(machine, NEVER) + CONTACT_S, self.core_stable_since())
--- a/kestrelbend/tier/fleet/day.py
+++ b/kestrelbend/tier/fleet/day.py
@@ -1,6 +1,6 @@
 """A day of mixed faults, drawn by a seed; played, and shrunk where it breaks a rule.
 
-A day is told by one line, `seed:places/kinds`: the seed, the places of the faults that are left of it, and
+A day is named by one line, `seed:places/kinds`: the seed, the places of the faults that are left of it, and
 the kinds that it was drawn from (none: all).
 """
 
@@ -52,7 +52,7 @@
 
     @classmethod
     def read(cls, line: str) -> Day:
-        """The day that `str` told."""
+        """The day that `str` names; raises `ValueError` where the seed is no number."""
         head, _, names = line.partition("/")
         seed, _, places = head.partition(":")
         whole = cls.draw(int(seed), tuple(names.split(",")) if names else ())
@@ -70,9 +70,9 @@
         return f"{self.seed}:{','.join(places)}{names}"
 
     def describe(self) -> str:
-        """The faults in words."""
-        told = [f"{fault.kind} at {fault.at:.1f}" for fault in self.faults]
-        return "; ".join([*told, f"closing {self.closing}"])
+        """The faults in words, times in seconds."""
+        described = [f"{fault.kind} at {fault.at:.1f}" for fault in self.faults]
+        return "; ".join([*described, f"closing {self.closing}"])
 
 
 @attrs.frozen
--- a/kestrelbend/tier/fleet/fleet.py
+++ b/kestrelbend/tier/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""The world: machines, network, callers from outside, and what has been noted of them.
+"""The fleet: machines, network, callers from outside, and the log of what happened to them.
 
 Faults are methods here, so that `Contact` knows of each of them.
 """
@@ -22,7 +22,7 @@
 from .settings import MachineSpec, make_settings
 from .topology import ZONES, PublishedAddresses, Topology
 
-START_SPREAD_S = 0.3
+START_SPREAD_S = 0.3  # the first start of all machines
 GRACE_S = 8.0  # from SIGTERM to SIGKILL
 SLOW_DISK = 30.0  # times the time of a disk that works
 
@@ -133,7 +133,7 @@
         self.log_lines.append(f"{self.now():8.3f} {text}")
 
     def report_violation(self, rule: str) -> None:
-        """A rule is broken; each is noted once."""
+        """A rule is broken: the day has failed."""
         line = f"{self.now():8.3f} BROKEN {rule}"
         self.log_lines.append(line)
         self.violations.append(line)
--- a/kestrelbend/tier/fleet/loop.py
+++ b/kestrelbend/tier/fleet/loop.py
@@ -17,7 +17,8 @@
 import attrs
 
 if TYPE_CHECKING:
-    from .network import Connection, Network, Server
+    from .connection import Connection
+    from .network import Network, Server
 
 T = TypeVar("T")
 Arguments = TypeVarTuple("Arguments")
--- a/kestrelbend/tier/fleet/machines.py
+++ b/kestrelbend/tier/fleet/machines.py
@@ -288,7 +288,7 @@
                 process.end(notify_peers=True)
 
     def lose_power(self) -> None:
-        """All is gone that was not synced; nobody is told."""
+        """All is gone that was not synced; no peer is notified."""
         self.has_power = False
         self.fleet.network.isolate(self.spec.ip)
         for process in self.processes.values():
--- a/kestrelbend/tier/fleet/operator.py
+++ b/kestrelbend/tier/fleet/operator.py
@@ -17,14 +17,14 @@
 Json = dict[str, Any]  # an object of the operator's document
 
 MARKER = "marker"  # the route whose prefix names the order that brought a configuration
-CALL_TIMEOUT_S = 1.0
+CALL_TIMEOUT_S = 1.0  # of one call
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-ACK_S = 4.0  # AckMs
-GIVE_UP_S = 14.0
-FINAL_STATUSES = (400, 409, 412, 413, 422)
+ACK_S = 4.0  # AckMs: with a stable core a change is answered within this
+GIVE_UP_S = 14.0  # until an order without an answer is sent no more
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # rejections that hold for ever
 BASE_VERSION = b"x-kestrelbend-base-version"
-READ_BACK_S = 15.0
+READ_BACK_S = 15.0  # until a read without an answer is given up
 
 
 @attrs.define(eq=False)
--- a/kestrelbend/tier/fleet/programs.py
+++ b/kestrelbend/tier/fleet/programs.py
@@ -22,20 +22,20 @@
 if TYPE_CHECKING:
     from ..roles.gateway_budgets import GatewayBudgets
 
-STRIDE = 8
-EVENT_S = 0.03
-DEADLINE_S = 4.0
-RESERVE_BOUND_S = 1.0  # in touch, a reservation is answered within this
-RETRY_BACKOFF_S = (0.1, 0.4)
-MAX_ATTEMPTS = 5
-MAX_TURNS = 8
-SETTLE_S = 1.0  # SettleMs
-POLL_S = 0.25
+STRIDE = 8  # tokens of an event
+EVENT_S = 0.03  # between two events
+DEADLINE_S = 4.0  # of an attempt
+RESERVE_BOUND_S = 1.0  # in contact, a reservation is answered within this
+RETRY_BACKOFF_S = (0.1, 0.4)  # drawn between these, times the number of the attempt
+MAX_ATTEMPTS = 5  # of a turn
+MAX_TURNS = 8  # of a session
+SETTLE_S = 1.0  # SettleMs: until a turn's end counts at the owner
+POLL_S = 0.25  # between two looks at a turn that waits
 
 
 @attrs.define(eq=False)
 class Turn:
-    """One try of a turn at one gateway."""
+    """One attempt of a turn at one gateway; times are in seconds of the loop."""
 
     reservation: str
     max_tokens: int
@@ -47,7 +47,7 @@
     delivered_tokens: int = 0
     completed_at: float | None = None
     abandoned: bool = False
-    finished: asyncio.Event = attrs.field(factory=asyncio.Event)  # its client has a whole answer
+    finished: asyncio.Event = attrs.field(factory=asyncio.Event)  # its client has a complete answer
 
     @property
     def rejected(self) -> bool:
@@ -65,7 +65,7 @@
         return self.delivered_tokens
 
     def _settlement_lost(self, turn_ended_at: float) -> bool:
-        """The gateway ended so soon after the turn that its word of it may have gone with it."""
+        """The gateway ended so soon after the turn that its settlement may be lost with it."""
         ended_at = self.execution.ended_at
         return ended_at is not None and ended_at - turn_ended_at < SETTLE_S
 
@@ -89,7 +89,7 @@
         return sum(turn.delivered_tokens for turn in self.attempts)
 
     async def run(self, session: str = "main") -> None:
-        """All turns of a session; each is tried anew a few times."""
+        """All turns of a session; each is attempted a few times."""
         for number in range(self.turns):
             max_tokens = STRIDE * self._random.randint(2, 9)
             if not await self._take_turn(session, number, max_tokens):
@@ -212,7 +212,7 @@
         await asyncio.gather(program.run("a"), program.run("b"))
 
     def check_answered(self, gateway: Process, turn: Turn) -> None:
-        """In touch, a reservation is answered within a second."""
+        """In contact, a reservation is answered within `RESERVE_BOUND_S`."""
         if turn.answered_at is not None or turn.reservation in self._reported:
             return
         since = max(turn.requested_at, self.fleet.contact.in_contact_since(gateway.machine.name))
--- a/kestrelbend/tier/fleet/settings.py
+++ b/kestrelbend/tier/fleet/settings.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class MachineSpec:
-    """Where a machine stands and what it has."""
+    """Where a machine is and what it has, by the platform."""
 
     node: str
     machine_class: str  # "front" or "storage"
@@ -34,7 +34,7 @@
 def make_settings(
     spec: MachineSpec, role: str, seeds: tuple[str, ...], bootstrap: bool, zones: Iterable[str]
 ) -> Settings:
-    """What a process of a role is told on a machine."""
+    """The settings file of a role's process on a machine."""
     serves = ROLES_SERVE[role]
     return Settings(
         node=spec.node,
