--- a/kestrelbend/net/backends.py
+++ b/kestrelbend/net/backends.py
@@ -11,7 +11,7 @@
 from ..interface import Result
 from .answers import SENDING
 from .connections import LONGEST_BODY
-from .headers import PASSED_BACK, load_report, passed_on, told
+from .headers import PASSED_BACK, load_report, passed_on, reported_number
 from .connection_pool import ConnectionPool
 from .sending import NotWanted, Sending, Settling, Stale
 from .tally import counters
@@ -105,9 +105,9 @@
             )
             result, load = self.outcome(status, got), load_report(got.get("X-Server-Load"))
             answer = answer, {name: got[name] for name in PASSED_BACK if name in got}
-            actual = told(got.get("Api-Charge"), self.settings["most_units"] or 1e9) or 0
+            actual = reported_number(got.get("Api-Charge"), self.settings["most_units"] or 1e9) or 0
             if self.settings["meter_period"]:
-                used = told(got.get("Api-Used"), 1e6)
+                used = reported_number(got.get("Api-Used"), 1e6)
                 used = None if used is None else used / 100
         except asyncio.CancelledError:
             pass
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -15,7 +15,7 @@
 from ..gateway_settings.platform import Malformed
 from ..duties import probes_shared
 from ..interface import State
-from . import configuration, lines, tally
+from . import configuration, key_value_logging, tally
 from .backends import Backends
 from .clients import Clients
 from .counter import CounterService
@@ -163,10 +163,10 @@
 def serve(early, accept_queue, path=None):
     """Serves until SIGTERM; a wrong configuration ends it with a plain message.  `path`: an installation's
     own file, in place of the platform's environment."""
-    lines.start()
+    key_value_logging.start()
     try:
         told = configuration.read(os.environ) if path is None else configuration.read_file(path)
-        lines.start(*told.logs)
+        key_value_logging.start(*told.logs)
         uvloop.run(gateway(told, early, accept_queue))
     except (Malformed, OSError) as trouble:
         sys.exit(f"kestrelbend: {trouble}")
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -481,8 +481,8 @@
 
 def test_serving_loads_nothing_of_the_laboratory():
     names = loaded(
-        "import kestrelbend.__main__, kestrelbend.net.gateway, kestrelbend.net.lines as l\n"
-        "import logging; l.Lines().format(logging.makeLogRecord({'msg': 'x'}))"
+        "import kestrelbend.__main__, kestrelbend.net.gateway, kestrelbend.net.key_value_logging as l\n"
+        "import logging; l.LogFormatter().format(logging.makeLogRecord({'msg': 'x'}))"
     )
     assert "kestrelbend.net.gateway" in names and not names & (LABORATORY | {"tomllib", "kestrelbend.tier"})
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,7 +24,7 @@
 from kestrelbend.gateway_settings import platform as terms
 from kestrelbend.hosting import Task
 from kestrelbend.interface import Delivery, Invocation, Result, State
-from kestrelbend.net import accept_queue, clients, configuration, connections, lines
+from kestrelbend.net import accept_queue, clients, configuration, connections, key_value_logging
 from kestrelbend.net.requests import Request
 from kestrelbend.net.gateway import reload, start
 from kestrelbend.net.accept_queue import AcceptQueue, Held
@@ -584,7 +584,7 @@
             assert (await world.ask(method="POST", body=bytes(1 << 17)))[0] == 413
             world.backends[0].play = ["endless"]
             assert (await world.ask())[0] == 200 and len(world.backends[0].seen) == 2
-            logging.getLogger("aiohttp.server").addFilter(lines.no_bad_requests)
+            logging.getLogger("aiohttp.server").addFilter(key_value_logging.no_bad_requests)
             for garbage in (b"\x00garbage\r\n\r\n", b"GET /op/c1 HTTP/1.1\r\n\r\n"):
                 reader, writer = await asyncio.open_connection(*world.listen)
                 writer.write(garbage)
@@ -809,7 +809,7 @@
     waited unread for 0.4 s, the machine told no age, and an end as much later left one without its answer."""
     monkeypatch.setattr(accept_queue, "age", lambda _: 0)
     monkeypatch.setattr(clients, "age", lambda _: 0)
-    monkeypatch.setattr(accept_queue, "MOST", most)
+    monkeypatch.setattr(accept_queue, "MAX_HELD", most)
     # It gets no turn.
     monkeypatch.setattr(AcceptQueue, "serve", lambda self: select.select([self.wake_read], [], []))
 
@@ -963,7 +963,11 @@
 
 def test_log_lines_are_key_value_or_json():
     record = logging.makeLogRecord({"msg": "two words", "levelname": "INFO", "about": 'a"b', "n": 3})
-    assert lines.Lines().format(record).endswith('level=info event="two words" about="a\\"b" n=3')
-    line = json.loads(lines.Lines("json").format(record))
+    assert (
+        key_value_logging.LogFormatter()
+        .format(record)
+        .endswith('level=info event="two words" about="a\\"b" n=3')
+    )
+    line = json.loads(key_value_logging.LogFormatter("json").format(record))
     assert line.pop("at").endswith("Z")
     assert line == {"level": "info", "event": "two words", "about": 'a"b', "n": 3}
