--- a/kestrelbend/tier/dataplane/app.py
+++ b/kestrelbend/tier/dataplane/app.py
@@ -92,6 +92,7 @@
             self.lifecycle.leave()
 
     async def _serve(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
+        """One request, as long as it counts as in flight."""
         begun = asyncio.get_running_loop().time()
         request_id = next((value for name, value in scope["headers"] if name == REQUEST_ID), None)
         client = Client(send, lambda: self.lifecycle.closes_connections, scope["http_version"], request_id)
@@ -125,7 +126,10 @@
     async def _read(
         self, scope: dict[str, Any], receive: Receive, table: ports.RoutingTable, begun: float
     ) -> Exchange | OwnAnswer:
-        """The request, by the configuration that is in force once it is complete.  Raises ClientGone."""
+        """The request, by the configuration in force once it is complete, or its rejection.
+
+        Raises ClientGone.  Nothing was sent for it yet.
+        """
         wrong = check_head(scope["headers"], table.limits)
         if wrong is not None:
             return wrong
@@ -224,7 +228,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self, bound: asyncio.Timeout) -> None:
-        """Begins to watch; `bound` ends the exchange's time."""
+        """Begins to watch; rescheduling `bound` ends the exchange's time."""
         self._task = asyncio.ensure_future(self._watch(bound))
 
     def stop(self) -> None:
@@ -250,6 +254,7 @@
 
 
 def _time_over(client: Client, progress: Progress) -> OwnAnswer | None:
+    """The answer at the deadline: 504 where the request may have run, else 503; None where one was begun."""
     if client.started:
         return None
     if progress.may_have_run:
@@ -258,6 +263,7 @@
 
 
 def _own_failure(client: Client, progress: Progress) -> OwnAnswer | None:
+    """The answer where this gateway failed: 502 where the request may have run, else 503; None as above."""
     if client.started:
         return None
     if progress.may_have_run:
--- a/kestrelbend/tier/dataplane/client.py
+++ b/kestrelbend/tier/dataplane/client.py
@@ -60,15 +60,15 @@
         self._request_id = request_id
         self._supports_chunked = http_version != "1.0"
         self._buffered: _BufferedAnswer | None = None
-        self.started = False
-        self.success = False
-        self.finished = False
-        self.gone = False
-        self.events = 0  # handed over
+        self.started = False  # from here on the client may hold a part of an answer
+        self.success = False  # its status is 2xx
+        self.finished = False  # the last part was given to the server
+        self.gone = False  # it closed its connection
+        self.events = 0  # complete events handed over
         self.before_end: Callable[[], None] = lambda: None
 
     async def start(self, status: int, headers: Headers) -> None:
-        """The head of the answer."""
+        """The head of the answer; it may be called once."""
         self.started = True
         self.success = 200 <= status < 300
         if self._closing():
@@ -79,7 +79,10 @@
             self._buffered = _BufferedAnswer(status, headers)
 
     async def body(self, data: bytes, more: bool) -> None:
-        """A part of the body; the last one ends the answer."""
+        """A part of the body; the last one (not `more`) ends the answer, and nothing may follow it.
+
+        Waits while the client reads more slowly than this is called.
+        """
         if not more:
             self.finished = True
             self.before_end()
--- a/kestrelbend/tier/dataplane/exchange.py
+++ b/kestrelbend/tier/dataplane/exchange.py
@@ -61,10 +61,10 @@
     body: bytes
     route: ports.Route
     service: ports.Service
-    begun: float
+    begun: float  # when the request came, on the loop's steady clock
     deadline: float
-    fields: dict[bytes, bytes]
-    chunked: bool
+    fields: dict[bytes, bytes]  # the headers by name; of repeated ones the first
+    chunked: bool  # the body came without a length, and leaves so
 
     @property
     def request_id(self) -> bytes:
@@ -110,7 +110,11 @@
 
 
 class Failure(enum.Enum):
-    """How a send ended without an answer of its own."""
+    """How a send ended without an answer of its own.
+
+    Hazard: a request that may run once only is sent again after what is `certainly_not_run` alone, so a new
+    member belongs to that only where no byte left or the backend promised it.
+    """
 
     NOT_EXECUTED = enum.auto()  # the backend says that it did not run the request
     OTHER_INSTANCE = enum.auto()  # another incarnation lives at this address: not run
--- a/kestrelbend/tier/dataplane/lifecycle.py
+++ b/kestrelbend/tier/dataplane/lifecycle.py
@@ -45,12 +45,12 @@
         """The gateway has once had what it needs."""
         return self._first_ready.is_set()
 
-    async def wait_until_ready(self, within: float) -> None:
-        """Until the gateway has once had what it needs, or for so many seconds."""
+    async def wait_until_ready(self, within_s: float) -> None:
+        """Until the gateway has once had what it needs, or for so many seconds; ask `was_ready` behind it."""
         if self.was_ready:
             return
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(within_s):
                 await self._first_ready.wait()
         except TimeoutError:
             pass
