--- a/tests/test_recorded_names.py
+++ b/tests/test_recorded_names.py
@@ -82,7 +82,7 @@
     async def story(world):
         await world.operator.change()
         await asyncio.sleep(3)
-        address = world.fleet.known_control_list()[0]
+        address = world.fleet.published_control_addresses()[0]
         await world.operator.retire(world.fleet.stores()[0].name, 20.0)
         for call in recorded:
             reply = await world.fleet.http.call(address, "GET", f"/api/{call}")
