--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -232,12 +232,14 @@
         from kestrelbend.gateway_settings.installation import Installation
         from kestrelbend.gateway_settings.toml_files import parse_toml
         from kestrelbend.fronts.grpc.authorisers import Authorisers
-        from kestrelbend.net.configuration import Told
+        from kestrelbend.net.configuration import GatewayConfiguration
         from kestrelbend.net.gateway import start
 
         http = free_port()
         stated = parse_toml(GATEWAY.format(http=http, discovery=port, timeout="3s"), Installation)
-        told = Told("bench", ("127.0.0.1", http), f"127.0.0.1:{port}", None, 7, 4000, None, stated.settings())
+        told = GatewayConfiguration(
+            "bench", ("127.0.0.1", http), f"127.0.0.1:{port}", None, 7, 4000, None, stated.settings()
+        )
         owner, serving = await start(told)
         owner.authorisers = Authorisers(
             [asking.Authoriser("a", f"127.0.0.1:{stand.port}", budget=0.25, when_silent="allow", repeats=0)],
--- a/kestrelbend/net/configuration.py
+++ b/kestrelbend/net/configuration.py
@@ -1,76 +1,106 @@
-"""What a gateway is told at its start: environment and configuration file, checked once."""
+"""What a gateway is given at its start, checked once.
+
+The platform states it by environment variables and a JSON file that one of them names; an installation of its
+own by a TOML file (`gateway_settings.installation`).
+"""
 
 from __future__ import annotations
 
 import json
 import os
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, Callable
+from typing import TYPE_CHECKING, Any, Final
 
 from ..gateway_settings.platform import Malformed, flatten, settings
 
+if TYPE_CHECKING:
+    from ..gateway_settings.installation import MembershipSettings
+
+Address = tuple[str, int]
+"""Host and port."""
+
+PORTS: Final = 65536  # they are below, and above 0
+DEFAULT_SOCKETS: Final = 1024
+HEXADECIMAL: Final = 16
+
 
 @dataclass(slots=True)
-class Told:
+class GatewayConfiguration:
+    """All that one gateway is given.
+
+    `discovery`: host:port of the discovery service. `counter`: the counter service, None where there is none.
+    `seed`: chance is drawn from it. `sockets`: descriptors that the process may hold. `known`: the endpoint
+    list as this gateway last had it, in discovery's form. `settings`: the names and values that the decisions
+    pick from. `again`: reads anew what may have been replaced since; raises `Malformed`. `logs`: form and
+    level of the log. `members`: set where gateways may speak; `news`: where they announce use to each other.
+    `checks` (`fronts.attributes.Checks`) and `authorisers` (`fronts.asking.Authoriser`): external
+    authorisation, both ways.
+    """
+
     name: str
-    listen: tuple[str, int]
-    discovery: str  # host:port
-    counter: tuple[str, int] | None
+    listen: Address
+    discovery: str
+    counter: Address | None
     seed: int
-    sockets: int  # descriptors that the process may hold
-    known: dict[str, Any] | None  # the list as this gateway last had it
+    sockets: int
+    known: dict[str, Any] | None
     settings: dict[str, Any]
-    again: Callable[[], Told] | None = None  # reads anew what may have been replaced since
+    again: Callable[[], GatewayConfiguration] | None = None
     logs: tuple[str, str] = ("key-value", "info")
-    members: Any = None  # gateway_settings.installation.MembershipSettings, where gateways may speak
-    news: Any = None  # NewsTold, where gateways tell each other of use
-    checks: Any = None  # fronts.attributes.Checks
-    authorisers: Any = ()  # fronts.asking.Authoriser
+    members: MembershipSettings | None = None
+    news: UsageExchangeAddresses | None = None
+    checks: Any = None
+    authorisers: Any = ()
 
 
 @dataclass(slots=True)
-class NewsTold:
-    listen: tuple[str, int]
-    peers: list[tuple[str, int]]  # by the gateways' numbers
-    all: tuple[str, int]
-    most_in: float  # datagrams that a gateway takes a second
+class UsageExchangeAddresses:
+    """Where the platform's gateways announce use to each other.
+
+    `peers`: by the gateways' numbers. `all`: one address that reaches all of them. `most_in`: datagrams that
+    a gateway takes a second.
+    """
+
+    listen: Address
+    peers: list[Address]
+    all: Address
+    most_in: float
 
 
-def address(text: object, what: str) -> tuple[str, int]:
+def address(text: object, what: str) -> Address:
     """Host and port of `host:port`; raises `Malformed`, which names `what` the text is."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not host or not port.isdecimal() or not 0 < int(port) < PORTS:
         raise Malformed(f"{what}: not an address: {text!r}")
     return host, int(port)
 
 
-def read(env, anew=False):
-    """`anew`: the file was replaced since the start, and its word goes before that of the environment."""
+def read(env: Mapping[str, str], anew: bool = False) -> GatewayConfiguration:
+    """What the platform gives, by its environment variables and the file that `ROUTER_CONFIG` names.
+
+    Raises `Malformed`, which says what is wrong where. `anew`: the file was replaced since the start, and
+    what it states goes before the environment.
+    """
     path = env.get("ROUTER_CONFIG")
     if not path:
         raise Malformed("ROUTER_CONFIG names no configuration file")
-    try:
-        with open(path, encoding="utf-8") as file:
-            given = json.load(file)
-    except (OSError, ValueError) as trouble:
-        raise Malformed(f"{path}: {trouble}") from None
-    if not isinstance(given, dict) or not isinstance(given.get("settings"), dict):
-        raise Malformed(f"{path}: holds no settings")
+    given = _read_json(path)
 
-    def need(variable, key):
+    def need(variable: str, key: str) -> Any:
         value = given.get(key) or env.get(variable) if anew else env.get(variable) or given.get(key)
         if not value:
             raise Malformed(f"neither {variable} nor {key!r} in {path} is given")
         return value
 
     try:
-        seed = int(str(given.get("seed", "0")), 16)
-        sockets = int(given.get("limits", {}).get("sockets", 1024))
-    except (ValueError, AttributeError, TypeError) as trouble:
-        raise Malformed(f"{path}: {trouble}") from None
+        seed = int(str(given.get("seed", "0")), HEXADECIMAL)
+        sockets = int(given.get("limits", {}).get("sockets", DEFAULT_SOCKETS))
+    except (ValueError, AttributeError, TypeError) as error:
+        raise Malformed(f"{path}: {error}") from None
     discovery = need("ROUTER_DISCOVERY", "discovery")
     address(discovery, "discovery")
-    return Told(
+    return GatewayConfiguration(
         name=need("ROUTER_NAME", "name"),
         listen=address(need("ROUTER_LISTEN", "listen"), "listen"),
         discovery=discovery,
@@ -85,20 +115,30 @@
     )
 
 
-def platform_news(env, given):
-    """News of use on the platform: where the settings allow messages between gateways, and none other than
-    these are sent."""
-    stated, limits = given["settings"], given["settings"].get("policyLimits", {})
+def _read_json(path: str) -> dict[str, Any]:
+    try:
+        with open(path, encoding="utf-8") as file:
+            given = json.load(file)
+    except (OSError, ValueError) as error:
+        raise Malformed(f"{path}: {error}") from None
+    if not isinstance(given, dict) or not isinstance(given.get("settings"), dict):
+        raise Malformed(f"{path}: holds no settings")
+    return given
+
+
+def platform_news(env: Mapping[str, str], given: Mapping[str, Any]) -> UsageExchangeAddresses | None:
+    """Announcements of use on the platform; None where there are none.
+
+    They are sent where the settings allow messages between gateways, and none other than these are sent.
+    """
+    stated = given["settings"]
+    limits = stated.get("policyLimits", {})
     most_in = stated.get("familyInfo", {}).get("peerInPerS", 0)
-    off = env.get("KESTRELBEND_MEMBERS") or env.get("KESTRELBEND_NEWS") == "off"
-    if (
-        off
-        or not limits.get("peers")
-        or not most_in
-        or not all(given.get(name) for name in ("peer_listen", "peers", "peers_all"))
-    ):
+    is_off = env.get("KESTRELBEND_MEMBERS") or env.get("KESTRELBEND_NEWS") == "off"
+    has_addresses = all(given.get(name) for name in ("peer_listen", "peers", "peers_all"))
+    if is_off or not limits.get("peers") or not most_in or not has_addresses:
         return None
-    return NewsTold(
+    return UsageExchangeAddresses(
         listen=address(given["peer_listen"], "peer_listen"),
         most_in=float(most_in),
         peers=[address(peer, "peers") for peer in given["peers"]],
@@ -106,15 +146,21 @@
     )
 
 
-def platform_members(env, given):
-    """Membership on the platform: where KESTRELBEND_MEMBERS names a file with the keys, and the settings
-    allow messages.  The peers are the platform's; the one with this gateway's number is its own."""
-    path, limits = env.get("KESTRELBEND_MEMBERS"), given["settings"].get("policyLimits", {})
+def platform_members(env: Mapping[str, str], given: Mapping[str, Any]) -> MembershipSettings | None:
+    """Membership on the platform; None where there is none, raises `Malformed`.
+
+    There is one where KESTRELBEND_MEMBERS names a file with the keys, and the settings allow messages. The
+    peers are the platform's; the one with this gateway's number is its own.
+    """
+    path = env.get("KESTRELBEND_MEMBERS")
+    limits = given["settings"].get("policyLimits", {})
     if not path or not limits.get("peers") or not given.get("peer_listen") or not given.get("peers"):
         return None
+    # Loaded only where it is needed: a start is short of CPU.
+    import tomllib
+
     from ..gateway_settings.installation import Members
     from ..gateway_settings.toml_files import InvalidFile, convert
-    import tomllib
 
     try:
         with open(path, "rb") as file:
@@ -125,29 +171,30 @@
             "peers": list(given["peers"]),
             "seen_at": given["peers"][number],
         }
-        made, faults = convert(Members, stated)
+        members, faults = convert(Members, stated)
         if faults:
             raise InvalidFile(path, faults)
-    except (OSError, ValueError, IndexError, InvalidFile) as trouble:
-        raise Malformed(f"KESTRELBEND_MEMBERS: {trouble}") from None
-    return made.resolved(env.get("ROUTER_NAME") or given["name"])
+    except (OSError, ValueError, IndexError, InvalidFile) as error:
+        raise Malformed(f"KESTRELBEND_MEMBERS: {error}") from None
+    assert members is not None  # without faults there is an instance
+    return members.resolved(env.get("ROUTER_NAME") or given["name"])
 
 
-def read_file(path):
-    """An installation's own file (TOML); raises Malformed with all that is wrong with it."""
+def read_file(path: str) -> GatewayConfiguration:
+    """An installation's own file (TOML); raises `Malformed` with all that is wrong with it."""
     from ..gateway_settings.installation import Installation
     from ..gateway_settings.toml_files import InvalidFile, read_toml
 
     try:
         stated = read_toml(path, Installation)
-    except InvalidFile as wrong:
-        raise Malformed(str(wrong)) from None
-    return Told(
+    except InvalidFile as error:
+        raise Malformed(str(error)) from None
+    return GatewayConfiguration(
         name=stated.name,
         listen=stated.listen.pair,
         discovery=str(stated.discovery),
         counter=stated.counter_at.pair if stated.counter_at else None,
-        seed=int(stated.seed, 16),
+        seed=int(stated.seed, HEXADECIMAL),
         sockets=stated.limits.sockets,
         known=None,
         settings=stated.settings(),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,7 +14,7 @@
 from kestrelbend.interface import Result
 from kestrelbend.lab.loopback import free_address
 from kestrelbend.net import configuration
-from kestrelbend.net.configuration import Told
+from kestrelbend.net.configuration import GatewayConfiguration
 from kestrelbend.net.gateway import start
 
 MS = 1000
@@ -266,7 +266,7 @@
         self.rows = [row(f"s{n}", backend) for n, backend in enumerate(self.backends)]
         self.discovery = await StandDiscovery(*self.rows).open()
         self.listen = free_address()
-        self.told = Told(
+        self.told = GatewayConfiguration(
             "n0",
             self.listen,
             self.discovery.address,
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from kestrelbend.interface import Result, State
-from kestrelbend.net.configuration import NewsTold, platform_news
+from kestrelbend.net.configuration import UsageExchangeAddresses, platform_news
 from kestrelbend.net.news import NewsPeer
 from kestrelbend.shares import messages
 from kestrelbend.shares.errors import UnreadableUsageDatagram
@@ -200,7 +200,7 @@
         places, fronts = [free_address(), free_address()], [Front(index=n) for n in (0, 1)]
         peers, queues = [], [asyncio.Queue(), asyncio.Queue()]
         for n, front in enumerate(fronts):
-            told = NewsTold(places[n], places, places[1 - n], 600.0)
+            told = UsageExchangeAddresses(places[n], places, places[1 - n], 600.0)
             owner = SimpleNamespace(settings=front.inst.settings, gateway=front.gateway)
             peers.append(NewsPeer(told, queues[n], owner))
             await peers[n].start(0.1)
