--- a/kestrelbend/fronts/grpc/authorisers.py
+++ b/kestrelbend/fronts/grpc/authorisers.py
@@ -9,7 +9,7 @@
 from envoy.service.auth.v3 import external_auth_pb2, external_auth_pb2_grpc
 
 from ...interface import Result
-from ...net.tally import counters
+from ...net.metrics import counters
 from ..asking import Asking, Verdict
 
 log = logging.getLogger(__name__)
--- a/kestrelbend/fronts/grpc/check.py
+++ b/kestrelbend/fronts/grpc/check.py
@@ -18,8 +18,8 @@
 from google.rpc import code_pb2, status_pb2
 
 from ...interface import Result
-from ...net.requests import Asked
-from ...net.tally import counters
+from ...net.metrics import counters
+from ...net.requests import IncomingRequest
 from ..attributes import Bad, Told, read
 from .service import Service
 
@@ -27,7 +27,7 @@
 MARGIN = 0.005  # seconds before a check's own deadline by which it is answered
 
 
-class Check(Asked):
+class Check(IncomingRequest):
     """A check as the owner sees it: what a `net.requests.Request` has, less its bytes."""
 
     __slots__ = ("front", "delivery", "timer")
--- a/kestrelbend/net/accept_queue.py
+++ b/kestrelbend/net/accept_queue.py
@@ -42,7 +42,7 @@
 TIMEOUT: Final = re.compile(rb"\r\nX-Timeout:[ \t]*([0-9.]{1,16})[ \t]*\r\n", re.IGNORECASE)
 
 
-def place(env: Mapping[str, str], path: str | None = None) -> tuple[str, int] | None:
+def listen_address(env: Mapping[str, str], path: str | None = None) -> tuple[str, int] | None:
     """Host and port to listen at, by the installation's file at `path` or by the platform's environment.
 
     None: it cannot be told. What is wrong with a configuration is said by those who read all of it.
@@ -57,7 +57,7 @@
         return None
 
 
-def most_held(env: Mapping[str, str], path: str | None = None) -> int:
+def max_held(env: Mapping[str, str], path: str | None = None) -> int:
     """How many connections to hold, by the descriptors that the configuration allows."""
     try:
         descriptors = int(_read_configuration(path or env["ROUTER_CONFIG"])["limits"]["sockets"])
@@ -88,7 +88,7 @@
     return 1000 * int.from_bytes(info[LAST_DATA_RECEIVED], sys.byteorder)
 
 
-class Held:
+class HeldConnection:
     """A connection whose request, as far as it has come (`data`), waits for the gateway.
 
     `came`: when the last byte came, `refused`: when it was refused, in monotonic nanoseconds. `wait`: the
@@ -159,10 +159,10 @@
 
     def __init__(self, listener: socket.socket, most: int | None = None) -> None:
         self.listener = listener
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, HeldConnection] = {}
         self.refused = 0
         self.most = MAX_HELD if most is None else most
-        self.ending: dict[int, Held] = {}
+        self.ending: dict[int, HeldConnection] = {}
         self.empty = time.monotonic_ns()
         self.wake_read, self.wake_write = os.pipe()
         self.poll = select.poll()
@@ -175,11 +175,11 @@
     @classmethod
     def open(cls, env: Mapping[str, str], path: str | None = None) -> AcceptQueue | None:
         """None where it cannot listen: the gateway, once loaded, waits for its address or says why."""
-        at = place(env, path)
+        at = listen_address(env, path)
         if at is None:
             return None
         try:
-            return cls(socket.create_server(at, backlog=BACKLOG), most_held(env, path))
+            return cls(socket.create_server(at, backlog=BACKLOG), max_held(env, path))
         except (OSError, OverflowError):
             return None
 
@@ -229,14 +229,14 @@
                 return
             except OSError:
                 return
-            held = self.held[connection.fileno()] = Held(connection)
+            held = self.held[connection.fileno()] = HeldConnection(connection)
             self.poll.register(connection.fileno(), select.POLLIN)
             if len(self.held) == self.most:
                 self.poll.unregister(self.listener.fileno())
             if not held.read(self.empty):
                 self._drop(connection.fileno())
 
-    def _leave(self, fd: int) -> Held:
+    def _leave(self, fd: int) -> HeldConnection:
         """One that is held no longer; there is room for another one."""
         if len(self.held) == self.most:
             self.poll.register(self.listener.fileno(), select.POLLIN)
@@ -251,7 +251,7 @@
             self.poll.unregister(fd)
         self.ending.pop(fd).socket.close()
 
-    def hand_over(self) -> tuple[socket.socket, list[Held]]:
+    def hand_over(self) -> tuple[socket.socket, list[HeldConnection]]:
         """The listening socket and what is held; the thread has ended.
 
         It may not have had a turn for long while others were loading, so what waits is taken in here.
--- a/kestrelbend/net/answers.py
+++ b/kestrelbend/net/answers.py
@@ -18,7 +18,7 @@
 from .accept_queue import age
 from .closing import readable
 from .counter import LOOP_TURN_S
-from .tally import counters
+from .metrics import counters
 from .trust import REST_S, Trust
 
 if TYPE_CHECKING:
--- a/kestrelbend/net/backends.py
+++ b/kestrelbend/net/backends.py
@@ -14,7 +14,7 @@
 from .headers import PASSED_BACK, load_report, passed_on, reported_number
 from .connection_pool import ConnectionPool
 from .sending import NotWanted, Sending, Settling, Stale
-from .tally import counters
+from .metrics import counters
 from .trust import REST_S, Trust
 
 
--- a/kestrelbend/net/clients.py
+++ b/kestrelbend/net/clients.py
@@ -12,10 +12,10 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from .accept_queue import Held, age
+from .accept_queue import HeldConnection, age
 from .connections import LONGEST_BODY, SETTLE, Server
 from .requests import Request
-from .tally import counters, must
+from .metrics import counters, must
 
 log = logging.getLogger(__name__)
 READY, MEMBERS = "/_health", "/_members"
@@ -135,7 +135,7 @@
         connection.setblocking(False)
         if self.behind is None:
             return connection, None
-        held = Held(connection)
+        held = HeldConnection(connection)
         held.read(self.behind)  # one whose client left is noticed as any other
         return connection, held
 
--- a/kestrelbend/net/closing.py
+++ b/kestrelbend/net/closing.py
@@ -11,7 +11,7 @@
 import select
 from typing import Any, Final
 
-from .tally import Sockets
+from .metrics import DescriptorLimits
 
 CLOSE_TIMEOUT_S: Final = 0.5  # after the last byte is handed to the machine; the rest is the client's loss
 
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, transport: asyncio.Transport, loop: asyncio.AbstractEventLoop, sockets: Sockets
+        self, transport: asyncio.Transport, loop: asyncio.AbstractEventLoop, sockets: DescriptorLimits
     ) -> None:
         self.transport = transport
         self.loop = loop
--- a/kestrelbend/net/connection_pool.py
+++ b/kestrelbend/net/connection_pool.py
@@ -19,8 +19,8 @@
 
 from .answers import Answers
 from .counter import LOOP_TURN_S, MICROSECONDS_OF_SECOND
+from .metrics import must
 from .sending import TURNS, trace
-from .tally import must
 from .trust import REST_S, Trust
 
 AUTO_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
--- a/kestrelbend/net/connections.py
+++ b/kestrelbend/net/connections.py
@@ -13,9 +13,9 @@
 
 from aiohttp import web
 
-from .accept_queue import Held
+from .accept_queue import HeldConnection
 from .closing import HalfClosingTransport, readable
-from .tally import Sockets, counters
+from .metrics import DescriptorLimits, counters
 
 LONGEST_BODY: Final = 1 << 16  # bytes, by the protocol
 QUIET_S: Final = 2.0  # a connection with no open request may end after that, by the protocol
@@ -40,7 +40,7 @@
     _manager: Server | None
     closing: HalfClosingTransport
 
-    def __init__(self, server: Server, held: Held | None = None, **options: Any) -> None:
+    def __init__(self, server: Server, held: HeldConnection | None = None, **options: Any) -> None:
         super().__init__(server, **options)
         self.since = self._loop.time()
         self.begun = False
@@ -110,7 +110,7 @@
     first. `fresh`: those that never did, oldest first. A connection is in one of the latter three at most.
     """
 
-    def __init__(self, handle: Handler, sockets: Sockets) -> None:
+    def __init__(self, handle: Handler, sockets: DescriptorLimits) -> None:
         super().__init__(
             handle,
             request_factory=self.message,
@@ -125,7 +125,7 @@
         self.idle: dict[Connection, None] = {}
         self.fresh: dict[Connection, None] = {}
 
-    def __call__(self, held: Held | None = None) -> Connection:
+    def __call__(self, held: HeldConnection | None = None) -> Connection:
         """The handler of a new connection; `held`: what the accept queue has read of it."""
         return Connection(self, held, loop=self._loop, **self._kwargs)
 
--- a/kestrelbend/net/counter.py
+++ b/kestrelbend/net/counter.py
@@ -16,7 +16,7 @@
 import hiredis
 
 from ..interface import Result
-from .tally import counters
+from .metrics import counters
 
 MAX_CONNECTIONS: Final = 8
 LOOP_TURN_S: Final = 0.001  # the loop reads its sockets once before a timer so far off
--- a/kestrelbend/net/datagrams.py
+++ b/kestrelbend/net/datagrams.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any, cast
 
-from .tally import counters
+from .metrics import counters
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
--- a/kestrelbend/net/endpoint_discovery.py
+++ b/kestrelbend/net/endpoint_discovery.py
@@ -21,7 +21,7 @@
 from ..gateway_settings.platform import Malformed
 from ..interface import State
 from .configuration import address
-from .tally import counters
+from .metrics import counters
 
 log = logging.getLogger(__name__)
 
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/net/gateway.py
@@ -15,13 +15,13 @@
 from ..gateway_settings.platform import Malformed
 from ..duties import probes_shared
 from ..interface import State
-from . import configuration, key_value_logging, tally
+from . import configuration, key_value_logging, metrics
 from .backends import Backends
 from .clients import Clients
 from .counter import CounterService
 from .owner import Owner
 from .endpoint_discovery import EndpointDiscovery, entries
-from .tally import counters
+from .metrics import counters
 
 LINGER_S = 0.5  # new connections go on coming so long after SIGTERM
 
@@ -47,7 +47,7 @@
         {**told.settings, "may_probe": told.settings["may_probe"] and not shares}, told.seed, clock, queue
     )
     owner.gateway.context.started_at -= loading
-    sockets = tally.Sockets(told.sockets)
+    sockets = metrics.DescriptorLimits(told.sockets)
     owner.backend_peer = Backends(queue, clock, told.settings, sockets)
     owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_peer.renew, longest(told))
     owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter.timeout)
@@ -121,7 +121,7 @@
 
 def tell(owner):
     """SIGUSR1."""
-    tally.report()
+    metrics.report()
     if owner.peers is not None:
         owner.peers.report()
 
@@ -132,7 +132,7 @@
     loop.add_signal_handler(signal.SIGHUP, replaced.set)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    loop.add_signal_handler(signal.SIGUSR1, tally.report)
+    loop.add_signal_handler(signal.SIGUSR1, metrics.report)
     for happened, event in ((early.stopped, stop), (early.replaced, replaced)):
         if happened:
             event.set()
@@ -157,7 +157,7 @@
     await asyncio.gather(*leaving)
     if owner.authorisers is not None:
         await owner.authorisers.end()
-    tally.report()
+    metrics.report()
 
 
 def serve(early, accept_queue, path=None):
--- a/kestrelbend/net/headers.py
+++ b/kestrelbend/net/headers.py
@@ -8,8 +8,8 @@
 from typing import Final
 
 from ..gateway_settings.platform import LOADS
+from .metrics import counters
 from .requests import bounded
-from .tally import counters
 
 # They belong to one connection (RFC 9110, section 7.6.1), or are written anew for the next.
 NOT_PASSED: Final = {
--- a/kestrelbend/net/key_value_logging.py
+++ b/kestrelbend/net/key_value_logging.py
@@ -11,7 +11,7 @@
 
 from aiohttp.http_exceptions import HttpProcessingError
 
-from .tally import counters
+from .metrics import counters
 
 FIRST_KEYS: Final = ("at", "level", "event")
 KEY_VALUE: Final = "key-value"
--- a/kestrelbend/net/tally.py
+++ b/kestrelbend/net/metrics.py
@@ -16,7 +16,7 @@
 """The process's counters by their printed names."""
 
 
-class Sockets:
+class DescriptorLimits:
     """Who may hold how many of the process's descriptors.
 
     Half are for clients at most, and a sixteenth for those of them that are half closed; three eighths are
--- a/kestrelbend/net/news.py
+++ b/kestrelbend/net/news.py
@@ -8,7 +8,7 @@
 from ..shares.errors import UnreadableUsageDatagram
 from ..shares.exchange import MeteredUsageExchange
 from .datagrams import DatagramReceiver
-from .tally import counters
+from .metrics import counters
 
 log = logging.getLogger(__name__)
 
--- a/kestrelbend/net/owner.py
+++ b/kestrelbend/net/owner.py
@@ -7,7 +7,7 @@
 
 from ..hosting import Host
 from ..interface import Invocation, Result, State
-from .tally import counters, must
+from .metrics import counters, must
 
 log = logging.getLogger(__name__)
 FAULTS_LOGGED = 20
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/net/peers.py
@@ -16,7 +16,7 @@
 from ..membership.parameters import SwimParameters
 from ..membership.swim import SwimNode
 from .datagrams import DatagramReceiver
-from .tally import counters
+from .metrics import counters
 
 log = logging.getLogger(__name__)
 MS = 1000
--- a/kestrelbend/net/requests.py
+++ b/kestrelbend/net/requests.py
@@ -53,7 +53,7 @@
         """Whether its client has closed it, as far as the loop has read."""
 
 
-class Asked:
+class IncomingRequest:
     """What the owner needs to know of one request, whichever way it came.
 
     `id`, `operation`, `plan`, `customer`: what it asks for, in whose name. `wait`: seconds that it may take,
@@ -91,7 +91,7 @@
         self.answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
 
-class Request(Asked):
+class Request(IncomingRequest):
     """One HTTP request as it came, and the fields that decisions need; raises `MalformedRequest`.
 
     `settings`: the gateway's; `gateways` and `most_units` are read.
--- a/kestrelbend/net/sending.py
+++ b/kestrelbend/net/sending.py
@@ -14,7 +14,7 @@
 
 from ..errors import GatewayError
 from ..interface import RepeatEffect, State
-from .tally import Sockets, counters
+from .metrics import DescriptorLimits, counters
 
 if TYPE_CHECKING:
     from ..decisions.state import BackendState
@@ -53,7 +53,7 @@
 class SendingPeer(Protocol):
     """What a sending asks of the gateway's backends (`backends.Backends`)."""
 
-    sockets: Sockets
+    sockets: DescriptorLimits
     connecting: int
     """Connections being made."""
     endpoints: Mapping[Any, str]
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -24,7 +24,7 @@
 from kestrelbend.fronts.grpc.authorisers import Authorisers
 from kestrelbend.fronts.grpc.check import Checks as Front
 from kestrelbend.lab.grpc_stands import StandAuthoriser, StandProxy
-from kestrelbend.net.tally import counters
+from kestrelbend.net.metrics import counters
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -18,7 +18,7 @@
 from kestrelbend.gateway_settings import platform, toml_files, units
 from kestrelbend.gateway_settings.installation import Installation
 from kestrelbend.net import configuration
-from kestrelbend.net.accept_queue import place
+from kestrelbend.net.accept_queue import listen_address
 from tests.helpers import World
 from tests.test_net import run
 
@@ -181,7 +181,7 @@
                     for line in text.splitlines()
                 )
             path.write_text(text)
-            assert place({}, str(path)) == tuple(world.listen)
+            assert listen_address({}, str(path)) == tuple(world.listen)
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,8 +25,8 @@
 from kestrelbend.net import endpoint_discovery, sending
 from kestrelbend.net.answers import Answers
 from kestrelbend.net.gateway import start
-from kestrelbend.net.accept_queue import AcceptQueue, Held
-from kestrelbend.net.tally import counters
+from kestrelbend.net.accept_queue import AcceptQueue, HeldConnection
+from kestrelbend.net.metrics import counters
 from kestrelbend.net.trust import FIRST_RESTS, REST_S
 
 from .helpers import StandDiscovery, World, free_address, read_request, row
@@ -774,7 +774,7 @@
         async with World() as world:
             waits = socket.create_server(("127.0.0.1", 0))
             ends = [plain(waits.getsockname()), await asyncio.open_connection(*world.listen)]
-            await world.owner.clients.adopt(waits.accept()[0], Held(plain(world.listen)))
+            await world.owner.clients.adopt(waits.accept()[0], HeldConnection(plain(world.listen)))
             assert (await world.ask(on=ends[1]))[0] == 200
             for handler in world.owner.clients.server.open:
                 connection = handler.transport.get_extra_info("socket")
@@ -931,7 +931,7 @@
             waits, whole = socket.create_server(("127.0.0.1", 0)), request(1)
             client = plain(waits.getsockname())
             client.send(whole[:40] if part is None else part)
-            held = Held(waits.accept()[0])
+            held = HeldConnection(waits.accept()[0])
             await asyncio.sleep(0.02)
             held.read(time.monotonic_ns())
             client.send(whole[40:] if part is None else whole[len(part) :])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,9 +27,9 @@
 from kestrelbend.net import accept_queue, clients, configuration, connections, key_value_logging
 from kestrelbend.net.requests import Request
 from kestrelbend.net.gateway import reload, start
-from kestrelbend.net.accept_queue import AcceptQueue, Held
+from kestrelbend.net.accept_queue import AcceptQueue, HeldConnection
 from kestrelbend.net.endpoint_discovery import entries
-from kestrelbend.net.tally import counters
+from kestrelbend.net.metrics import counters
 
 from .helpers import BASE, StandCounter, StandDiscovery, World, free_address, row
 
@@ -768,7 +768,7 @@
         socket.create_server(("127.0.0.1", 0)) as server,
         socket.create_connection(server.getsockname()) as client,
     ):
-        held = Held(server.accept()[0])
+        held = HeldConnection(server.accept()[0])
         client.sendall(b"GET /")
         time.sleep(0.2)
         assert held.read(time.monotonic_ns()) and 0.15e9 < time.monotonic_ns() - held.came < 2e9
