--- a/kestrelbend/tier/fleet/__init__.py
+++ b/kestrelbend/tier/fleet/__init__.py
@@ -1,10 +1,10 @@
 """The whole tier in one process on virtual time: the real processes over links, disks and machines in memory.
 
-    loop, network, disks, http   virtual time, connections, files and calls from outside, in memory
+    loop, network, connection    virtual time, and connections between machines in memory
+    disks, http                  files in memory, and calls from outside
     machines, settings           processes and their environment; what the platform writes for them
     topology                     zones, delays, and the published control addresses
-    loop, network, connection    virtual time, and connections between machines in memory
-    disks, http                  files, and calls from outside
+    fleet, contact               all machines and what is done to them; which of them are in contact
     operator, backends, programs the callers, each with the rules of the answers that it gets
     rules, watch, answers        what must hold throughout a day, and in the calm at its end
     faults, day, world           the kinds of fault, a day drawn by a seed, and how a day or a story is played
--- a/kestrelbend/tier/fleet/faults/machines.py
+++ b/kestrelbend/tier/fleet/faults/machines.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import random
 
 from ..fleet import GRACE_S
@@ -22,6 +23,14 @@
 LONG_S = 9.0  # long enough for others to take the place of what is gone
 
 
+class Outage(enum.Enum):
+    """How the processes of a machine come to rest."""
+
+    KILL = enum.auto()
+    POWER = enum.auto()
+    FREEZE = enum.auto()
+
+
 @fault("kill", affects_quorum=True)
 async def kill(world: World, rng: random.Random) -> None:
     """SIGKILL to a machine's processes or one of them, and back after a while, a long one at times."""
@@ -161,15 +170,21 @@
 async def gateway_kill(world: World, rng: random.Random) -> None:
     """Gateways without a disk are killed, lose power, or stand still."""
     machines = [machine for machine in diskless_gateways(world) if rng.random() < 0.6]
-    how = rng.choice(("kill", "power", "freeze"))
+    outage = rng.choice((Outage.KILL, Outage.POWER, Outage.FREEZE))
     for machine in machines:
-        if how == "freeze":
-            world.fleet.freeze(machine)
-        else:
-            (world.fleet.kill if how == "kill" else world.fleet.lose_power)(machine)
+        match outage:
+            case Outage.KILL:
+                world.fleet.kill(machine)
+            case Outage.POWER:
+                world.fleet.lose_power(machine)
+            case Outage.FREEZE:
+                world.fleet.freeze(machine)
     await asyncio.sleep(rng.uniform(0.3, 3.0))
     for machine in machines:
-        (world.fleet.thaw if how == "freeze" else world.fleet.start)(machine)
+        if outage == Outage.FREEZE:
+            world.fleet.thaw(machine)
+        else:
+            world.fleet.start(machine)
 
 
 @fault("gateway_term", affects_quorum=False)
--- a/kestrelbend/tier/fleet/faults/network.py
+++ b/kestrelbend/tier/fleet/faults/network.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import random
 
 from ..machines import Machine
@@ -69,6 +70,14 @@
 LONG_CUT_S = (18.0, 22.0)
 
 
+class Dropped(enum.Enum):
+    """Which packets of a machine a partition drops."""
+
+    BOTH = enum.auto()
+    OUTBOUND = enum.auto()
+    INBOUND = enum.auto()
+
+
 @fault("long_cut", affects_quorum=True)
 async def long_cut(world: World, rng: random.Random) -> None:
     """A control machine is cut off for about 20 s, either way or both; others begin and change beside it."""
@@ -76,11 +85,11 @@
         world.fleet.control_machines()
     )
     others = [other for other in world.fleet.machines.values() if other is not machine]
-    way = rng.choice(("both", "out", "in"))
-    if way == "in":
+    dropped = rng.choice((Dropped.BOTH, Dropped.OUTBOUND, Dropped.INBOUND))
+    if dropped == Dropped.INBOUND:
         world.fleet.partition_inbound(machine, others)
     else:
-        world.fleet.partition(machine, others, one_way=way == "out")
+        world.fleet.partition(machine, others, one_way=dropped == Dropped.OUTBOUND)
     ends = world.fleet.now() + rng.uniform(*LONG_CUT_S)
     while world.fleet.now() < ends:
         await rng.choice(BESIDE)(world, rng, machine)
--- a/kestrelbend/tier/fleet/operator.py
+++ b/kestrelbend/tier/fleet/operator.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import enum
 import json
 import random
 from collections.abc import Iterator
@@ -27,6 +28,14 @@
 READ_BACK_S = 15.0  # until a read without an answer is given up
 
 
+class Mistake(enum.Enum):
+    """What is wrong with an invalid order."""
+
+    CUT_SHORT = enum.auto()
+    UNKNOWN_SERVICE = enum.auto()
+    OLD_VERSION = enum.auto()
+
+
 @attrs.define(eq=False)
 class Order:
     """One change; its `number` stands in the configuration that it brings."""
@@ -117,10 +126,10 @@
         """An order that must be refused."""
         order = self.put()
         order.valid = False
-        how = self._random.choice(("cut short", "unknown service", "old version"))
-        if how == "cut short":
+        mistake = self._random.choice((Mistake.CUT_SHORT, Mistake.UNKNOWN_SERVICE, Mistake.OLD_VERSION))
+        if mistake == Mistake.CUT_SHORT:
             order.body = order.body[: len(order.body) // 2]
-        elif how == "unknown service":
+        elif mistake == Mistake.UNKNOWN_SERVICE:
             order.body = order.body.replace(b'"Upstream": "tools"', b'"Upstream": "nobody"')
         else:
             order.version = self.version
