--- a/kestrelbend/tier/dataplane/forward.py
+++ b/kestrelbend/tier/dataplane/forward.py
@@ -155,6 +155,7 @@
             last = b"%d" % history.position
 
         async def attempt(second: bool) -> Opened | Failure:
+            """One of at most two attempts side by side; the second needs a connection of its own."""
             history.sends += 1
             sending = Sending(backend, last, fresh=second or history.runs > 0)
             return await self._attempter.attempt(exchange, sending, history.position, delivery.progress)
--- a/kestrelbend/tier/dataplane/reported_load.py
+++ b/kestrelbend/tier/dataplane/reported_load.py
@@ -13,6 +13,7 @@
 SMOOTHING = 0.4  # of the newest report in the mean
 EXPIRY_S = 4.0  # a mean of this age says nothing any more
 MAX_DIGITS = 6
+REPORT_FIELDS = 3  # requests running, requests waiting, slots
 
 
 @attrs.define
@@ -65,6 +66,6 @@
     if report is None:
         return None
     parts = [part.strip() for part in report.split(b",")]
-    if len(parts) != 3 or not all(part.isdigit() and len(part) <= MAX_DIGITS for part in parts):
+    if len(parts) != REPORT_FIELDS or not all(part.isdigit() and len(part) <= MAX_DIGITS for part in parts):
         return None
     return int(parts[0]) + int(parts[1])
