--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -196,7 +196,7 @@
     """Thirty seconds of clients at a gateway whose authoriser stands still from 10 s to 20 s."""
     from aiohttp import ClientSession, web
 
-    from kestrelbend.fronts import asking
+    from kestrelbend.gateway.external_authorization import asking
 
     async def measure(name):
         stand = await StandAuthoriser().start()
@@ -229,11 +229,11 @@
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         port = runner.addresses[0][1]
-        from kestrelbend.gateway_settings.installation import Installation
-        from kestrelbend.gateway_settings.toml_files import parse_toml
-        from kestrelbend.fronts.grpc.authorisers import Authorisers
-        from kestrelbend.net.configuration import GatewayConfiguration
-        from kestrelbend.net.gateway import start
+        from kestrelbend.gateway.settings.installation import Installation
+        from kestrelbend.gateway.settings.toml_files import parse_toml
+        from kestrelbend.gateway.external_authorization.grpc.authorisers import Authorisers
+        from kestrelbend.gateway.net.configuration import GatewayConfiguration
+        from kestrelbend.gateway.net.gateway import start
 
         http = free_port()
         stated = parse_toml(GATEWAY.format(http=http, discovery=port, timeout="3s"), Installation)
--- a/benchmarks/late_second_answers.py
+++ b/benchmarks/late_second_answers.py
@@ -12,7 +12,7 @@
 
 import random
 
-from kestrelbend.net.trust import REST_S, TIMES_KEPT, Trust
+from kestrelbend.gateway.net.trust import REST_S, TIMES_KEPT, Trust
 
 DRAWS = 20_000
 MEANS_S = (0.002, 0.005, 0.01, 0.02, 0.141)
--- a/kestrelbend/__main__.py
+++ b/kestrelbend/__main__.py
@@ -16,11 +16,11 @@
     # A fleet that starts at once has little CPU for each: none of what is imported is garbage, and looking
     # for some takes a seventh of the start.  Collecting begins when the gateway serves.
     gc.disable()
-    from .net.accept_queue import AcceptQueue
-    from .net.signals import EarlySignals
+    from .gateway.net.accept_queue import AcceptQueue
+    from .gateway.net.signals import EarlySignals
 
     early, accept_queue = EarlySignals(), AcceptQueue.open(os.environ, path)
-    from .net.gateway import serve as serving
+    from .gateway.net.gateway import serve as serving
 
     serving(early, accept_queue, path)
 
--- a/kestrelbend/command/checking.py
+++ b/kestrelbend/command/checking.py
@@ -71,15 +71,15 @@
 
 def check_installation(path: Path) -> None:
     """What a gateway outside the platform is told."""
-    from kestrelbend.gateway_settings.installation import Installation
+    from kestrelbend.gateway.settings.installation import Installation
 
     read(path, Installation)
 
 
 def check_platform(path: Path) -> None:
     """What the platform tells a gateway."""
-    from kestrelbend.gateway_settings.platform import Malformed
-    from kestrelbend.net.configuration import read as read_platform
+    from kestrelbend.gateway.net.configuration import read as read_platform
+    from kestrelbend.gateway.settings.platform import Malformed
 
     try:
         read_platform({"ROUTER_CONFIG": str(path)})
@@ -103,7 +103,7 @@
 
 def check_experiment(path: Path) -> None:
     """Scenarios, seeds and variants."""
-    from kestrelbend.gateway_settings.toml_files import InvalidFile
+    from kestrelbend.gateway.settings.toml_files import InvalidFile
     from kestrelbend.lab import experiment
 
     try:
--- a/kestrelbend/command/lab_runs.py
+++ b/kestrelbend/command/lab_runs.py
@@ -151,7 +151,7 @@
     ]
 
     def handle(self) -> int:
-        from kestrelbend.gateway_settings.toml_files import InvalidFile
+        from kestrelbend.gateway.settings.toml_files import InvalidFile
         from kestrelbend.lab import experiment
 
         path = self.existing_path()
--- a/kestrelbend/command/members.py
+++ b/kestrelbend/command/members.py
@@ -25,7 +25,7 @@
     def handle(self) -> int:
         where = self.argument("where")
         if where.endswith(".toml"):
-            from kestrelbend.gateway_settings.installation import Installation
+            from kestrelbend.gateway.settings.installation import Installation
 
             where = str(read(Path(where), Installation).listen)
         rows = ask(where, "/_members", "is it a gateway on this machine, with [members] set?")
--- a/kestrelbend/command/reading.py
+++ b/kestrelbend/command/reading.py
@@ -10,7 +10,7 @@
 
 def read(path: Path, model: type) -> Any:
     """The model that a TOML file states; ends the command with all faults of one that cannot be used."""
-    from kestrelbend.gateway_settings.toml_files import InvalidFile, read_toml
+    from kestrelbend.gateway.settings.toml_files import InvalidFile, read_toml
 
     try:
         return read_toml(str(path), model)
--- a/kestrelbend/fronts/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Further fronts: other proxies' protocols on the same decisions."""
--- a/kestrelbend/decisions/gateway.py
+++ b/kestrelbend/gateway/decisions/gateway.py
@@ -4,7 +4,7 @@
 `CustomerState`; it sets `now` before each event.  It starts the generators of `background.tasks()` once, one
 `invocation(inv)` for each that comes in, and runs `outcomes.ended(...)` to its end for each delivery that
 ended, before the invocation itself is resumed.  It calls `endpoints_changed` when discovery told something.
-What is yielded and what comes back is in `kestrelbend/interface.py`.
+What is yielded and what comes back is in `kestrelbend/gateway/interface.py`.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/kestrelbend/gateway/external_authorization/__init__.py
@@ -0,0 +1,1 @@
+"""External authorization: other proxies ask the same decisions, and authorisers are asked."""
--- a/kestrelbend/fronts/asking.py
+++ b/kestrelbend/gateway/external_authorization/asking.py
@@ -20,7 +20,7 @@
 from ..decisions.ejection import UNHEALTHY_FAILURE_RATE as SICK
 from ..decisions.retry_budget import RETRY_FLOOR as FLOOR
 from ..decisions.retry_budget import RETRY_SHARE as SHARE
-from ..gateway_settings.units import Address
+from ..settings.units import Address
 
 HALVE_AT = 256  # calls of late
 REMEMBERED = 10_000  # verdicts kept
--- a/kestrelbend/fronts/attributes.py
+++ b/kestrelbend/gateway/external_authorization/attributes.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta, Struct, field
 
-from ..gateway_settings.units import Address
+from ..settings.units import Address
 
 LONGEST = 256  # characters of a value
 FIELDS = ("customer", "plan", "operation", "units", "spread", "retry", "wait")
--- a/kestrelbend/fronts/grpc/authorisers.py
+++ b/kestrelbend/gateway/external_authorization/grpc/authorisers.py
@@ -1,4 +1,4 @@
-"""Asking external authorisers before the first delivery, by gRPC; what to make of it is `fronts.asking`'s."""
+"""Asking external authorisers before the first delivery, by gRPC; what to make of it is `asking`'s."""
 
 from __future__ import annotations
 
--- a/kestrelbend/fronts/grpc/service.py
+++ b/kestrelbend/gateway/external_authorization/grpc/service.py
@@ -1,4 +1,4 @@
-"""What all gRPC fronts share: the server with its limits, health, reflection and drain."""
+"""What all gRPC services here share: the server with its limits, health, reflection and drain."""
 
 from __future__ import annotations
 
--- a/kestrelbend/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -1,7 +1,7 @@
 """Types between the decisions and whatever front end hosts them: facts in, effects and answers out.
 
-A host (`kestrelbend.hosting`) turns its protocol into these objects and resumes the generators of
-`kestrelbend.decisions`.  Nothing is decided here.  Times are whole microseconds on the host's clock.
+A host (`kestrelbend.gateway.hosting`) turns its protocol into these objects and resumes the generators of
+`kestrelbend.gateway.decisions`.  Nothing is decided here.  Times are whole microseconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -276,7 +276,7 @@
 
 
 class UsageExchange(Protocol):
-    """Where gateways tell each other of their customers' use (`kestrelbend.shares`)."""
+    """Where gateways tell each other of their customers' use (`kestrelbend.gateway.usage_sharing`)."""
 
     def record_request(self, key: int, plan: int, units: float, retry: bool) -> None:
         """An invocation asked for its customer's quota."""
@@ -314,7 +314,7 @@
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> GatewaySettings:
-        """From the names of `kestrelbend.gateway_settings`."""
+        """From the names of `kestrelbend.gateway.settings`."""
         return cls(
             operations=settings["operations"],
             gateways=settings["gateways"],
--- a/kestrelbend/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -1,7 +1,7 @@
 """What a gateway is given at its start, checked once.
 
 The platform states it by environment variables and a JSON file that one of them names; an installation of its
-own by a TOML file (`gateway_settings.installation`).
+own by a TOML file (`settings.installation`).
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Final
 
-from ..gateway_settings.platform import Malformed, flatten, settings
+from ..settings.platform import Malformed, flatten, settings
 
 if TYPE_CHECKING:
-    from ..gateway_settings.installation import MembershipSettings
+    from ..settings.installation import MembershipSettings
 
 Address = tuple[str, int]
 """Host and port."""
@@ -34,7 +34,7 @@
     list as this gateway last had it, in discovery's form. `settings`: the names and values that the decisions
     pick from. `again`: reads anew what may have been replaced since; raises `Malformed`. `logs`: form and
     level of the log. `members`: set where gateways may speak; `news`: where they announce use to each other.
-    `checks` (`fronts.attributes.Checks`) and `authorisers` (`fronts.asking.Authoriser`): external
+    `checks` (`external_authorization.attributes.Checks`) and `authorisers` (`asking.Authoriser` there): external
     authorisation, both ways.
     """
 
@@ -159,8 +159,8 @@
     # Loaded only where it is needed: a start is short of CPU.
     import tomllib
 
-    from ..gateway_settings.installation import Members
-    from ..gateway_settings.toml_files import InvalidFile, convert
+    from ..settings.installation import Members
+    from ..settings.toml_files import InvalidFile, convert
 
     try:
         with open(path, "rb") as file:
@@ -182,8 +182,8 @@
 
 def read_file(path: str) -> GatewayConfiguration:
     """An installation's own file (TOML); raises `Malformed` with all that is wrong with it."""
-    from ..gateway_settings.installation import Installation
-    from ..gateway_settings.toml_files import InvalidFile, read_toml
+    from ..settings.installation import Installation
+    from ..settings.toml_files import InvalidFile, read_toml
 
     try:
         stated = read_toml(path, Installation)
--- a/kestrelbend/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -18,8 +18,8 @@
 
 import aiohttp
 
-from ..gateway_settings.platform import Malformed
 from ..interface import State
+from ..settings.platform import Malformed
 from .configuration import address
 from .metrics import counters
 
--- a/kestrelbend/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from ..gateway_settings.platform import Malformed
-from ..duties import probes_shared
+from ..settings.platform import Malformed
+from ..singleton_tasks import probes_shared
 from ..interface import State
 from . import configuration, key_value_logging, metrics
 from .backends import Backends
@@ -85,11 +85,11 @@
     """Optional: gRPC takes some 20 MB, and nothing of it is loaded where it is off."""
     try:
         if told.authorisers:
-            from ..fronts.grpc.authorisers import Authorisers
+            from ..external_authorization.grpc.authorisers import Authorisers
 
             owner.authorisers = Authorisers(told.authorisers, queue, clock)
         if told.checks is not None:
-            from ..fronts.grpc.check import Checks
+            from ..external_authorization.grpc.check import Checks
 
             owner.checks = Checks(told.checks, owner.settings, queue, clock)
             owner.checks.backend_name = lambda backend: str(owner.backend_ids.get(backend, ""))
--- a/kestrelbend/net/headers.py
+++ b/kestrelbend/gateway/net/headers.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from ..gateway_settings.platform import LOADS
+from ..settings.platform import LOADS
 from .metrics import counters
 from .requests import bounded
 
--- a/kestrelbend/net/news.py
+++ b/kestrelbend/gateway/net/news.py
@@ -5,8 +5,8 @@
 import asyncio
 import logging
 
-from ..shares.errors import UnreadableUsageDatagram
-from ..shares.exchange import MeteredUsageExchange
+from ..usage_sharing.errors import UnreadableUsageDatagram
+from ..usage_sharing.exchange import MeteredUsageExchange
 from .datagrams import DatagramReceiver
 from .metrics import counters
 
--- a/kestrelbend/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -7,14 +7,14 @@
 import time
 from random import Random
 
-from ..duties.leases import HolderId, LeaseHolder, Voter, voters_for
-from ..duties.probing import SharedProbing
-from ..membership.addresses import pack_address, unpack_address
-from ..membership.codec import Codec
-from ..membership.errors import UnreadableMessage
-from ..membership.messages import LeaseMessage, LeaseVerdict, MemberState
-from ..membership.parameters import SwimParameters
-from ..membership.swim import SwimNode
+from ..singleton_tasks.leases import HolderId, LeaseHolder, Voter, voters_for
+from ..singleton_tasks.probing import SharedProbing
+from ..gossip.addresses import pack_address, unpack_address
+from ..gossip.codec import Codec
+from ..gossip.errors import UnreadableMessage
+from ..gossip.messages import LeaseMessage, LeaseVerdict, MemberState
+from ..gossip.parameters import SwimParameters
+from ..gossip.swim import SwimNode
 from .datagrams import DatagramReceiver
 from .metrics import counters
 
--- a/kestrelbend/routing/__init__.py
+++ b/kestrelbend/gateway/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which backends a gateway keeps to.  No I/O; the rules themselves are kept in `kestrelbend.decisions`."""
+"""Which backends a gateway keeps to.  No I/O; the rules themselves are `gateway.decisions`."""
--- a/kestrelbend/gateway_settings/installation.py
+++ b/kestrelbend/gateway/settings/installation.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct, field
 
-from ..fronts.asking import Authoriser
-from ..fronts.attributes import Checks
+from ..external_authorization.asking import Authoriser
+from ..external_authorization.attributes import Checks
 from .model import MS, Plan, PositiveFloat, PositiveInt, S, Terms
 from .units import Address, ByteSize, Microseconds
 
--- a/kestrelbend/benchlink/__main__.py
+++ b/kestrelbend/gateway/simulator_adapter/__main__.py
@@ -5,7 +5,8 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        sys.exit("usage: python -m kestrelbend.benchlink   (speaks the wire on standard input and output)")
+        usage = "usage: python -m kestrelbend.gateway.simulator_adapter"
+        sys.exit(f"{usage}   (speaks the wire on standard input and output)")
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except Malformed as trouble:
--- a/kestrelbend/benchlink/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -5,7 +5,7 @@
 import base64
 
 from ..interface import Result, State
-from ..gateway_settings.platform import Malformed, micros, number, one_of
+from ..settings.platform import Malformed, micros, number, one_of
 
 RESULTS = {
     "success": Result.SUCCEEDED,
--- a/kestrelbend/benchlink/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -7,7 +7,7 @@
 
 from .. import interface as i
 from ..hosting import Host
-from ..gateway_settings.platform import Malformed, settings
+from ..settings.platform import Malformed, settings
 from . import codec
 
 
--- a/kestrelbend/duties/probing.py
+++ b/kestrelbend/gateway/singleton_tasks/probing.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from ..membership.messages import MemberState, SharedResult
-from ..membership.swim import SwimNode
+from ..gossip.messages import MemberState, SharedResult
+from ..gossip.swim import SwimNode
 from .rendezvous import RendezvousAssignment
 
 MILLISECOND_US = 1000
--- a/kestrelbend/lab/baselines.py
+++ b/kestrelbend/lab/baselines.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from ..decisions import Gateway
-from ..decisions.admission import Admission
-from ..decisions.concurrency import local_cap
-from ..decisions.selection import BackendSelection
+from ..gateway.decisions import Gateway
+from ..gateway.decisions.admission import Admission
+from ..gateway.decisions.concurrency import local_cap
+from ..gateway.decisions.selection import BackendSelection
 
 
 class AdmitAll(Admission):
--- a/kestrelbend/lab/customers.py
+++ b/kestrelbend/lab/customers.py
@@ -10,7 +10,7 @@
 
 import numpy
 
-from ..keys import stable_key
+from ..gateway.keys import stable_key
 
 
 class Store:
--- a/kestrelbend/lab/experiment.py
+++ b/kestrelbend/lab/experiment.py
@@ -20,12 +20,17 @@
 import numpy
 from msgspec import Meta, Struct
 
-from ..gateway_settings import toml_files
+from ..gateway.settings import toml_files
 from . import results
 from .scenario import Scenario
 
 # Taken from another checkout in simulated time.
+PACKAGE = "kestrelbend.gateway."
 MODULE = ("decisions", "hosting", "interface", "keys", "routing")
+NEEDED = {
+    "simulated": ("gateway/decisions",),
+    "sockets": ("gateway/hosting.py", "hosting.py"),  # also from before the packages of today
+}
 RESAMPLES, LEVEL = 4000, 0.95
 PLAIN = "as it is"
 
@@ -96,8 +101,8 @@
         if variant.checkout:
             variant.checkout = str((folder / variant.checkout).resolve())
             # On sockets a checkout runs its own host; here its decisions meet this text's emulator.
-            needed = "decisions" if given.clock == "simulated" else "hosting.py"
-            if not (Path(variant.checkout) / "kestrelbend" / needed).exists():
+            package = Path(variant.checkout) / "kestrelbend"
+            if not any((package / needed).exists() for needed in NEEDED[given.clock]):
                 said.append(
                     f"{path}: variants[{at}].checkout: no checkout of this repository: {variant.checkout}"
                 )
@@ -155,11 +160,13 @@
     """Finds the deciding modules in another checkout, and everything else here."""
 
     def __init__(self, folder):
-        self.folder = Path(folder) / "kestrelbend"
+        self.folder = Path(folder) / "kestrelbend" / "gateway"
 
     def find_spec(self, name, path=None, target=None):
-        first, *parts = name.split(".")
-        if first != "kestrelbend" or not parts or parts[0] not in MODULE:
+        if not name.startswith(PACKAGE):
+            return None
+        parts = name[len(PACKAGE) :].split(".")
+        if parts[0] not in MODULE:
             return None
         place = self.folder.joinpath(*parts)
         if place.is_dir():
@@ -174,7 +181,7 @@
     """The row of one run."""
     if job.variant.checkout and job.clock == "simulated":
         sys.meta_path.insert(0, Elsewhere(job.variant.checkout))
-        for name in [n for n in sys.modules if n.startswith("kestrelbend.") and n.split(".")[1] in MODULE]:
+        for name in [n for n in sys.modules if n.startswith(PACKAGE) and n.split(".")[2] in MODULE]:
             del sys.modules[name]
     scenario = stated(job.scenario, job.variant, job.size)
     if job.clock == "sockets":
--- a/kestrelbend/lab/gossip.py
+++ b/kestrelbend/lab/gossip.py
@@ -1,6 +1,6 @@
 """Fleets of membership cores in simulated time: lost, doubled and late datagrams, stops, cuts and restarts.
 
-For measurements and for tests; `kestrelbend.decisions` has no part here.  A member's clock may be off, and
+For measurements and for tests; `gateway.decisions` has no part here.  A member's clock may be off, and
 steps, since its core is handed whatever its machine says.
 """
 
@@ -10,12 +10,12 @@
 from collections import Counter
 from random import Random
 
-from ..membership.addresses import pack_address
-from ..membership.codec import Codec
-from ..membership.errors import UnreadableMessage
-from ..membership.messages import MemberState
-from ..membership.parameters import SwimParameters
-from ..membership.swim import SwimNode
+from ..gateway.gossip.addresses import pack_address
+from ..gateway.gossip.codec import Codec
+from ..gateway.gossip.errors import UnreadableMessage
+from ..gateway.gossip.messages import MemberState
+from ..gateway.gossip.parameters import SwimParameters
+from ..gateway.gossip.swim import SwimNode
 from .clock import SimClock
 
 S = 1_000_000
@@ -211,7 +211,7 @@
 
 def share_moved(fleet, victim):
     """The part of 500 singleton tasks that its death moves, beside what it had."""
-    from ..duties.rendezvous import RendezvousAssignment
+    from ..gateway.singleton_tasks.rendezvous import RendezvousAssignment
 
     assignment, names = RendezvousAssignment(), [node.name for node in fleet.live()]
     assignment.set_members(dict.fromkeys(names, 1.0))
--- a/kestrelbend/lab/load.py
+++ b/kestrelbend/lab/load.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Meta, Struct
 
-from ..gateway_settings.units import Microseconds
+from ..gateway.settings.units import Microseconds
 from .streams import Drawn, Streams
 
 Positive = Annotated[float, Meta(gt=0)]
--- a/kestrelbend/lab/loopback.py
+++ b/kestrelbend/lab/loopback.py
@@ -24,8 +24,8 @@
 import aiohttp
 import uvloop
 
-from ..decisions import Gateway
-from ..gateway_settings.platform import flatten, settings
+from ..gateway.decisions import Gateway
+from ..gateway.settings.platform import flatten, settings
 from . import failures
 from .clock import LATE, LoopClock, NotOnSockets
 from .network import Party
--- a/kestrelbend/lab/members.py
+++ b/kestrelbend/lab/members.py
@@ -4,11 +4,11 @@
 
 from random import Random
 
-from ..duties.probing import SharedProbing
-from ..membership.addresses import pack_address
-from ..membership.messages import MemberState
-from ..membership.parameters import SwimParameters
-from ..membership.swim import SwimNode
+from ..gateway.singleton_tasks.probing import SharedProbing
+from ..gateway.gossip.addresses import pack_address
+from ..gateway.gossip.messages import MemberState
+from ..gateway.gossip.parameters import SwimParameters
+from ..gateway.gossip.swim import SwimNode
 
 LOOK = 100_000  # microseconds between looks at which backends have to be probed
 
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -1,4 +1,4 @@
-"""The simulated plant: gateways that run the real `Host` and `kestrelbend.decisions`, and the wire
+"""The simulated plant: gateways that run the real `Host` and `kestrelbend.gateway.decisions`, and the wire
 between all parties.
 
 A gateway has a life from each start to its death.  All that happens to it passes its inbox (`post`), where it
@@ -9,10 +9,10 @@
 
 from collections import deque
 
-from ..gateway_settings.platform import flatten, settings
-from ..duties import probes_shared
-from ..hosting import Host
-from ..interface import Invocation, Result, State
+from ..gateway.settings.platform import flatten, settings
+from ..gateway.singleton_tasks import probes_shared
+from ..gateway.hosting import Host
+from ..gateway.interface import Invocation, Result, State
 from .backends import Job
 from .clock import Stuck
 from .counter import TURNED_AWAY
--- a/kestrelbend/lab/scenario.py
+++ b/kestrelbend/lab/scenario.py
@@ -1,7 +1,7 @@
 """What a scenario file states: a fleet, its back end, its customers, and a schedule of failures.
 
 The same file drives simulated time and loopback sockets.  Times have units; a fault in the file is said with
-its line and key (`kestrelbend.gateway_settings.toml_files`).
+its line and key (`kestrelbend.gateway.settings.toml_files`).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..gateway_settings.units import Microseconds, Fraction
+from ..gateway.settings.units import Microseconds, Fraction
 
 Count = Annotated[int, Meta(ge=0)]
 Some = Annotated[int, Meta(ge=1)]
--- a/kestrelbend/lab/settings.py
+++ b/kestrelbend/lab/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..gateway_settings import platform
+from ..gateway.settings import platform
 
 EFFECTS = {ours: theirs for theirs, ours in platform.EFFECTS.items()}
 SCOPES = {ours: theirs for theirs, ours in platform.SCOPES.items()}
--- a/kestrelbend/lab/streams.py
+++ b/kestrelbend/lab/streams.py
@@ -8,7 +8,7 @@
 
 import numpy
 
-from ..keys import stable_key
+from ..gateway.keys import stable_key
 
 
 class Streams:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,14 +8,14 @@
 
 import hiredis
 
-from kestrelbend.gateway_settings import platform as terms
-from kestrelbend.benchlink import codec
-from kestrelbend.benchlink.host import Instance
-from kestrelbend.interface import Result
+from kestrelbend.gateway.settings import platform as terms
+from kestrelbend.gateway.simulator_adapter import codec
+from kestrelbend.gateway.simulator_adapter.host import Instance
+from kestrelbend.gateway.interface import Result
 from kestrelbend.lab.loopback import free_address
-from kestrelbend.net import configuration
-from kestrelbend.net.configuration import GatewayConfiguration
-from kestrelbend.net.gateway import start
+from kestrelbend.gateway.net import configuration
+from kestrelbend.gateway.net.configuration import GatewayConfiguration
+from kestrelbend.gateway.net.gateway import start
 
 MS = 1000
 BASE = {
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -16,15 +16,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.gateway_settings import toml_files
-from kestrelbend.gateway_settings.installation import Installation
-from kestrelbend.fronts import asking, attributes
-from kestrelbend.fronts.asking import Asking, Authoriser
-from kestrelbend.fronts.attributes import Bad, Checks, Rules, Source, Told
-from kestrelbend.fronts.grpc.authorisers import Authorisers
-from kestrelbend.fronts.grpc.check import Checks as Front
+from kestrelbend.gateway.settings import toml_files
+from kestrelbend.gateway.settings.installation import Installation
+from kestrelbend.gateway.external_authorization import asking, attributes
+from kestrelbend.gateway.external_authorization.asking import Asking, Authoriser
+from kestrelbend.gateway.external_authorization.attributes import Bad, Checks, Rules, Source, Told
+from kestrelbend.gateway.external_authorization.grpc.authorisers import Authorisers
+from kestrelbend.gateway.external_authorization.grpc.check import Checks as Front
 from kestrelbend.lab.grpc_stands import StandAuthoriser, StandProxy
-from kestrelbend.net.metrics import counters
+from kestrelbend.gateway.net.metrics import counters
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
 
@@ -541,8 +541,8 @@
 
 def test_nothing_of_grpc_is_loaded_where_no_front_is_set():
     code = (
-        "import sys, kestrelbend.net.gateway; print([m for m in sys.modules if m.split('.')[0] in"
-        " ('grpc', 'envoy', 'google') or 'fronts' in m or 'peers' in m or 'membership' in m])"
+        "import sys, kestrelbend.gateway.net.gateway; print([m for m in sys.modules if m.split('.')[0] in"
+        " ('grpc', 'envoy', 'google') or 'external_authorization' in m or 'peers' in m or 'gossip' in m])"
     )
     got = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, check=True)
     assert got.stdout.strip() == "[]"
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from kestrelbend.benchlink import codec
-from kestrelbend.benchlink.host import serve
+from kestrelbend.gateway.simulator_adapter import codec
+from kestrelbend.gateway.simulator_adapter.host import serve
 
 INIT = (
     "init g/0 7 classes.count=1 classes.0.name=op classes.0.effect=idempotent contracts.count=1 "
@@ -55,6 +55,6 @@
 
 
 def test_a_failure_of_the_module_is_reported(monkeypatch, capsys):
-    monkeypatch.setattr("kestrelbend.decisions.admission.Admission.admit", lambda self, inv: 1 / 0)
+    monkeypatch.setattr("kestrelbend.gateway.decisions.admission.Admission.admit", lambda self, inv: 1 / 0)
     lines = play(f"{INIT}\n{ROSTER}", "accept g/0 9 op plan c 3000.5 - - - -")
     assert lines[1].startswith("bug g/0 ZeroDivisionError") and "Traceback" in capsys.readouterr().err
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,11 +14,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kestrelbend.errors import GatewayError
-from kestrelbend.gateway_settings import platform, toml_files, units
-from kestrelbend.gateway_settings.installation import Installation
-from kestrelbend.net import configuration
-from kestrelbend.net.accept_queue import listen_address
+from kestrelbend.gateway.errors import GatewayError
+from kestrelbend.gateway.settings import platform, toml_files, units
+from kestrelbend.gateway.settings.installation import Installation
+from kestrelbend.gateway.net import configuration
+from kestrelbend.gateway.net.accept_queue import listen_address
 from tests.helpers import World
 from tests.test_net import run
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,13 +21,13 @@
 
 import pytest
 
-from kestrelbend.interface import Delivery, Invocation, Result, State
-from kestrelbend.net import endpoint_discovery, sending
-from kestrelbend.net.answers import Answers
-from kestrelbend.net.gateway import start
-from kestrelbend.net.accept_queue import AcceptQueue, HeldConnection
-from kestrelbend.net.metrics import counters
-from kestrelbend.net.trust import FIRST_RESTS, REST_S
+from kestrelbend.gateway.interface import Delivery, Invocation, Result, State
+from kestrelbend.gateway.net import endpoint_discovery, sending
+from kestrelbend.gateway.net.answers import Answers
+from kestrelbend.gateway.net.gateway import start
+from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
+from kestrelbend.gateway.net.metrics import counters
+from kestrelbend.gateway.net.trust import FIRST_RESTS, REST_S
 
 from .helpers import StandDiscovery, World, free_address, read_request, row
 from .test_net import asked_for, nested, run
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from kestrelbend.gateway_settings import toml_files
-from kestrelbend.interface import Result, State
+from kestrelbend.gateway.settings import toml_files
+from kestrelbend.gateway.interface import Result, State
 from kestrelbend.lab import plant
 from kestrelbend.lab.emulate import run
 from kestrelbend.lab.scenario import Scenario
-from kestrelbend.shares.messages import QuotaShare
-from kestrelbend.shares.exchange import MeteredUsageExchange
+from kestrelbend.gateway.usage_sharing.messages import QuotaShare
+from kestrelbend.gateway.usage_sharing.exchange import MeteredUsageExchange
 
 from .helpers import MS, Front
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from kestrelbend.interface import Invocation, Result, State
+from kestrelbend.gateway.interface import Invocation, Result, State
 
 from .helpers import MS, Front
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kestrelbend.interface import Result, State
+from kestrelbend.gateway.interface import Result, State
 
 from .helpers import MS, Front, World, free_address
 from .test_net import nested, run
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from kestrelbend.decisions.attempts import AttemptRules
-from kestrelbend.decisions.background import BackgroundTasks
-from kestrelbend.decisions.concurrency import ConcurrencyCaps
-from kestrelbend.decisions.delivery import DeliveryLoop
-from kestrelbend.decisions.quota import Quota
-from kestrelbend.decisions.rate_limits import RateLimits
-from kestrelbend.decisions.selection import BackendSelection
-from kestrelbend.decisions.slow_start import SlowStart
-from kestrelbend.gateway_settings import toml_files
-from kestrelbend.interface import Log, State
+from kestrelbend.gateway.decisions.attempts import AttemptRules
+from kestrelbend.gateway.decisions.background import BackgroundTasks
+from kestrelbend.gateway.decisions.concurrency import ConcurrencyCaps
+from kestrelbend.gateway.decisions.delivery import DeliveryLoop
+from kestrelbend.gateway.decisions.quota import Quota
+from kestrelbend.gateway.decisions.rate_limits import RateLimits
+from kestrelbend.gateway.decisions.selection import BackendSelection
+from kestrelbend.gateway.decisions.slow_start import SlowStart
+from kestrelbend.gateway.settings import toml_files
+from kestrelbend.gateway.interface import Log, State
 from kestrelbend.lab import plant
 from kestrelbend.lab.clock import SimClock, Stuck
 from kestrelbend.lab.emulate import run
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -16,7 +16,7 @@
 
 from kestrelbend.__main__ import TIER_ROLES, serve
 from kestrelbend.command.application import run
-from kestrelbend.gateway_settings import toml_files
+from kestrelbend.gateway.settings import toml_files
 from kestrelbend.lab import emulate, experiment, load, loopback, results
 from kestrelbend.lab.clock import NotOnSockets
 from tests.test_lab import FAILURES, SMALL, failure, scenario
@@ -239,12 +239,14 @@
 def test_another_checkout_decides_with_its_own_module(tmp_path):
     """Its decisions are run, not this one's."""
     other = tmp_path / "other"
-    (other / "kestrelbend" / "routing").mkdir(parents=True)
-    shutil.copytree(REPO / "kestrelbend" / "decisions", other / "kestrelbend" / "decisions")
+    (other / "kestrelbend" / "gateway" / "routing").mkdir(parents=True)
+    shutil.copytree(
+        REPO / "kestrelbend" / "gateway" / "decisions", other / "kestrelbend" / "gateway" / "decisions"
+    )
     for name in ("hosting", "interface", "keys", "routing/__init__", "routing/pool"):
-        text = (REPO / "kestrelbend" / f"{name}.py").read_text()
-        (other / "kestrelbend" / f"{name}.py").write_text(text)
-    credits = other / "kestrelbend" / "decisions" / "credits.py"
+        text = (REPO / "kestrelbend" / "gateway" / f"{name}.py").read_text()
+        (other / "kestrelbend" / "gateway" / f"{name}.py").write_text(text)
+    credits = other / "kestrelbend" / "gateway" / "decisions" / "credits.py"
     text = credits.read_text()
     for limit in ("INITIAL_CREDITS = 6.0", "MIN_CREDITS = 1.5", "MAX_CREDITS = 192.0"):
         assert f"\n{limit}" in text
@@ -481,10 +483,12 @@
 
 def test_serving_loads_nothing_of_the_laboratory():
     names = loaded(
-        "import kestrelbend.__main__, kestrelbend.net.gateway, kestrelbend.net.key_value_logging as l\n"
+        "import kestrelbend.__main__, kestrelbend.gateway.net.gateway\n"
+        "import kestrelbend.gateway.net.key_value_logging as l\n"
         "import logging; l.LogFormatter().format(logging.makeLogRecord({'msg': 'x'}))"
     )
-    assert "kestrelbend.net.gateway" in names and not names & (LABORATORY | {"tomllib", "kestrelbend.tier"})
+    foreign = LABORATORY | {"tomllib", "kestrelbend.tier"}
+    assert "kestrelbend.gateway.net.gateway" in names and not names & foreign
 
 
 @pytest.mark.parametrize("role", TIER_ROLES)
@@ -493,7 +497,7 @@
         "import kestrelbend.__main__\nfrom kestrelbend.tier.roles.start import load_role\n"
         f"load_role({role!r})"
     )
-    in_service = {"aiohttp", "hiredis", "msgspec", "structlog", "uvloop", "kestrelbend.net"}
+    in_service = {"aiohttp", "hiredis", "msgspec", "structlog", "uvloop", "kestrelbend.gateway.net"}
     assert f"kestrelbend.tier.roles.{role}" in names and not names & (LABORATORY | in_service)
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,20 +18,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from kestrelbend.gateway_settings import toml_files
-from kestrelbend.gateway_settings.installation import Installation
-from kestrelbend.duties import leases, probing
-from kestrelbend.duties.rendezvous import RendezvousAssignment
+from kestrelbend.gateway.settings import toml_files
+from kestrelbend.gateway.settings.installation import Installation
+from kestrelbend.gateway.singleton_tasks import leases, probing
+from kestrelbend.gateway.singleton_tasks.rendezvous import RendezvousAssignment
 from kestrelbend.lab.gossip import KEYS, Fleet
-from kestrelbend.membership import messages as m
-from kestrelbend.membership import codec as wire
-from kestrelbend.membership.addresses import pack_address
-from kestrelbend.membership.errors import UnreadableMessage
-from kestrelbend.membership.parameters import SwimParameters
-from kestrelbend.membership.swim import SwimNode
-from kestrelbend.membership.update_rules import UpdateRules
-from kestrelbend.net import configuration
-from kestrelbend.net.peers import Peers
+from kestrelbend.gateway.gossip import messages as m
+from kestrelbend.gateway.gossip import codec as wire
+from kestrelbend.gateway.gossip.addresses import pack_address
+from kestrelbend.gateway.gossip.errors import UnreadableMessage
+from kestrelbend.gateway.gossip.parameters import SwimParameters
+from kestrelbend.gateway.gossip.swim import SwimNode
+from kestrelbend.gateway.gossip.update_rules import UpdateRules
+from kestrelbend.gateway.net import configuration
+from kestrelbend.gateway.net.peers import Peers
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
 from tests.test_net import nested
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,18 +18,18 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict
 
-from kestrelbend.decisions.admission import Admission
-from kestrelbend.decisions.outcomes import Outcomes
-from kestrelbend.gateway_settings import model
-from kestrelbend.gateway_settings import platform as terms
-from kestrelbend.hosting import Task
-from kestrelbend.interface import Delivery, Invocation, Result, State
-from kestrelbend.net import accept_queue, clients, configuration, connections, key_value_logging
-from kestrelbend.net.requests import Request
-from kestrelbend.net.gateway import reload, start
-from kestrelbend.net.accept_queue import AcceptQueue, HeldConnection
-from kestrelbend.net.endpoint_discovery import entries
-from kestrelbend.net.metrics import counters
+from kestrelbend.gateway.decisions.admission import Admission
+from kestrelbend.gateway.decisions.outcomes import Outcomes
+from kestrelbend.gateway.settings import model
+from kestrelbend.gateway.settings import platform as terms
+from kestrelbend.gateway.hosting import Task
+from kestrelbend.gateway.interface import Delivery, Invocation, Result, State
+from kestrelbend.gateway.net import accept_queue, clients, configuration, connections, key_value_logging
+from kestrelbend.gateway.net.requests import Request
+from kestrelbend.gateway.net.gateway import reload, start
+from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
+from kestrelbend.gateway.net.endpoint_discovery import entries
+from kestrelbend.gateway.net.metrics import counters
 
 from .helpers import BASE, StandCounter, StandDiscovery, World, free_address, row
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -4,9 +4,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.decisions import BackendState
-from kestrelbend.keys import stable_key
-from kestrelbend.routing.pool import MIN_MEMBERS, PACE_MEMORY, Pool
+from kestrelbend.gateway.decisions import BackendState
+from kestrelbend.gateway.keys import stable_key
+from kestrelbend.gateway.routing.pool import MIN_MEMBERS, PACE_MEMORY, Pool
 
 
 def targets(count):
--- a/tests/test_recorded_names.py
+++ b/tests/test_recorded_names.py
@@ -13,7 +13,7 @@
 
 import kestrelbend
 from kestrelbend.command.application import application
-from kestrelbend.gateway_settings import platform
+from kestrelbend.gateway.settings import platform
 from kestrelbend.tier.fleet.world import play
 from kestrelbend.tier.roles.settings import Settings
 from tests.recorded import load
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from kestrelbend.benchlink import codec as simulator
-from kestrelbend.membership import messages as gossip
-from kestrelbend.membership.codec import Codec
-from kestrelbend.shares import messages as shares
+from kestrelbend.gateway.simulator_adapter import codec as simulator
+from kestrelbend.gateway.gossip import messages as gossip
+from kestrelbend.gateway.gossip.codec import Codec
+from kestrelbend.gateway.usage_sharing import messages as shares
 from tests.recorded import load, plain, value
 
 GOSSIP = load("gossip.json")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.decisions import CustomerState
-from kestrelbend.interface import RepeatEffect, Invocation, Result, TokenScope, State
-from kestrelbend.keys import stable_key
+from kestrelbend.gateway.decisions import CustomerState
+from kestrelbend.gateway.interface import RepeatEffect, Invocation, Result, TokenScope, State
+from kestrelbend.gateway.keys import stable_key
 
 from .helpers import MS, Front
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.interface import Result, State
-from kestrelbend.net.configuration import UsageExchangeAddresses, platform_news
-from kestrelbend.net.news import NewsPeer
-from kestrelbend.shares import messages
-from kestrelbend.shares.errors import UnreadableUsageDatagram
-from kestrelbend.shares.exchange import MeteredUsageExchange
-from kestrelbend.shares.messages import CustomerUsage, QuotaShare
-from kestrelbend.shares.meter import UsageMeter
+from kestrelbend.gateway.interface import Result, State
+from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, platform_news
+from kestrelbend.gateway.net.news import NewsPeer
+from kestrelbend.gateway.usage_sharing import messages
+from kestrelbend.gateway.usage_sharing.errors import UnreadableUsageDatagram
+from kestrelbend.gateway.usage_sharing.exchange import MeteredUsageExchange
+from kestrelbend.gateway.usage_sharing.messages import CustomerUsage, QuotaShare
+from kestrelbend.gateway.usage_sharing.meter import UsageMeter
 
 from .helpers import Front, free_address
 from .test_net import run
