--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -11,7 +11,7 @@
 class ReportOutcome(enum.Enum):
     """What became of a backend's report of itself."""
 
-    ACCEPTED = "taken"  # known at each node that has to know it
+    ACCEPTED = "taken"  # a departure: a majority holds it; a plain heartbeat: this node alone, for certain
     MALFORMED = "malformed"  # rejected for good, wherever it is sent
     UNAVAILABLE = "unavailable"  # this node can't vouch for it: ask another
 
@@ -44,7 +44,11 @@
         """The newest configuration, as its shard's owner has it."""
 
     async def backend_heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
-        """Takes a backend's heartbeat; `ACCEPTED` once it is safe to acknowledge it."""
+        """Takes a backend's heartbeat.
+
+        `ACCEPTED` for one that is ready without waiting for a majority; for one that drains once a majority
+        of the configuration's voters holds that.
+        """
 
     async def leave(self, identity: str) -> ReportOutcome:
         """Takes a backend's report that it is gone; `ACCEPTED` once that is known wherever it must be."""
--- a/kestrelbend/tier/configuration/shard_ports.py
+++ b/kestrelbend/tier/configuration/shard_ports.py
@@ -1,4 +1,4 @@
-"""What `shard_service` asks of its process: replicas, connections, work beside the event loop."""
+"""What `shard_service` asks of its process: replicas, connections, work off the event loop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RunOffLoop(Protocol):
-    """Runs a function that touches nothing of the caller's beside the event loop."""
+    """Runs a function that touches nothing of the caller's, off the event loop."""
 
     async def __call__(self, function: Callable[[], _Result], /) -> _Result:
         """What the function returns."""
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -9,7 +9,7 @@
        |          forwarded to the owner that this node's replica knows, again every `ATTEMPT_INTERVAL_S`;
        |          no clear answer within `ANSWER_TIMEOUT_S`: UNDETERMINED, the caller may ask any node again
        v
-    checked       by the owner's state (`state.check`), large documents beside the event loop
+    checked       by the owner's state (`state.check`), large documents off the event loop
        |          changes nothing: rejected, or accepted before; said once the owner is confirmed
        v
     proposed      as a checked entry of the shard's log, valid on its base version alone
@@ -45,7 +45,7 @@
     from ..replication.replica import Replica
 
 ANSWER_TIMEOUT_S = 0.9  # callers go on to another node after a second
-FORWARD_TIMEOUT_S = 0.85
+FORWARD_TIMEOUT_S = 0.85  # of the owner for an order that another node forwarded, and of that node
 MIN_FORWARD_TIMEOUT_S = 0.01
 ATTEMPT_INTERVAL_S = 0.03
 NOT_OWNER = ConfigOutcome(UNDETERMINED, 0, "not the owner")
@@ -179,7 +179,7 @@
         return outcome
 
     async def _evaluate_off_loop(self, order: ConfigOrder) -> None:
-        """Has a large order evaluated beside the loop: an owner that stands still loses its ownership."""
+        """Has a large order evaluated off the loop: an owner that stands still loses its ownership."""
         state = self.state
         if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
             return
--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -45,7 +45,7 @@
         self._majority_states: dict[str, int] = {}  # of backends that leave, as a majority holds them
 
     async def heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
-        """A heartbeat: known here and, where it matters, everywhere before it is acknowledged."""
+        """A heartbeat; one of a backend that drains is acknowledged once a majority holds it."""
         return await self._publish_outcome(self._registry.heartbeat(identity, report, self._now()))
 
     async def leave(self, identity: str) -> ReportOutcome:
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -46,7 +46,10 @@
 
 @attrs.frozen
 class Heartbeat:
-    """From a process to its monitors: it runs, what it holds, what it has acknowledged."""
+    """From a process to the control nodes that it chose: it runs, which replicas it holds, what it serves by.
+
+    Control nodes send a `MemberSummary` to each other in place of it.
+    """
 
     member: Member
     sequence: int  # rises by one with each heartbeat of an incarnation
--- a/kestrelbend/tier/membership/placement.py
+++ b/kestrelbend/tier/membership/placement.py
@@ -6,6 +6,9 @@
 
 Invariant: a group never shrinks below what is live: where nobody can replace a lost replica, it stays a
 voter.
+
+`control.shard_placer` makes orders of what is decided here, `configuration.placements` checks and keeps them,
+`replication.placement` has the steps of a shard's leader.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -5,7 +5,8 @@
 Invariant: one change of the group is under way at most, and none before this term has committed an
 entry; while a leadership transfer runs, the group stands still.  No step is taken towards a placement
 with a lower number than the log has seen, and none towards a target that the leader of another term
-decided by itself.
+decided by itself.  The target comes from the directory (`roles.local_shards.LocalShards.follow`); who decides
+it: `membership.placement`, `control.shard_placer`.
 Hazard: a placement that arrives late, from a control process that has been replaced: see `may_follow`.
 """
 
--- a/kestrelbend/tier/roles/environment.py
+++ b/kestrelbend/tier/roles/environment.py
@@ -98,7 +98,7 @@
         return DiskJournal(folder, capacity_bytes, written, loop.call_soon_threadsafe)
 
     async def close_journal(self, journal: DiskJournal, within: float) -> None:
-        """Waits for the writer's thread beside the loop."""
+        """Waits for the writer's thread off the event loop."""
         await asyncio.to_thread(journal.close, within)
 
     async def run_off_loop(self, function: Callable[[], T]) -> T:
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -81,7 +81,10 @@
         return max(1, sum(member.serves_front for member in self.directory.members))
 
     def may_refuse(self) -> bool:
-        """Whether 401, 403 and 404 may be given by the configuration in force: it was the newest lately."""
+        """Whether the statuses of `dataplane.app.BY_CONFIGURATION` may be given.
+
+        They may while the configuration in force was the newest lately.
+        """
         return self.contact.may_refuse(self.routing.version, self.now())
 
     # Streams
--- a/kestrelbend/tier/roles/gateway_budgets.py
+++ b/kestrelbend/tier/roles/gateway_budgets.py
@@ -13,8 +13,8 @@
 from ..protocol.peer_connections import PeerConnections
 from .gateway_contact import GatewayContact, Standing
 
-REPLY_TIMEOUT_S = 0.35
-SETTLEMENTS_TIMEOUT_S = 0.8
+REPLY_TIMEOUT_S = 0.35  # longer than `ClientSettings.attempt_timeout_s`, which ends the wait first
+SETTLEMENTS_TIMEOUT_S = 0.8  # at the stop, for pending settlements
 
 
 class BudgetsNotPlacedError(TierError):
--- a/kestrelbend/tier/roles/settings.py
+++ b/kestrelbend/tier/roles/settings.py
@@ -102,7 +102,7 @@
     link_mbps: float
     disk_mb: float
     data_dir: str  # "" on machines without a disk
-    heartbeat_ms: float
+    heartbeat_ms: float  # between two heartbeats of a backend; of processes: `ticker.HEARTBEAT_INTERVAL_S`
     contracts: tuple[str, ...]
     tolerate_nodes: int
     tolerate_zones: int
--- a/kestrelbend/tier/roles/ticker.py
+++ b/kestrelbend/tier/roles/ticker.py
@@ -8,7 +8,7 @@
 import attrs
 import logbook
 
-HEARTBEAT_INTERVAL_S = 0.25
+HEARTBEAT_INTERVAL_S = 0.25  # of processes; backends have an interval of their own, `Settings.heartbeat_ms`
 SETTINGS_CHECK_INTERVAL_S = 1.0
 
 
