--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -100,7 +100,8 @@
 
 def reload(told, owner):
     """SIGHUP: the configuration file was replaced.  Addresses and limits hold from now on; settings, by which
-    customers and backends are already known, from the next start.  A file that cannot be used changes
+    customers and backends are already known, from the next start, and so does all else in the file, of which
+    no line tells (`listen`, `logs`, members, news, checks, authorisers).  A file that cannot be used changes
     nothing."""
     counters["reloads"] += 1
     try:
--- a/kestrelbend/gateway/net/news.py
+++ b/kestrelbend/gateway/net/news.py
@@ -1,4 +1,5 @@
-"""The UDP side of the news of use between gateways: carries `shares.exchange`, in the owner's task."""
+"""The UDP side of the news of use between gateways: carries `usage_sharing.exchange`, in the owner's
+task."""
 
 from __future__ import annotations
 
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -15,6 +15,25 @@
 
 
 class Owner(Host):
+    """The decisions of this gateway with their peers; all of it runs in the task of `serve`.
+
+    An event is a tuple on `queue`: its name and its values.  `serve` calls the method `on_` + name, so these
+    methods have no caller by name.  Who puts which:
+
+    - `taken`, `left`: `Clients.invocation`, `Clients.drain`, `Checks` (a request came; its client left)
+    - `ended`: `Backends.ended`, `Checks`; `probed`: `Backends`
+    - `authorised`, `refused`: `Authorisers`
+    - `counted`: `CounterCall.end`
+    - `listing`, `unlisted`: `EndpointDiscovery`
+    - `alarm`: `set_alarm`
+    - `datagram`: `DatagramReceiver`; `news_due`: `NewsPeer.later`; `members_due`: `Peers`
+    - `probes_due`: `on_probes_due` itself, first `gateway.start`
+
+    `heard` alone is no event: `EndpointDiscovery` calls it when a list goes into the queue, ahead of
+    `on_listing` for the same list.  `roster` is the `EndpointDiscovery`, `requests` the open ones by
+    invocation.
+    """
+
     def __init__(self, settings, seed, clock, queue):
         super().__init__(settings, seed, clock())
         self.clock, self.queue, self.requests = clock, queue, {}
