--- a/kestrelbend/tier/protocol/peer_connection.py
+++ b/kestrelbend/tier/protocol/peer_connection.py
@@ -136,7 +136,7 @@
         try:
             message, sequence = decode_with_sequence(frame)
         except DecodeError as fault:
-            self._endpoint.log.warning("frame rejected: {}", fault)
+            self._endpoint.log.warning("frame refused: {}", fault)
             return False
         if isinstance(message, Hello):
             self.peer = message
