--- a/kestrelbend/gateway/decisions/admission.py
+++ b/kestrelbend/gateway/decisions/admission.py
@@ -57,6 +57,11 @@
         return Rejection(self.budget.retry_after(inv, seconds), True)
 
     def _rejection(self, inv: Invocation) -> Steps[Rejection | None]:
+        """Why it may not go on, None where it may.
+
+        In turn: rate limit; sampling alone, where that acts; the latest total; the cap; the call; the retry
+        budget.
+        """
         customer, plan = inv.customer, inv.customer.plan
         if plan.limit_rate and (missing := inv.units - self.limits.available(customer)) > 0:
             seconds = missing * customer.spread / plan.limit_rate
--- a/kestrelbend/gateway/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named number of the counter service; resumed with a Counted."""
+    """Add `add` to a named number, forgotten after `life` microseconds; resumed with a Counted."""
 
     name: int
     add: float
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -42,7 +42,8 @@
     taken so far."""
     clock, queue = make_clock(), asyncio.Queue()
     shares = told.members is not None and probes_shared(told.settings, told.members.share_probes)
-    # Probes that are a duty of one gateway are asked by `Owner`; the module then asks none of its own.
+    # `shares`: whether probes are shared (not use, as in docs/shares.md).  Probes that are a duty of one
+    # gateway are asked by `Owner`; the decisions then ask none of their own.
     owner = Owner(
         {**told.settings, "may_probe": told.settings["may_probe"] and not shares}, told.seed, clock, queue
     )
--- a/kestrelbend/gateway/net/news.py
+++ b/kestrelbend/gateway/net/news.py
@@ -15,6 +15,11 @@
 
 
 class NewsPeer:
+    """Belongs to the owner's task; its core is the decisions' `Context.usage`.
+
+    `told`: `UsageExchangeAddresses`.  `numbers`: gateways' numbers by their addresses.
+    """
+
     def __init__(self, told, queue, owner):
         self.told, self.queue, self.owner = told, queue, owner
         settings, gateway = owner.settings, owner.gateway
