--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -196,7 +196,7 @@
     """Thirty seconds of clients at a gateway whose authoriser stands still from 10 s to 20 s."""
     from aiohttp import ClientSession, web
 
-    from kestrelbend.gateway.external_authorization import asking
+    from kestrelbend.gateway.external_authorization import authoriser
 
     async def measure(name):
         stand = await StandAuthoriser().start()
@@ -242,7 +242,11 @@
         )
         owner, serving = await start(told)
         owner.authorisers = Authorisers(
-            [asking.Authoriser("a", f"127.0.0.1:{stand.port}", budget=0.25, when_silent="allow", repeats=0)],
+            [
+                authoriser.AuthoriserSettings(
+                    "a", f"127.0.0.1:{stand.port}", budget=0.25, when_silent="allow", repeats=0
+                )
+            ],
             owner.queue,
             owner.clock,
         )
@@ -285,7 +289,7 @@
         await runner.cleanup()
 
     uvloop.run(measure("with its breaker"))
-    asking.SICK_AT = 1e9
+    authoriser.EVIDENCE_LIMIT = 1e9
     uvloop.run(measure("without"))
 
 
--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -1,8 +1,13 @@
-"""Answering external authorisation: each check is an invocation of the same host and module.
+"""Answering external authorisation: each check is an invocation of the same host and decisions.
 
-A check only admits.  The module's first delivery is the answer "allowed", and no second one is ever made:
+Source: Envoy's ext_authz v3, `envoy.service.auth.v3.Authorization/Check`, and its access log service v3,
+`envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs`.
+
+A check only admits.  The decisions' first delivery is the answer "allowed", and no second one is ever made:
 the proxy has its answer.  What it took is given back when the proxy's access log tells of the end, or after
 a stated time.  What the five rules mean here is in docs/design/authorisation.md.
+
+Invariant: a delivery ends exactly once (`Checks.settle`), so that its credit is given back once.
 """
 
 from __future__ import annotations
@@ -10,51 +15,88 @@
 import asyncio
 import itertools
 import logging
+from collections.abc import AsyncIterable, Callable, Iterable, Mapping
+from typing import Any, Final
 
-from envoy.config.core.v3 import base_pb2
 from envoy.service.accesslog.v3 import als_pb2, als_pb2_grpc
-from envoy.service.auth.v3 import external_auth_pb2, external_auth_pb2_grpc
-from envoy.type.v3 import http_status_pb2
-from google.rpc import code_pb2, status_pb2
+from envoy.service.auth.v3 import external_auth_pb2_grpc
 
-from ...interface import Result
+from ...interface import Backend, Delivery, Result
 from ...net.metrics import counters
 from ...net.requests import IncomingRequest
-from ..attributes import Bad, Told, read
+from ..attributes import CheckSettings, RequestedInvocation, read_invocation
+from ..errors import UnusableAttribute
+from .messages import (
+    TOO_MANY_REQUESTS,
+    allowed_response,
+    denied_response,
+    reported_ends,
+    request_attributes,
+)
 from .service import Service
 
 log = logging.getLogger(__name__)
-MARGIN = 0.005  # seconds before a check's own deadline by which it is answered
+MICROSECONDS_OF_SECOND: Final = 1_000_000
+DEADLINE_MARGIN_S: Final = 0.005  # before a check's own deadline by which it is answered
+UNUSABLE_LOGGED: Final = 20  # lines about checks that can't be read
+BAD_REQUEST: Final = 400
+UNAVAILABLE: Final = 503
+
 
+class PendingCheck(IncomingRequest):
+    """A check as the owner sees it: what a `net.requests.Request` has, less its bytes.
 
-class Check(IncomingRequest):
-    """A check as the owner sees it: what a `net.requests.Request` has, less its bytes."""
+    `front`: who answers it.  `delivery`: the one that admitted it, until it is settled.  `timer`: settles it
+    where no report comes.
+    """
 
     __slots__ = ("front", "delivery", "timer")
 
-    def __init__(self, front, told, came, wait, number):
+    def __init__(
+        self, front: Checks, requested: RequestedInvocation, came: int, wait: float, request_id: str
+    ) -> None:
         super().__init__(came)
-        self.operation, self.plan, self.customer = told.operation, told.plan, told.customer
-        self.units, self.spread, self.retry, self.wait = told.units, told.spread, told.retry, wait
-        self.front, self.id = front, number
-        self.delivery = self.timer = None
-
-
-class Checks(external_auth_pb2_grpc.AuthorizationServicer):
-    """The front: `deliver`, `throttled`, `errored`, `succeeded` and `cancel` are called by the owner."""
-
-    def __init__(self, stated, settings, queue, clock):
-        self.stated, self.settings, self.queue, self.clock = stated, settings, queue, clock
-        self.operations = {op.name: op for op in settings["operations"]}
+        self.operation = requested.operation
+        self.plan = requested.plan
+        self.customer = requested.customer
+        self.units = requested.units
+        self.spread = requested.spread
+        self.retry = requested.retry
+        self.wait = wait
+        self.front = front
+        self.id = request_id
+        self.delivery: Delivery | None = None
+        self.timer: asyncio.TimerHandle | None = None
+
+
+class Checks(external_auth_pb2_grpc.AuthorizationServicer):  # type: ignore[misc]  # generated, without types
+    """The front: `deliver`, `throttled`, `errored`, `succeeded` and `cancel` are called by the owner.
+
+    `admitted`: checks that were let in and are not settled, by the proxy's request id.
+    """
+
+    def __init__(
+        self,
+        check_settings: CheckSettings,
+        settings: Mapping[str, Any],
+        queue: asyncio.Queue[Any],
+        clock: Callable[[], int],
+    ) -> None:
+        self.check_settings = check_settings
+        self.settings = settings
+        self.queue = queue  # the owner's events
+        self.clock = clock  # microseconds
+        self.operations = {operation.name: operation for operation in settings["operations"]}
         self.plans = {plan.name for plan in settings["plans"]}
-        self.numbers, self.out = itertools.count(), {}  # out: admitted and not settled, by request id
-        self.service = Service(stated.listen, stated.most_open, stated.longest)
+        self.admitted: dict[str, list[PendingCheck]] = {}
+        self._numbers = itertools.count()  # ids of checks that have none
+        self.service = Service(check_settings.listen, check_settings.most_open, check_settings.longest)
         self.service.add(
             external_auth_pb2_grpc.add_AuthorizationServicer_to_server,
             self,
             "envoy.service.auth.v3.Authorization",
         )
-        if stated.reports:
+        if check_settings.reports:
             self.service.add(
                 als_pb2_grpc.add_AccessLogServiceServicer_to_server,
                 Reports(self),
@@ -63,173 +105,147 @@
 
     # The proxy's side.
 
-    async def Check(self, request, context):  # noqa: N802  (the generated name)
+    async def Check(self, request: Any, context: Any) -> Any:  # noqa: N802  (the generated name)
+        """Answers one `CheckRequest`; where the proxy cancels, the owner is told that its client left."""
         counters["checks"] += 1
-        told = view(request.attributes)
+        attributes = request_attributes(request.attributes)
         try:
-            asked = read(
-                told,
-                self.stated.rules,
+            requested = read_invocation(
+                attributes,
+                self.check_settings.rules,
                 self.operations,
                 self.plans,
                 self.settings["gateways"],
                 self.settings["most_units"],
             )
-        except Bad as bad:
-            counters["checks_unusable"] += 1
-            if counters["checks_unusable"] <= 20:
-                log.warning("a check cannot be read", extra={"about": bad.about, "why": bad.why})
-            return allowed(self.stated) if self.stated.on_bad == "allow" else denied(400, f"{bad}\n")
-        deadline, wait = context.time_remaining(), asked.wait
-        if wait is None:
-            wait = self.operations[asked.operation].timeout / 1e6
-        if deadline is not None:
-            wait = min(wait, max(0.0, deadline - MARGIN))
-        number = (
-            told.headers.get("x-request-id") or request.attributes.request.http.id or str(next(self.numbers))
+        except UnusableAttribute as unusable:
+            return self._unusable_response(unusable)
+        wait_s = self._wait_s(requested, context.time_remaining())
+        request_id = (
+            attributes.headers.get("x-request-id")
+            or request.attributes.request.http.id
+            or str(next(self._numbers))
         )
-        one = Check(self, asked, self.clock(), wait, number)
-        self.queue.put_nowait(("taken", one))
+        check = PendingCheck(self, requested, self.clock(), wait_s, request_id)
+        self.queue.put_nowait(("taken", check))
         try:
-            return await one.answer
+            return await check.answer
         except asyncio.CancelledError:
             counters["checks_left"] += 1
-            self.queue.put_nowait(("left", one))
+            self.queue.put_nowait(("left", check))
             raise
 
+    def _unusable_response(self, unusable: UnusableAttribute) -> Any:
+        counters["checks_unusable"] += 1
+        if counters["checks_unusable"] <= UNUSABLE_LOGGED:
+            log.warning("a check cannot be read", extra={"about": unusable.field, "why": unusable.reason})
+        if self.check_settings.on_bad == "allow":
+            return allowed_response(self.check_settings)
+        return denied_response(BAD_REQUEST, f"{unusable}\n")
+
+    def _wait_s(self, requested: RequestedInvocation, deadline_s: float | None) -> float:
+        """Seconds that a check may take: its client's or its operation's, within the call's deadline."""
+        wait_s = requested.wait
+        if wait_s is None:
+            wait_s = self.operations[requested.operation].timeout / MICROSECONDS_OF_SECOND
+        if deadline_s is not None:
+            wait_s = min(wait_s, max(0.0, deadline_s - DEADLINE_MARGIN_S))
+        return wait_s
+
     # The owner's side.
 
-    def answer(self, one, response, what):
-        if one.answer.done():
+    def answer(self, check: PendingCheck, response: Any, outcome: str) -> bool:
+        """Answers a check; False where nobody waits for it any more.  `outcome` ends a counter's name."""
+        if check.answer.done():
             return False
-        counters["checks_" + what] += 1
-        one.answer.set_result(response)
+        counters["checks_" + outcome] += 1
+        check.answer.set_result(response)
         return True
 
-    def deliver(self, d, one):
-        """The module lets it in: that is the answer.  Its end is told of later."""
-        one.delivery = d
-        backend = self.backend_name(d.backend) if self.stated.backend_header else ""
-        if not self.answer(one, allowed(self.stated, backend), "allowed"):
-            self.settle(one, Result.CANCELLED)
+    def deliver(self, delivery: Delivery, check: PendingCheck) -> None:
+        """The decisions admit it: that is the answer.  Its end is settled later."""
+        check.delivery = delivery
+        backend = self.backend_name(delivery.backend) if self.check_settings.backend_header else ""
+        if not self.answer(check, allowed_response(self.check_settings, backend), "allowed"):
+            self.settle(check, Result.CANCELLED)
             return
-        wait = self.stated.settle
-        if self.stated.reports:
-            wait = self.stated.report_wait
-            self.out.setdefault(one.id, []).append(one)
-        left = max(0.0, (d.until - self.clock()) / 1e6)
-        one.timer = asyncio.get_running_loop().call_later(min(wait, left), self.settle, one, Result.SUCCEEDED)
-
-    def backend_name(self, backend):
+        wait_s = self.check_settings.settle
+        if self.check_settings.reports:
+            wait_s = self.check_settings.report_wait
+            self.admitted.setdefault(check.id, []).append(check)
+        remaining_s = max(0.0, (delivery.until - self.clock()) / MICROSECONDS_OF_SECOND)
+        check.timer = asyncio.get_running_loop().call_later(
+            min(wait_s, remaining_s), self.settle, check, Result.SUCCEEDED
+        )
+
+    def backend_name(self, backend: Backend) -> str:
+        """What `backend_header` says of a backend; the gateway puts its own function in place of this one."""
         return ""
 
-    def settle(self, one, result, took=None):
-        """Its end, once: by a report, by its time, or because nobody waited for the answer."""
-        d, one.delivery = one.delivery, None
-        if d is None:
+    def settle(self, check: PendingCheck, result: Result, took: int | None = None) -> None:
+        """Its end, once: by a report, by its time, or because nobody waited for the answer.
+
+        `took`: microseconds; None: until now.
+        """
+        delivery = check.delivery
+        check.delivery = None
+        if delivery is None:
             return
-        if one.timer is not None:
-            one.timer.cancel()
-        waiting = self.out.get(one.id)
-        if waiting is not None:
-            waiting.remove(one)
-            if not waiting:
-                del self.out[one.id]
-        took = self.clock() - d.sent if took is None else took
-        self.queue.put_nowait(("ended", d, result, took, None, None, 0))
-
-    def reported(self, number, result, took):
-        waiting = self.out.get(number)
-        if waiting:
+        if check.timer is not None:
+            check.timer.cancel()
+        same_id = self.admitted.get(check.id)
+        if same_id is not None:
+            same_id.remove(check)
+            if not same_id:
+                del self.admitted[check.id]
+        if took is None:
+            took = self.clock() - delivery.sent
+        self.queue.put_nowait(("ended", delivery, result, took, None, None, 0))
+
+    def reported(self, request_id: str, result: Result, took: int | None) -> None:
+        """The proxy's access log tells of an end; reports on requests of other ids are passed over."""
+        same_id = self.admitted.get(request_id)
+        if same_id:
             counters["checks_reported"] += 1
-            self.settle(waiting[0], result, took)
+            self.settle(same_id[0], result, took)
 
-    def cancel(self, d):
+    def cancel(self, delivery: Delivery) -> None:
         """What the proxy was let send cannot be called back; its place counts until it is settled."""
 
-    def throttled(self, one, retry_after):
-        headers = [("retry-after", f"{retry_after / 1e6:.3f}")] if retry_after > 0 else []
-        self.answer(one, denied(429, "beyond its plan\n", headers), "denied")
+    def throttled(self, check: PendingCheck, retry_after: int) -> None:
+        """The decisions reject it; `retry_after`: microseconds, 0: no advice."""
+        headers: Iterable[tuple[str, str]] = ()
+        if retry_after > 0:
+            headers = [("retry-after", f"{retry_after / MICROSECONDS_OF_SECOND:.3f}")]
+        self.answer(check, denied_response(TOO_MANY_REQUESTS, "beyond its plan\n", headers), "denied")
 
-    def errored(self, one, status=503):
-        self.answer(one, denied(503, "cannot be served now\n"), "errored")
+    def errored(self, check: PendingCheck, status: int = UNAVAILABLE) -> None:
+        """It cannot be served; the answer is 503, whatever a listener for HTTP would say."""
+        self.answer(check, denied_response(UNAVAILABLE, "cannot be served now\n"), "errored")
 
-    def succeeded(self, one, *_):
-        pass
+    def succeeded(self, check: PendingCheck, *_: object) -> None:
+        """Its answer was that it is admitted: there is no other."""
 
-    async def start(self):
+    async def start(self) -> None:
+        """Listen; raises `OSError` where the address cannot be had."""
         await self.service.start()
 
-    async def drain(self, seconds):
+    async def drain(self, seconds: float) -> None:
+        """End, within so many seconds."""
         await self.service.drain(seconds)
 
 
-class Reports(als_pb2_grpc.AccessLogServiceServicer):
-    """The proxy's access log: how what was let in has ended."""
+class Reports(als_pb2_grpc.AccessLogServiceServicer):  # type: ignore[misc]  # generated, without types
+    """The proxy's access log: how what was admitted has ended."""
 
-    def __init__(self, checks):
+    def __init__(self, checks: Checks) -> None:
         self.checks = checks
 
-    async def StreamAccessLogs(self, requests, context):  # noqa: N802
+    async def StreamAccessLogs(  # noqa: N802  (the generated name)
+        self, requests: AsyncIterable[Any], context: Any
+    ) -> Any:
+        """Takes in reports until the proxy ends the stream."""
         async for message in requests:
-            for entry in message.http_logs.log_entry:
-                took = entry.common_properties.time_to_last_downstream_tx_byte
-                code = entry.response.response_code.value
-                result = Result.SUCCEEDED if 0 < code < 500 else Result.ERRORED
-                if not code:
-                    result = Result.UNREACHABLE
-                self.checks.reported(
-                    entry.request.request_id, result, took.seconds * 1_000_000 + took.nanos // 1000 or None
-                )
+            for end in reported_ends(message):
+                self.checks.reported(end.request_id, end.result, end.took)
         return als_pb2.StreamAccessLogsResponse()
-
-
-def view(attributes):
-    """The generated message as a plain one."""
-    http = attributes.request.http
-    headers = {k.lower(): v for k, v in http.headers.items()}
-    for header in http.header_map.headers:
-        name = header.key.lower()
-        text = header.value or header.raw_value.decode("latin-1")
-        headers[name] = f"{headers[name]},{text}" if name in headers else text
-    metadata = {}
-    for namespace, fields in attributes.metadata_context.filter_metadata.items():
-        for key, value in fields.fields.items():
-            kind = value.WhichOneof("kind")
-            if kind in ("string_value", "number_value", "bool_value"):
-                got = getattr(value, kind)
-                metadata[f"{namespace}.{key}"] = f"{got:g}" if kind == "number_value" else str(got)
-    return Told(
-        http.method,
-        http.path,
-        headers,
-        attributes.source.principal,
-        dict(attributes.context_extensions),
-        metadata,
-    )
-
-
-def header(name, value):
-    return base_pb2.HeaderValueOption(header=base_pb2.HeaderValue(key=name, value=value))
-
-
-def allowed(stated, backend=""):
-    headers = [header(k, v) for k, v in stated.add.items()]
-    if backend:
-        headers.append(header(stated.backend_header, backend))
-    return external_auth_pb2.CheckResponse(
-        status=status_pb2.Status(code=code_pb2.OK),
-        ok_response=external_auth_pb2.OkHttpResponse(headers=headers, headers_to_remove=stated.remove),
-    )
-
-
-def denied(status, text, headers=()):
-    code = code_pb2.RESOURCE_EXHAUSTED if status == 429 else code_pb2.PERMISSION_DENIED
-    return external_auth_pb2.CheckResponse(
-        status=status_pb2.Status(code=code, message=text.strip()),
-        denied_response=external_auth_pb2.DeniedHttpResponse(
-            status=http_status_pb2.HttpStatus(code=status),
-            body=text,
-            headers=[header(k, v) for k, v in headers],
-        ),
-    )
--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -34,8 +34,8 @@
     list as this gateway last had it, in discovery's form. `settings`: the names and values that the decisions
     pick from. `again`: reads anew what may have been replaced since; raises `Malformed`. `logs`: form and
     level of the log. `members`: set where gateways may speak; `news`: where they announce use to each other.
-    `checks` (`external_authorization.attributes.Checks`) and `authorisers` (`asking.Authoriser` there):
-    external authorisation, both ways.
+    `checks` (`external_authorization.attributes.CheckSettings`) and `authorisers`
+    (`authoriser.AuthoriserSettings` there): external authorisation, both ways.
     """
 
     name: str
--- a/kestrelbend/gateway/settings/installation.py
+++ b/kestrelbend/gateway/settings/installation.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct, field
 
-from ..external_authorization.asking import Authoriser
-from ..external_authorization.attributes import Checks
+from ..external_authorization.attributes import CheckSettings
+from ..external_authorization.authoriser import AuthoriserSettings
 from .model import MS, Plan, PositiveFloat, PositiveInt, S, Terms
 from .units import Address, ByteSize, Microseconds
 
@@ -119,8 +119,8 @@
     limits: Limits = field(default_factory=Limits)
     logs: Logs = field(default_factory=Logs)
     members: Members | None = None
-    checks: Checks | None = None  # answering external authorisation over gRPC
-    authorisers: list[Authoriser] = field(default_factory=list)  # asked before the first delivery
+    checks: CheckSettings | None = None  # answering external authorisation over gRPC
+    authorisers: list[AuthoriserSettings] = field(default_factory=list)  # asked before the first delivery
 
     def faults(self) -> Iterator[KeyFault]:
         """(key, text) for what is wrong with the fields together."""
--- a/tests/test_authorisation.py
+++ b/tests/test_authorisation.py
@@ -18,9 +18,15 @@
 
 from kestrelbend.gateway.settings import toml_files
 from kestrelbend.gateway.settings.installation import Installation
-from kestrelbend.gateway.external_authorization import asking, attributes
-from kestrelbend.gateway.external_authorization.asking import Asking, Authoriser
-from kestrelbend.gateway.external_authorization.attributes import Bad, Checks, Rules, Source, Told
+from kestrelbend.gateway.external_authorization import attributes, authoriser
+from kestrelbend.gateway.external_authorization.attributes import (
+    CheckSettings,
+    RequestAttributes,
+    Rules,
+    Source,
+)
+from kestrelbend.gateway.external_authorization.authoriser import AuthoriserSettings, AuthoriserState
+from kestrelbend.gateway.external_authorization.errors import UnusableAttribute
 from kestrelbend.gateway.external_authorization.grpc.authorisers import Authorisers
 from kestrelbend.gateway.external_authorization.grpc.check import Checks as Front
 from kestrelbend.lab.grpc_stands import StandAuthoriser, StandProxy
@@ -53,7 +59,7 @@
         for stand in self.stands:
             await stand.start()
         rows = [
-            Authoriser(**({"name": f"a{n}", "target": f"127.0.0.1:{stand.port}"} | self.stated))
+            AuthoriserSettings(**({"name": f"a{n}", "target": f"127.0.0.1:{stand.port}"} | self.stated))
             for n, stand in enumerate(self.stands)
         ]
         world.owner.authorisers = Authorisers(rows, world.owner.queue, world.owner.clock)
@@ -113,7 +119,7 @@
         async with Guarded("allow", when_silent="allow") as (world, stand):
             stand.play = ["own", "forbidden"]
             assert (await world.ask())[0] == 402 and (await world.ask())[0] == 403
-            assert len(stand.seen) == 2 and not world.owner.authorisers.links[0].asking.sick
+            assert len(stand.seen) == 2 and not world.owner.authorisers.connections[0].state.failure_evidence
             assert not world.backends[0].seen
 
     run(test())
@@ -211,31 +217,31 @@
 
 @given(st.lists(st.booleans(), max_size=80))
 def test_a_sound_authoriser_is_never_benched_and_a_dead_one_soon_is(outcomes):
-    one, now = Asking(Authoriser("a", "h:1")), 0
+    one, now = AuthoriserState(AuthoriserSettings("a", "h:1")), 0
     for answered in outcomes:
         now += S // 100
-        if not one.may_ask(now):
-            one.begins()
-            one.ends(now, answered)
-    assert one.open == 0 and (not one.benched or not all(outcomes))
-    dead = Asking(Authoriser("a", "h:1"))
+        if not one.unavailable(now):
+            one.call_started()
+            one.call_ended(now, answered)
+    assert one.in_flight == 0 and (not one.ejections or not all(outcomes))
+    dead = AuthoriserState(AuthoriserSettings("a", "h:1"))
     calls = 0
     for now in range(0, 20 * S, S // 50):
-        if not dead.may_ask(now):
+        if not dead.unavailable(now):
             calls += 1
-            dead.begins()
-            dead.ends(now, False)
+            dead.call_started()
+            dead.call_ended(now, False)
     assert calls < 12
 
 
 def test_repeats_keep_to_a_share_of_the_calls():
-    one = Asking(Authoriser("a", "h:1", repeats=1))
+    one = AuthoriserState(AuthoriserSettings("a", "h:1", repeats=1))
     repeated = 0
     for now in range(500):
-        one.begins()
-        one.ends(now, True)
-        repeated += one.may_repeat(1)
-    assert asking.FLOOR <= repeated <= 0.21 * 500
+        one.call_started()
+        one.call_ended(now, True)
+        repeated += one.may_retry(1)
+    assert authoriser.RETRY_FLOOR <= repeated <= 0.21 * 500
 
 
 RULES = Rules(
@@ -250,11 +256,13 @@
 
 
 def read(told):
-    return attributes.read(told, RULES, {"op"}, {"plan"}, 4, 10)
+    return attributes.read_invocation(told, RULES, {"op"}, {"plan"}, 4, 10)
 
 
 def told(path="/op/00000000000000c1", **headers):
-    return Told("GET", path, {"x-plan": "plan"} | {k.replace("_", "-"): v for k, v in headers.items()})
+    return RequestAttributes(
+        "GET", path, {"x-plan": "plan"} | {k.replace("_", "-"): v for k, v in headers.items()}
+    )
 
 
 def test_attributes_are_read_by_the_rules():
@@ -265,7 +273,7 @@
 
 
 @pytest.mark.parametrize(
-    "given, about, why",
+    "given, field, reason",
     [
         (told("/op/"), "customer", "missing"),
         (told(x_customer="other"), "customer", "contradictory"),
@@ -280,10 +288,10 @@
         (told(x_plan="pl\nan"), "plan", "not usable"),
     ],
 )
-def test_what_cannot_be_used_is_named(given, about, why):
-    with pytest.raises(Bad) as caught:
+def test_what_cannot_be_used_is_named(given, field, reason):
+    with pytest.raises(UnusableAttribute) as caught:
         read(given)
-    assert (caught.value.about, caught.value.why) == (about, why)
+    assert (caught.value.field, caught.value.reason) == (field, reason)
 
 
 @settings(max_examples=200, deadline=None)
@@ -295,10 +303,10 @@
 )
 def test_whatever_is_told_is_read_or_named(path, headers):
     try:
-        asked = read(Told("GET", path, headers))
+        asked = read(RequestAttributes("GET", path, headers))
         assert asked.units > 0 and asked.plan == "plan"
-    except Bad as bad:
-        assert bad.about and bad.why
+    except UnusableAttribute as unusable:
+        assert unusable.field and unusable.reason
 
 
 # Answering checks.
@@ -312,7 +320,7 @@
 
     async def __aenter__(self):
         world = await self.world.__aenter__()
-        stated = Checks(**({"listen": "127.0.0.1:0", "rules": RULES, "settle": 0.05} | self.stated))
+        stated = CheckSettings(**({"listen": "127.0.0.1:0", "rules": RULES, "settle": 0.05} | self.stated))
         self.front = world.owner.checks = Front(
             stated, world.owner.settings, world.owner.queue, world.owner.clock
         )
@@ -386,11 +394,11 @@
         async with Checked({"reports": True, "report_wait": 0.6}) as (world, front, proxy):
             await proxy.ask(path(1), "r1", x_plan="plan")
             await proxy.ask(path(2), "r2", x_plan="plan")
-            assert front.out.keys() == {"r1", "r2"} and len(world.owner.requests) == 2
+            assert front.admitted.keys() == {"r1", "r2"} and len(world.owner.requests) == 2
             await proxy.report(("r1", 200, 0.12), ("nobody", 200, 0.1))
-            await world.until(lambda: front.out.keys() == {"r2"})
+            await world.until(lambda: front.admitted.keys() == {"r2"})
             await world.until(lambda: len(world.owner.requests) == 1)
-            await world.until(lambda: not world.owner.requests and not front.out, 2)
+            await world.until(lambda: not world.owner.requests and not front.admitted, 2)
             target = world.owner.backends["s0"]
             assert not target.in_flight and target.latencies.count == 2
             await asyncio.gather(*(proxy.ask(path(10 + n), f"e{n}", x_plan="plan") for n in range(8)))
@@ -409,7 +417,7 @@
             await world.until(lambda: world.owner.requests)
             for call in calls:
                 call.cancel()
-            await world.until(lambda: not world.owner.requests and not front.out)
+            await world.until(lambda: not world.owner.requests and not front.admitted)
             assert counters["checks_left"] > before
             await asyncio.gather(*calls, return_exceptions=True)
 
