--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,9 +57,9 @@
         )
         self.gateway = self.inst.gateway
 
-    def tell(self, message, *values):
+    def tell(self, message, endpoints, *values):
         self.inst.out, self.gateway.now = self.out, self.now
-        getattr(self.inst, message)(*values)
+        self.inst.handle(codec.Event(message, "g/0", list(values), endpoints))
 
     def roster(self, *entries, kind="whole"):
         """Entries are (id, state) or (id, state, started)."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from kestrelbend.gateway.simulator_adapter import codec
+from kestrelbend.gateway.simulator_adapter.errors import MalformedLine
 from kestrelbend.gateway.simulator_adapter.host import serve
 
 INIT = (
@@ -45,12 +45,12 @@
     ],
 )
 def test_malformed_lines_are_named(bad):
-    with pytest.raises(codec.Malformed, match=bad.split()[0]):
+    with pytest.raises(MalformedLine, match=bad.split()[0]):
         play(f"{INIT}\n{ROSTER}", bad)
 
 
 def test_a_truncated_stream_is_told():
-    with pytest.raises(codec.Malformed, match="ends within"):
+    with pytest.raises(MalformedLine, match="ends within"):
         serve(io.BytesIO(b"round 1\ninit g/0"), io.BytesIO())
 
 
