--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -280,10 +280,10 @@
                 f"refused {other[third] / whole:.3f}, median {median:.1f} ms, 99th {high:.1f} ms"
             )
         serving.cancel()
-        await owner.roster.session.close()
-        for target in list(owner.backend_peer.links):
-            owner.backend_peer.unlisted(target)
-        await asyncio.gather(*owner.backend_peer.tasks, return_exceptions=True)
+        await owner.discovery.session.close()
+        for target in list(owner.backend_client.links):
+            owner.backend_client.unlisted(target)
+        await asyncio.gather(*owner.backend_client.tasks, return_exceptions=True)
         await owner.authorisers.end()
         await stand.stop()
         await runner.cleanup()
--- a/kestrelbend/gateway/external_authorization/grpc/authorisers.py
+++ b/kestrelbend/gateway/external_authorization/grpc/authorisers.py
@@ -17,6 +17,7 @@
 from envoy.service.auth.v3 import external_auth_pb2_grpc
 
 from ...interface import Delivery, Result
+from ...net.events import DeliveryAuthorised, DeliveryNotSent
 from ...net.metrics import counters
 from ...net.requests import Request
 from ..authoriser import (
@@ -127,7 +128,7 @@
     def _refuse_unstarted(self, delivery: Delivery) -> None:
         """A task cancelled before its first turn runs nothing of its body, not even its `finally`."""
         if self.running.pop(delivery, None) is not None:
-            self.queue.put_nowait(("refused", delivery, Result.VOID, None))
+            self.queue.put_nowait(DeliveryNotSent(delivery, Result.VOID, None))
 
     def cancel(self, delivery: Delivery) -> bool:
         """Whether the delivery waited here; if so it ends, by an event."""
@@ -159,10 +160,10 @@
         finally:
             self.running.pop(delivery, None)
             if result is None:
-                self.queue.put_nowait(("authorised", delivery))
+                self.queue.put_nowait(DeliveryAuthorised(delivery))
             else:
                 denial = verdict if result is Result.VOID else None
-                self.queue.put_nowait(("refused", delivery, result, denial))
+                self.queue.put_nowait(DeliveryNotSent(delivery, result, denial))
 
     async def _ask(self, connection: AuthoriserConnection, delivery: Delivery, request: Request) -> Verdict:
         """The verdict of one authoriser, within its part of the client's time."""
--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -22,6 +22,7 @@
 from envoy.service.auth.v3 import external_auth_pb2_grpc
 
 from ...interface import Backend, Delivery, Result
+from ...net.events import ClientLeft, DeliveryEnded, RequestTaken
 from ...net.metrics import counters
 from ...net.requests import IncomingRequest
 from ..attributes import CheckSettings, RequestedInvocation, read_invocation
@@ -127,12 +128,12 @@
             or str(next(self._numbers))
         )
         check = PendingCheck(self, requested, self.clock(), wait_s, request_id)
-        self.queue.put_nowait(("taken", check))
+        self.queue.put_nowait(RequestTaken(check))
         try:
             return await check.answer
         except asyncio.CancelledError:
             counters["checks_left"] += 1
-            self.queue.put_nowait(("left", check))
+            self.queue.put_nowait(ClientLeft(check))
             raise
 
     def _unusable_response(self, unusable: UnusableAttribute) -> Any:
@@ -200,7 +201,7 @@
                 del self.admitted[check.id]
         if took is None:
             took = self.clock() - delivery.sent
-        self.queue.put_nowait(("ended", delivery, result, took, None, None, 0))
+        self.queue.put_nowait(DeliveryEnded(delivery, result, took))
 
     def reported(self, request_id: str, result: Result, took: int | None) -> None:
         """The proxy's access log tells of an end; reports on requests of other ids are passed over."""
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -11,6 +11,7 @@
 from ..interface import Result
 from .answers import SENDING
 from .connections import LONGEST_BODY
+from .events import BackendProbed, DeliveryEnded
 from .headers import PASSED_BACK, load_report, passed_on, reported_number
 from .connection_pool import ConnectionPool
 from .sending import NotWanted, Sending, Settling, Stale
@@ -87,7 +88,7 @@
         self.running.pop(d)
         counters["deliveries_" + result.name.lower()] += 1
         took = (self.clock() if at is None else at) - d.sent
-        self.queue.put_nowait(("ended", d, result, took, answer, load, actual, used))
+        self.queue.put_nowait(DeliveryEnded(d, result, took, answer, load, actual, used))
 
     def cancel(self, d):
         if d in self.running:
@@ -203,4 +204,4 @@
             result = self.failure(trouble, sending)
         finally:
             at = sending.ended_at() if result is Result.SUCCEEDED else self.clock()
-            self.queue.put_nowait(("probed", backend, result, at - sent, load))
+            self.queue.put_nowait(BackendProbed(backend, result, at - sent, load))
--- a/kestrelbend/gateway/net/clients.py
+++ b/kestrelbend/gateway/net/clients.py
@@ -14,6 +14,7 @@
 
 from .accept_queue import HeldConnection, age
 from .connections import LONGEST_BODY, SETTLE, Server
+from .events import ClientLeft, RequestTaken
 from .requests import Request
 from .metrics import counters, must
 
@@ -189,12 +190,12 @@
         request.connection = message.protocol
         self.ids[request.id] = request
         self.server.asks(message.protocol)
-        self.queue.put_nowait(("taken", request))
+        self.queue.put_nowait(RequestTaken(request))
         try:
             return await request.answer
         except asyncio.CancelledError:
             counters["clients_left"] += 1
-            self.queue.put_nowait(("left", request))
+            self.queue.put_nowait(ClientLeft(request))
             raise
         finally:
             self.ids.pop(request.id, None)
@@ -254,5 +255,5 @@
             await asyncio.sleep(4 * SETTLE)
         for request in [r for r in self.ids.values() if not r.answer.done()]:
             self.errored(request)  # nobody is left without an answer, whatever holds it up
-            self.queue.put_nowait(("left", request))
+            self.queue.put_nowait(ClientLeft(request))
         await asyncio.sleep(4 * SETTLE)
--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -16,6 +16,7 @@
 import hiredis
 
 from ..interface import Result
+from .events import CounterReplied
 from .metrics import counters
 
 MAX_CONNECTIONS: Final = 8
@@ -161,7 +162,7 @@
             self.done = True
             self.timer.cancel()
             counters["counter_" + result.name.lower()] += 1
-            self.service.queue.put_nowait(("counted", self.name, result, total))
+            self.service.queue.put_nowait(CounterReplied(self.name, result, total))
 
 
 class CounterService:
--- a/kestrelbend/gateway/net/datagrams.py
+++ b/kestrelbend/gateway/net/datagrams.py
@@ -1,10 +1,11 @@
-"""Datagrams between gateways: each becomes the event `("datagram", source, data)` of the owner's queue."""
+"""Datagrams between gateways: each becomes a `DatagramReceived` on the owner's queue."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any, cast
 
+from .events import DatagramReceived
 from .metrics import counters
 
 
@@ -21,7 +22,7 @@
 
     def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
         """Hand a datagram to the owner, who reads it."""
-        self.queue.put_nowait(("datagram", source, data))
+        self.queue.put_nowait(DatagramReceived(source, data))
 
     def error_received(self, _: Exception) -> None:
         """Count a datagram that could not be sent: the peer's machine says so later, if at all."""
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -21,6 +21,7 @@
 from ..interface import State
 from ..settings.platform import Malformed
 from .configuration import address
+from .events import DiscoveryFailed, EndpointsReceived
 from .metrics import counters
 
 log = logging.getLogger(__name__)
@@ -127,7 +128,7 @@
 class EndpointDiscovery:
     """Follows the discovery service at `address` (host:port) and puts what is new on the owner's queue.
 
-    The events are `("listing", EndpointList)` and, when discovery stops answering, `("unlisted",)`.
+    The events are `EndpointsReceived` and, when discovery stops answering, `DiscoveryFailed`.
     `on_received` is called with each list before it stands in the queue.
     """
 
@@ -200,7 +201,7 @@
                 if not is_failing:
                     is_failing = True
                     log.warning("discovery silent", extra={"why": f"{type(error).__name__}: {error}"})
-                    self.queue.put_nowait(("unlisted",))
+                    self.queue.put_nowait(DiscoveryFailed())
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             if is_failing:
@@ -291,7 +292,7 @@
         self.since = version if now - self.complete_at < COMPLETE_INTERVAL_S else None
         if is_new:
             self.on_received(received)
-            self.queue.put_nowait(("listing", received))
+            self.queue.put_nowait(EndpointsReceived(received))
         return is_new
 
 
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -21,6 +21,7 @@
 from .counter import CounterService
 from .owner import Owner
 from .endpoint_discovery import EndpointDiscovery, entries
+from .events import EndpointsReceived, SharedProbesDue
 from .metrics import counters
 
 LINGER_S = 0.5  # new connections go on coming so long after SIGTERM
@@ -49,36 +50,36 @@
     )
     owner.gateway.context.started_at -= loading
     sockets = metrics.DescriptorLimits(told.sockets)
-    owner.backend_peer = Backends(queue, clock, told.settings, sockets)
-    owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_peer.renew, longest(told))
+    owner.backend_client = Backends(queue, clock, told.settings, sockets)
+    owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_client.renew, longest(told))
     owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter.timeout)
-    owner.roster = EndpointDiscovery(queue, told.discovery, owner.heard)
+    owner.discovery = EndpointDiscovery(queue, told.discovery, owner.list_received)
     if told.known:
-        owner.on_listing(entries(told.known))
+        owner.on_endpoints_received(EndpointsReceived(entries(told.known)))
     serving = asyncio.create_task(owner.serve())
     # The list as it was known before may be old, and what discovery has counts as told from the first moment:
     # its list goes before whatever clients ask.
     if told.checks is not None and told.checks.upstream:
         owner.endpoints_listed([("upstream", "", "", 0, State.READY, 1.0, None)], True)
     else:
-        owner.roster.watch()
-        await owner.roster.first()
+        owner.discovery.watch()
+        await owner.discovery.first()
     await owner.clients.start(told.listen, accept_queue)
     if told.checks is not None or told.authorisers:
         await grpc_fronts(told, owner, queue, clock)
     if told.news is not None:
         from .news import NewsPeer  # optional, as is what follows
 
-        owner.news = NewsPeer(told.news, queue, owner)
-        await owner.news.start(owner.gateway.context.random.random())
+        owner.usage_exchange = NewsPeer(told.news, queue, owner)
+        await owner.usage_exchange.start(owner.gateway.context.random.random())
     if told.members is not None:
         from .peers import Peers  # optional: nothing of it is loaded where it is off
 
-        owner.peers = Peers(told.members, queue, owner, told.seed, shares)
-        await owner.peers.start()
-        owner.clients.view = owner.peers.view
+        owner.membership = Peers(told.members, queue, owner, told.seed, shares)
+        await owner.membership.start()
+        owner.clients.view = owner.membership.view
         if shares:
-            queue.put_nowait(("probes_due",))
+            queue.put_nowait(SharedProbesDue())
     return owner, serving
 
 
@@ -110,7 +111,7 @@
     except Malformed as trouble:
         logging.error("configuration not taken", extra={"why": str(trouble)})
         return
-    owner.roster.move(new.discovery)
+    owner.discovery.move(new.discovery)
     owner.counter.move(new.counter)
     owner.clients.sockets.most = new.sockets
     if repr(new.settings) != repr(told.settings):
@@ -124,8 +125,8 @@
 def tell(owner):
     """SIGUSR1."""
     metrics.report()
-    if owner.peers is not None:
-        owner.peers.report()
+    if owner.membership is not None:
+        owner.membership.report()
 
 
 async def gateway(told, early, accept_queue):
@@ -151,8 +152,8 @@
     if serving.done():
         serving.result()
     logging.info("draining")
-    if owner.peers is not None:
-        owner.peers.leave()
+    if owner.membership is not None:
+        owner.membership.leave()
     leaving = [owner.clients.drain(LINGER_S)]
     if owner.checks is not None:
         leaving.append(owner.checks.drain(longest(told)))
--- a/kestrelbend/gateway/net/news.py
+++ b/kestrelbend/gateway/net/news.py
@@ -9,6 +9,7 @@
 from ..usage_sharing.errors import UnreadableUsageDatagram
 from ..usage_sharing.exchange import MeteredUsageExchange
 from .datagrams import DatagramReceiver
+from .events import UsagePeriodDue
 from .metrics import counters
 
 log = logging.getLogger(__name__)
@@ -38,7 +39,7 @@
 
     def later(self, part=1.0):
         asyncio.get_running_loop().call_later(
-            part * self.core.period_us / 1e6, self.queue.put_nowait, ("news_due",)
+            part * self.core.period_us / 1e6, self.queue.put_nowait, UsagePeriodDue()
         )
 
     def due(self):
--- a/kestrelbend/gateway/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -16,6 +16,7 @@
 from ..gossip.parameters import SwimParameters
 from ..gossip.swim import SwimNode
 from .datagrams import DatagramReceiver
+from .events import MembershipDue
 from .metrics import counters
 
 log = logging.getLogger(__name__)
@@ -99,7 +100,7 @@
         if self.timer is not None:
             self.timer.cancel()
         left = max(1000, core.due_us() - self.now()) / 1e6
-        self.timer = asyncio.get_running_loop().call_later(left, self.queue.put_nowait, ("members_due",))
+        self.timer = asyncio.get_running_loop().call_later(left, self.queue.put_nowait, MembershipDue())
 
     def flush(self):
         while self.core.outgoing:
--- a/kestrelbend/gateway/net/requests.py
+++ b/kestrelbend/gateway/net/requests.py
@@ -59,7 +59,8 @@
     `id`, `operation`, `plan`, `customer`: what it asks for, in whose name. `wait`: seconds that it may take,
     None where it does not say. `units`: its size. `spread`: gateways that the customer's requests go to.
     `retry`: whether it is one. `came`: when it came, in microseconds of the gateway's clock. `answer` is
-    settled once; `inv` is the invocation that the decisions make of it.
+    settled once; `inv` is the invocation that the decisions make of it. `front`: what answers it
+    (`owner.RequestFront`), None where the clients' listener does.
     """
 
     __slots__ = (
@@ -84,6 +85,7 @@
     units: float
     spread: int
     retry: bool
+    front: Any
 
     def __init__(self, came: int) -> None:
         self.came = came
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -289,11 +289,11 @@
     @staticmethod
     async def end(owner, serving):
         """End a gateway that was started in this process."""
-        for task in (serving, owner.roster.watching, owner.clients.accepting, owner.clients.looking):
+        for task in (serving, owner.discovery.watching, owner.clients.accepting, owner.clients.looking):
             task.cancel()
         owner.clients.listener.close()
-        await owner.roster.session.close()
-        peer = owner.backend_peer
+        await owner.discovery.session.close()
+        peer = owner.backend_client
         for delivery in peer.running.values():
             delivery.cancel()
         await asyncio.gather(*peer.running.values(), return_exceptions=True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,6 +26,7 @@
 from kestrelbend.gateway.net.answers import Answers
 from kestrelbend.gateway.net.gateway import start
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
+from kestrelbend.gateway.net.events import DeliveryEnded
 from kestrelbend.gateway.net.metrics import counters
 from kestrelbend.gateway.net.trust import FIRST_RESTS, REST_S
 
@@ -168,7 +169,7 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.play = [None, *calls]
-            world.owner.roster.move(discovery.address)
+            world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)  # the watch is open, and fails
             discovery.rev, discovery.rows, at = 7, changed(world), time.monotonic()
             await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 6)
@@ -182,7 +183,7 @@
 
     async def test():
         async with Listed() as (world, discovery):
-            world.owner.roster.move(discovery.address)
+            world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rows, at = changed(world), time.monotonic()  # and its version stays
             await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 6)
@@ -204,7 +205,7 @@
         async with Listed() as (world, discovery):
             discovery.rev, discovery.rows = 7, changed(world)
             discovery.play = [None, discovery.told(whole, world.rows, rev)]
-            world.owner.roster.move(discovery.address)
+            world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) > 3, 5)
             state = world.owner.backends["s0"].state
             assert state is (State.READY if taken else State.DRAINING)
@@ -217,12 +218,12 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.rev = 40
-            world.owner.roster.move(discovery.address)
+            world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 2, changed(world)
             discovery.play = [discovery.told(True, discovery.rows)]
             await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 5)
-            assert world.owner.roster.version == 2
+            assert world.owner.discovery.version == 2
 
     run(test())
 
@@ -243,7 +244,7 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.play = [None, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(odd), odd)]
-            world.owner.roster.move(discovery.address)
+            world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 7, changed(world)
             await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 5)
@@ -275,12 +276,12 @@
             discovery.rev = 1
             acts = [
                 lambda: at_once(next(iter(old.writers)), lambda c: c.send(late)),
-                lambda: owner.roster.move(discovery.address),
+                lambda: owner.discovery.move(discovery.address),
             ]
             for act in acts if answer_first else acts[::-1]:
                 act()
             await world.until(lambda: len(discovery.asked) == 2)
-            assert len(owner.listed) == 2 and owner.roster.version == 1
+            assert len(owner.listed) == 2 and owner.discovery.version == 1
             assert "since" not in discovery.asked[0]
 
     run(test())
@@ -311,15 +312,15 @@
                 "moved": [entry | {"endpoint": world.backends[1].address}],
             }[how]
             told = endpoint_discovery.entries({"rev": 90, "all": how == "left out", "targets": rows})
-            owner.backend_peer.queue = sent
-            owner.backend_peer.deliver(delivery(owner, target), asked_for(owner, "c1"))
+            owner.backend_client.queue = sent
+            owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
             await gate.reached.wait()
-            acts = [lambda: owner.roster.take(told), gate.open.set]
+            acts = [lambda: owner.discovery.take(told), gate.open.set]
             for act in acts if told_first else acts[::-1]:
                 act()
-            assert (await sent.get())[2] is Result.VOID
+            assert (await sent.get()).result is Result.VOID
             assert not world.backends[0].seen and not world.backends[1].seen
-            await world.until(lambda: not owner.backend_peer.barred)
+            await world.until(lambda: not owner.backend_client.barred)
 
     run(test())
 
@@ -393,7 +394,7 @@
 
             for act in (leave, gate.open.set) if left_first else (gate.open.set, leave):
                 act()
-            await world.until(lambda: not world.owner.requests and not world.owner.backend_peer.running)
+            await world.until(lambda: not world.owner.requests and not world.owner.backend_client.running)
             assert not world.backends[0].seen
             client.close()
 
@@ -403,7 +404,7 @@
 def test_no_further_attempt_begins_for_a_client_that_left_as_the_first_one_ended(monkeypatch):
     async def test():
         async with World(2) as world:
-            first = world.owner.backend_peer
+            first = world.owner.backend_client
             client = plain(world.listen)
             for backend in world.backends:
                 backend.play = ["hang"]
@@ -479,15 +480,15 @@
             await asyncio.sleep(0.05)
             owner, backend = world.owner, world.backends[0]
             stale, sent = counters["kept_connections_stale"], asyncio.Queue()
-            owner.backend_peer.queue = sent
+            owner.backend_client.queue = sent
             writer = next(iter(backend.writers))
             acts.append(
                 lambda: at_once(writer, lambda c: c.send(said) if said else c.shutdown(socket.SHUT_RDWR))
             )
             target = owner.backends["s0"]
-            owner.backend_peer.deliver(delivery(owner, target), asked_for(owner, "c1"))
+            owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
             ended = await sent.get()
-            assert ended[2] is Result.SUCCEEDED and ended[4][0] == b"fine"
+            assert ended.result is Result.SUCCEEDED and ended.answer[0] == b"fine"
             assert len(backend.seen) == 2 and counters["kept_connections_stale"] > stale
 
     run(test())
@@ -624,12 +625,12 @@
             owner, sent = world.owner, asyncio.Queue()
             early, doubtful = counters["answers_early"], counters["answers_doubtful"]
             assert (await world.ask())[2] == b"fine"
-            owner.backend_peer.queue = sent
-            owner.backend_peer.deliver(delivery(owner, owner.backends["s0"]), asked_for(owner, "c1"))
+            owner.backend_client.queue = sent
+            owner.backend_client.deliver(delivery(owner, owner.backends["s0"]), asked_for(owner, "c1"))
             ended = await sent.get()
-            assert ended[2] is Result.SUCCEEDED and ended[4][0] == b"fine"
+            assert ended.result is Result.SUCCEEDED and ended.answer[0] == b"fine"
             assert counters["answers_early"] == early + 1 and counters["answers_doubtful"] == doubtful
-            assert ended[3] < REST_S * 1e6 / 2  # the time told is the backend's, without the doubt
+            assert ended.took < REST_S * 1e6 / 2  # the time told is the backend's, without the doubt
 
     run(test())
 
@@ -683,7 +684,7 @@
     async def test():
         async with World() as world:
             owner, backend, sent = world.owner, world.backends[0], asyncio.Queue()
-            peer, target = owner.backend_peer, owner.backends["s0"]
+            peer, target = owner.backend_client, owner.backends["s0"]
             peer.queue, backend.play = sent, ["hang"]
             d = delivery(owner, target)
             peer.deliver(d, asked_for(owner, "c1"))
@@ -700,7 +701,7 @@
                 acts = [acts[1]]
             for act in acts if answer_first else acts[::-1]:
                 act()
-            result = (await sent.get())[2]
+            result = (await sent.get()).result
             await asyncio.sleep(0.05)
             assert sent.empty() and not peer.running and not result.never_ran
             assert result is not Result.SUCCEEDED or (crossing, answer_first) != ("reset", False)
@@ -726,7 +727,7 @@
     async def test():
         async with World() as world:
             owner, sent, loop = world.owner, asyncio.Queue(), asyncio.get_running_loop()
-            peer, backend, met = owner.backend_peer, world.backends[0], []
+            peer, backend, met = owner.backend_client, world.backends[0], []
             backend.met = lambda *streams, was=backend.met: met.append(1) or was(*streams)
             peer.queue = sent
             d = delivery(owner, owner.backends["s0"])
@@ -739,7 +740,7 @@
 
             acts.append(later)
             peer.deliver(d, asked_for(owner, "c1"))
-            result = (await sent.get())[2]
+            result = (await sent.get()).result
             assert result is Result.CANCELLED and not peer.connecting and not peer.running
             await world.until(lambda: not backend.writers)
             await asyncio.sleep(0.02)
@@ -754,12 +755,13 @@
     async def test():
         async with World() as world:
             owner, sent = world.owner, asyncio.Queue()
-            peer, d = owner.backend_peer, delivery(owner, owner.backends["s0"])
+            peer, d = owner.backend_client, delivery(owner, owner.backends["s0"])
             peer.queue = sent
             peer.deliver(d, asked_for(owner, "c1"))
             peer.cancel(d)
             ended = await asyncio.wait_for(sent.get(), 1)
-            assert ended[:3] == ("ended", d, Result.VOID) and not peer.running
+            assert type(ended) is DeliveryEnded and not peer.running
+            assert (ended.delivery, ended.result) == (d, Result.VOID)
             await asyncio.sleep(0.02)
             assert sent.empty() and not world.backends[0].seen
 
@@ -1286,7 +1288,7 @@
             back = [row("s0", fresh, started=round(began * 1000)), *world.rows[1:]]
             told = endpoint_discovery.entries({"rev": 3, "all": True, "targets": back})
             for _, owner, _ in all_[::2]:
-                owner.roster.take(told)
+                owner.discovery.take(told)
             asyncio.get_running_loop().call_later(0.3, world.discovery.tell, *back)
             at = time.monotonic()
             await drive(cold)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -31,6 +31,7 @@
 from kestrelbend.gateway.gossip.swim import SwimNode
 from kestrelbend.gateway.gossip.update_rules import UpdateRules
 from kestrelbend.gateway.net import configuration
+from kestrelbend.gateway.net.events import MembershipDue
 from kestrelbend.gateway.net.peers import Peers
 from tests.helpers import World, free_address
 from tests.test_configuration import EXAMPLE
@@ -680,8 +681,11 @@
 
     async def work(self, n):
         while True:
-            what, *values = await self.queues[n].get()
-            self.peers[n].due() if what == "members_due" else self.peers[n].got(*values)
+            event = await self.queues[n].get()
+            if type(event) is MembershipDue:
+                self.peers[n].due()
+            else:
+                self.peers[n].got(event.source, event.data)
 
 
 async def comes_true(condition):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 import subprocess
 import sys
 import time
-from dataclasses import replace
+from dataclasses import astuple, replace
 
 import pytest
 import uvloop
@@ -28,6 +28,7 @@
 from kestrelbend.gateway.net.requests import Request
 from kestrelbend.gateway.net.gateway import reload, start
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
+from kestrelbend.gateway.net.events import AlarmDue, CounterReplied, RequestTaken
 from kestrelbend.gateway.net.endpoint_discovery import entries
 from kestrelbend.gateway.net.metrics import counters
 
@@ -124,11 +125,11 @@
             inv = Invocation(
                 owner.operations["op"], owner.customer_state("plan", "c1", 1), 0, 1 << 62, 1.0, False
             )
-            peer, target.state = owner.backend_peer, State.DRAINING
+            peer, target.state = owner.backend_client, State.DRAINING
             peer.queue = sent
             until = owner.clock() + 500_000
             peer.deliver(Delivery(inv, target, owner.clock(), until, 0, until), request)
-            assert (await sent.get())[2] is Result.VOID and not world.backends[0].seen
+            assert (await sent.get()).result is Result.VOID and not world.backends[0].seen
 
     run(test())
 
@@ -192,10 +193,10 @@
         async with World(classes__0__objective=100) as world:
             target, backend = world.owner.backends["s0"], world.backends[0]
             backend.play = ["hang"]
-            before = world.owner.backend_peer.link(target)
+            before = world.owner.backend_client.link(target)
             assert (await world.ask(wait="0.3"))[0] in (429, 502)
             await world.until(lambda: before.session.closed)
-            assert world.owner.backend_peer.link(target) is not before
+            assert world.owner.backend_client.link(target) is not before
 
     run(test())
 
@@ -222,11 +223,12 @@
             service.queue = asyncio.Queue()
             service.add(5, 1.5, 4_000_000)
             total = 1.5 if result is Result.SUCCEEDED else 0.0
-            assert await service.queue.get() == ("counted", 5, result, total)
+            assert await service.queue.get() == CounterReplied(5, result, total)
             if play and type(play[0]) is bytes and not play[0].startswith((b"-BUSY", b"-ERR")):
                 world.counter.play = []  # its connection is not used again
                 service.add(5, 1, 4_000_000)
-                assert (await service.queue.get())[2] is Result.SUCCEEDED and len(service.connections) == 1
+                assert (await service.queue.get()).result is Result.SUCCEEDED
+                assert len(service.connections) == 1
 
     run(test())
 
@@ -248,17 +250,17 @@
             stalled = world.owner.clock()
             await world.until(lambda: len(world.owner.requests) == 2)
             assert max(inv.arrived for inv in world.owner.requests) < stalled - 150_000
-            world.owner.late, world.owner.gateway.now = 0, world.owner.clock()
-            world.owner.on_alarm(Task(None), world.owner.gateway.now - 80_000)
+            world.owner.alarm_lateness, world.owner.gateway.now = 0, world.owner.clock()
+            world.owner.on_alarm_due(AlarmDue(Task(None), world.owner.gateway.now - 80_000))
             request = asked_for(world.owner, "c3")
-            world.owner.on_taken(request)
+            world.owner.on_request_taken(RequestTaken(request))
             assert request.inv.until - request.inv.arrived == 920_000
             writer.close()
             assert (await out)[0] in (429, 502)
             service, world.counter.play = world.owner.counter, ["stall"]
             service.queue = asyncio.Queue()
             service.add(5, 1, 4_000_000)
-            assert (await service.queue.get())[2:] == (Result.SUCCEEDED, 9.0)
+            assert astuple(await service.queue.get())[1:] == (Result.SUCCEEDED, 9.0)
 
     run(test())
 
@@ -271,16 +273,16 @@
             counter.play = ["silent"] * 2
             for _ in range(2):
                 service.add(5, 1, 4_000_000)
-            assert [(await service.queue.get())[2] for _ in range(2)] == [Result.TIMED_OUT] * 2
+            assert [(await service.queue.get()).result for _ in range(2)] == [Result.TIMED_OUT] * 2
             service.add(6, 1, 4_000_000)  # at once, on a line that is not in doubt
-            assert (await service.queue.get())[2] is Result.SUCCEEDED and len(service.connections) == 2
+            assert (await service.queue.get()).result is Result.SUCCEEDED and len(service.connections) == 2
             await asyncio.sleep(2 * service.call_timeout)
             for _ in range(2):
                 service.add(5, 1, 4_000_000)
-            assert [(await service.queue.get())[3] for _ in range(2)] == [1.0, 2.0]
+            assert [(await service.queue.get()).total for _ in range(2)] == [1.0, 2.0]
             counter.close()
             service.add(6, 1, 4_000_000)
-            assert (await service.queue.get())[2] in (Result.UNREACHABLE, Result.TIMED_OUT)
+            assert (await service.queue.get()).result in (Result.UNREACHABLE, Result.TIMED_OUT)
 
     run(test())
 
@@ -303,11 +305,11 @@
             await world.until(lambda: owner.backends["s0"].state is State.DRAINING)
             world.discovery.tell(rows[1] | {"boot_ms": 5})
             await world.until(lambda: owner.backends["s0"].state is State.GONE)
-            assert owner.backends["s1"].started == 5000 and len(owner.backend_peer.endpoints) == 1
-            owner.gone["s0"] -= owner.settings["cold"]  # it went long ago: nothing of it is kept
+            assert owner.backends["s1"].started == 5000 and len(owner.backend_client.endpoints) == 1
+            owner.departed_at["s0"] -= owner.settings["cold"]  # it went long ago: nothing of it is kept
             world.discovery.tell(rows[1] | {"boot_ms": 5})
             await world.until(lambda: "s0" not in owner.backends)
-            assert len(owner.backend_ids) == 1 and not owner.gone
+            assert len(owner.backend_ids) == 1 and not owner.departed_at
             assert "since=2&" in world.discovery.asked[2]
             world.discovery.close()  # the agent is gone, then back
             await world.until(lambda: counters["discovery_failed"])
@@ -650,7 +652,7 @@
 def test_no_connection_is_made_beyond_the_limit_on_descriptors():
     async def test():
         async with World() as world:
-            peer, target = world.owner.backend_peer, world.owner.backends["s0"]
+            peer, target = world.owner.backend_client, world.owner.backends["s0"]
             on = await asyncio.open_connection(*world.listen)
             await world.until(lambda: world.owner.clients.server.open)
             allowed, peer.sockets.most = peer.sockets.most, 40
@@ -835,12 +837,12 @@
                 queue, owner.clock, owner.settings, owner.clients.sockets, lambda: None, 9
             )
             await server.start(None, waits)
-            taken = [(await queue.get())[1] for _ in on]
+            taken = [(await queue.get()).request for _ in on]
             assert all(request.came <= before + 100_000 for request in taken)
             for n, connection in ((7, None), (8, silent)):
                 after = world.owner.clock()
                 await ask(n, connection)
-                assert (await queue.get())[1].came >= after
+                assert (await queue.get()).request.came >= after
             for each in on:
                 each[1].close()
             server.accepting.cancel()
@@ -876,7 +878,7 @@
             owner.counter.add(5, 1, 4_000_000)  # in order with the one before
             owner.counter.add(6, 1, 4_000_000)
             ended = [await owner.counter.queue.get() for _ in range(3)]
-            assert [e[3] for e in ended if e[1] == 5] == [1.0, 2.0]
+            assert [e.total for e in ended if e.name == 5] == [1.0, 2.0]
             assert counter.calls == ["6"] and owner.clients.sockets.most == 99
             owner.counter.queue = owner.queue
             await world.until(lambda: set(owner.listed) == {"s0", "s9"})
@@ -898,8 +900,8 @@
             assert not later.done()
             world.owner.clients.accepting.cancel()
             world.owner.clients.listener.close()
-            world.owner.roster.watching.cancel()
-            await world.owner.roster.session.close()
+            world.owner.discovery.watching.cancel()
+            await world.owner.discovery.session.close()
             world.owner, serving = await later
             await world.until(lambda: world.owner.listed)
             assert (await world.ask())[0] == 200
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -10,6 +10,7 @@
 
 from kestrelbend.gateway.interface import Result, State
 from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, platform_news
+from kestrelbend.gateway.net.events import UsagePeriodDue
 from kestrelbend.gateway.net.news import NewsPeer
 from kestrelbend.gateway.usage_sharing import messages
 from kestrelbend.gateway.usage_sharing.errors import UnreadableUsageDatagram
@@ -207,9 +208,9 @@
 
         async def turn(n):
             while True:
-                what, *values = await queues[n].get()
+                event = await queues[n].get()
                 fronts[n].gateway.now = int(asyncio.get_running_loop().time() * 1e6)
-                peers[n].due() if what == "news_due" else peers[n].got(*values)
+                peers[n].due() if type(event) is UsagePeriodDue else peers[n].got(event.source, event.data)
 
         for peer in peers:
             peer.core.period_us, peer.core.takeover_wait_us, peer.core.meter_heard_us = (
