--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -1,4 +1,8 @@
-"""One real gateway: puts its parts together, reloads at SIGHUP, drains at SIGTERM."""
+"""One gateway in service: puts its parts together, reloads at SIGHUP, shuts down gracefully at SIGTERM.
+
+The order of the start is part of its promises: the list of backends goes before whatever clients ask, and no
+optional part is loaded where it is off.
+"""
 
 from __future__ import annotations
 
@@ -9,167 +13,236 @@
 import signal
 import sys
 import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, Final
 
 import uvloop
 
+from ..interface import State
 from ..settings.platform import Malformed
 from ..singleton_tasks import probes_shared
-from ..interface import State
 from . import configuration, key_value_logging, metrics
 from .backends import Backends
 from .clients import Clients
 from .counter import CounterService
-from .owner import Owner
-from .endpoint_discovery import EndpointDiscovery, entries
-from .events import EndpointsReceived, SharedProbesDue
+from .endpoint_discovery import EndpointDiscovery, EndpointRow, entries
+from .events import EndpointsReceived, Event, SharedProbesDue
 from .metrics import counters
+from .owner import Owner
+
+if TYPE_CHECKING:
+    from .accept_queue import AcceptQueue
+    from .configuration import GatewayConfiguration
+    from .signals import EarlySignals
 
-LINGER_S = 0.5  # new connections go on coming so long after SIGTERM
+ACCEPT_AFTER_SIGTERM_S: Final = 0.5  # new connections go on coming so long
+MICROSECONDS_OF_SECOND: Final = 1e6
+NANOSECONDS_OF_MICROSECOND: Final = 1000
+UPSTREAM: Final = EndpointRow("upstream", "", "", 0, State.READY, 1.0, 0)
+"""The one backend where a proxy routes what is let in."""
 
 
-def make_clock():
+def make_clock() -> Callable[[], int]:
     """Unix time in whole microseconds, that never steps back: gateways name counts by it."""
     base = time.time_ns() - time.monotonic_ns()
-    return lambda: (base + time.monotonic_ns()) // 1000
+    return lambda: (base + time.monotonic_ns()) // NANOSECONDS_OF_MICROSECOND
 
 
-def longest(told):
-    """Seconds that an invocation may take: the longest integration timeout."""
-    return max((op.timeout for op in told.settings["operations"]), default=0) / 1e6
+def max_duration_s(given: GatewayConfiguration) -> float:
+    """Seconds that an invocation may take: the longest time-out of an operation."""
+    timeouts = (operation.timeout for operation in given.settings["operations"])
+    return float(max(timeouts, default=0) / MICROSECONDS_OF_SECOND)
 
 
-async def start(told, accept_queue=None, loading=0):
-    """The owner with its peers, and the task in which it serves; `loading`: microseconds that the process has
-    taken so far."""
-    clock, queue = make_clock(), asyncio.Queue()
-    shares = told.members is not None and probes_shared(told.settings, told.members.share_probes)
-    # `shares`: whether probes are shared (not use, as in docs/shares.md).  Probes that are a duty of one
-    # gateway are asked by `Owner`; the decisions then ask none of their own.
-    owner = Owner(
-        {**told.settings, "may_probe": told.settings["may_probe"] and not shares}, told.seed, clock, queue
-    )
-    owner.gateway.context.started_at -= loading
-    sockets = metrics.DescriptorLimits(told.sockets)
-    owner.backend_client = Backends(queue, clock, told.settings, sockets)
-    owner.clients = Clients(queue, clock, told.settings, sockets, owner.backend_client.renew, longest(told))
-    owner.counter = CounterService(queue, told.counter, told.settings, owner.gateway.counter.timeout)
-    owner.discovery = EndpointDiscovery(queue, told.discovery, owner.list_received)
-    if told.known:
-        owner.on_endpoints_received(EndpointsReceived(entries(told.known)))
+async def start(
+    given: GatewayConfiguration, accept_queue: AcceptQueue | None = None, loading: int = 0
+) -> tuple[Owner, asyncio.Task[None]]:
+    """The owner with its peers, and the task in which it serves.
+
+    `accept_queue`: what has taken connections so far. `loading`: microseconds that the process has taken so
+    far. Raises `OSError` where an address cannot be had, `Malformed` where an extra is not installed.
+    """
+    share_probes = given.members is not None and probes_shared(given.settings, given.members.share_probes)
+    owner = _make_owner(given, share_probes, loading)
+    if given.known:
+        owner.on_endpoints_received(EndpointsReceived(entries(given.known)))
     serving = asyncio.create_task(owner.serve())
-    # The list as it was known before may be old, and what discovery has counts as told from the first moment:
-    # its list goes before whatever clients ask.
-    if told.checks is not None and told.checks.upstream:
-        owner.endpoints_listed([("upstream", "", "", 0, State.READY, 1.0, None)], True)
+    await _await_endpoints(given, owner)
+    await owner.clients.start(given.listen, accept_queue)
+    if given.checks is not None or given.authorisers:
+        await _start_external_authorization(given, owner)
+    await _start_usage_exchange(given, owner)
+    await _start_membership(given, owner, share_probes)
+    return owner, serving
+
+
+def _make_owner(given: GatewayConfiguration, share_probes: bool, loading: int) -> Owner:
+    """The owner with the peers that it always has.
+
+    Shared probes are asked by `Owner`, each by one gateway for all; the decisions then ask none of their own.
+    """
+    clock = make_clock()
+    queue: asyncio.Queue[Event] = asyncio.Queue()
+    may_probe = given.settings["may_probe"] and not share_probes
+    owner = Owner({**given.settings, "may_probe": may_probe}, given.seed, clock, queue)
+    owner.gateway.context.started_at -= loading
+    limits = metrics.DescriptorLimits(given.sockets)
+    backends = Backends(queue, clock, given.settings, limits)
+    owner.backend_client = backends
+    owner.clients = Clients(queue, clock, given.settings, limits, backends.renew, max_duration_s(given))
+    owner.counter = CounterService(queue, given.counter, given.settings, owner.gateway.counter.timeout)
+    owner.discovery = EndpointDiscovery(queue, given.discovery, owner.list_received)
+    return owner
+
+
+async def _await_endpoints(given: GatewayConfiguration, owner: Owner) -> None:
+    """Have the list of backends before any request.
+
+    The list as it was known before may be old, and what discovery has counts as told from the first moment.
+    """
+    if given.checks is not None and given.checks.upstream:
+        owner.endpoints_listed([UPSTREAM], True)
     else:
         owner.discovery.watch()
         await owner.discovery.first()
-    await owner.clients.start(told.listen, accept_queue)
-    if told.checks is not None or told.authorisers:
-        await grpc_fronts(told, owner, queue, clock)
-    if told.news is not None:
-        from .news import NewsPeer  # optional, as is what follows
-
-        owner.usage_exchange = NewsPeer(told.news, queue, owner)
-        await owner.usage_exchange.start(owner.gateway.context.random.random())
-    if told.members is not None:
-        from .peers import Peers  # optional: nothing of it is loaded where it is off
-
-        owner.membership = Peers(told.members, queue, owner, told.seed, shares)
-        await owner.membership.start()
-        owner.clients.view = owner.membership.view
-        if shares:
-            queue.put_nowait(SharedProbesDue())
-    return owner, serving
 
 
-async def grpc_fronts(told, owner, queue, clock):
-    """Optional: gRPC takes some 20 MB, and nothing of it is loaded where it is off."""
+async def _start_external_authorization(given: GatewayConfiguration, owner: Owner) -> None:
+    """Start what external authorisation is given; raises `Malformed` where gRPC is not installed.
+
+    Imported only here: gRPC takes some 20 MB.
+    """
     try:
-        if told.authorisers:
+        if given.authorisers:
             from ..external_authorization.grpc.authorisers import Authorisers
 
-            owner.authorisers = Authorisers(told.authorisers, queue, clock)
-        if told.checks is not None:
+            owner.authorisers = Authorisers(given.authorisers, owner.queue, owner.clock)
+        if given.checks is not None:
             from ..external_authorization.grpc.check import Checks
 
-            owner.checks = Checks(told.checks, owner.settings, queue, clock)
-            owner.checks.backend_name = lambda backend: str(owner.backend_ids.get(backend, ""))
-            await owner.checks.start()
-    except ImportError as missing:
-        raise Malformed(f"gRPC is not installed: pip install 'kestrelbend[grpc]' ({missing})") from None
+            checks = Checks(given.checks, owner.settings, owner.queue, owner.clock)
 
+            def backend_name(backend: Any) -> str:
+                return str(owner.backend_ids.get(backend, ""))
 
-def reload(told, owner):
-    """SIGHUP: the configuration file was replaced.  Addresses and limits hold from now on; settings, by which
-    customers and backends are already known, from the next start, and so does all else in the file, of which
-    no line tells (`listen`, `logs`, members, news, checks, authorisers).  A file that cannot be used changes
-    nothing."""
+            checks.backend_name = backend_name  # type: ignore[method-assign]  # the front knows no ids
+            owner.checks = checks
+            await checks.start()
+    except ImportError as error:
+        raise Malformed(f"gRPC is not installed: pip install 'kestrelbend[grpc]' ({error})") from None
+
+
+async def _start_usage_exchange(given: GatewayConfiguration, owner: Owner) -> None:
+    """Announce use to the other gateways, where the platform has addresses for that."""
+    if given.news is None:
+        return
+    from .news import NewsPeer  # optional
+
+    owner.usage_exchange = NewsPeer(given.news, owner.queue, owner)
+    await owner.usage_exchange.start(owner.gateway.context.random.random())
+
+
+async def _start_membership(given: GatewayConfiguration, owner: Owner, share_probes: bool) -> None:
+    """Join the other gateways, where they may speak; with shared probes, begin to look for this one's."""
+    if given.members is None:
+        return
+    from .peers import Peers  # optional
+
+    owner.membership = Peers(given.members, owner.queue, owner, given.seed, share_probes)
+    await owner.membership.start()
+    owner.clients.view = owner.membership.view
+    if share_probes:
+        owner.queue.put_nowait(SharedProbesDue())
+
+
+def reload(given: GatewayConfiguration, owner: Owner) -> None:
+    """SIGHUP: the configuration file was replaced.
+
+    Addresses and limits hold from now on; settings, by which customers and backends are already known, from
+    the next start, and so does all else in the file, of which no line tells (`listen`, `logs`, members, news,
+    checks, authorisers). A file that cannot be used changes nothing.
+    """
     counters["reloads"] += 1
+    assert given.again is not None  # whoever read the configuration has set it
     try:
-        new = told.again()
-    except Malformed as trouble:
-        logging.error("configuration not taken", extra={"why": str(trouble)})
+        new = given.again()
+    except Malformed as error:
+        logging.error("configuration not taken", extra={"why": str(error)})
         return
     owner.discovery.move(new.discovery)
     owner.counter.move(new.counter)
     owner.clients.sockets.most = new.sockets
-    if repr(new.settings) != repr(told.settings):
+    if repr(new.settings) != repr(given.settings):
         logging.warning("settings changed: they hold from the next start")
-    logging.info(
-        "configuration taken",
-        extra={"discovery": new.discovery, "counter": "%s:%d" % new.counter if new.counter else "none"},
-    )
+    counter = "%s:%d" % new.counter if new.counter else "none"  # noqa: UP031  a pair as it is
+    logging.info("configuration taken", extra={"discovery": new.discovery, "counter": counter})
 
 
-def tell(owner):
-    """SIGUSR1."""
+def report(owner: Owner) -> None:
+    """SIGUSR1: log the counters, and the members as this gateway knows them."""
     metrics.report()
     if owner.membership is not None:
         owner.membership.report()
 
 
-async def gateway(told, early, accept_queue):
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
+async def run_gateway(
+    given: GatewayConfiguration, early: EarlySignals, accept_queue: AcceptQueue | None
+) -> None:
+    """Serve until SIGTERM or SIGINT, then shut down gracefully.
+
+    `early`: the signals that came while the program was being loaded; they hold as if they came now.
+    """
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
     replaced = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, replaced.set)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGUSR1, metrics.report)
-    for happened, event in ((early.stopped, stop), (early.replaced, replaced)):
-        if happened:
-            event.set()
-    owner, serving = await start(told, accept_queue, (time.monotonic_ns() - early.began) // 1000)
-    loop.add_signal_handler(signal.SIGHUP, reload, told, owner)
+    if early.stopped:
+        stop.set()
+    if early.replaced:
+        replaced.set()
+    loading = (time.monotonic_ns() - early.began) // NANOSECONDS_OF_MICROSECOND
+    owner, serving = await start(given, accept_queue, loading)
+    loop.add_signal_handler(signal.SIGHUP, reload, given, owner)
     if replaced.is_set():
-        reload(told, owner)
-    loop.add_signal_handler(signal.SIGUSR1, tell, owner)
+        reload(given, owner)
+    loop.add_signal_handler(signal.SIGUSR1, report, owner)
     gc.freeze()
     gc.enable()
-    logging.info("serving", extra={"gateway": told.name, "listen": "%s:%d" % told.listen})
+    listen = "%s:%d" % given.listen  # noqa: UP031  a pair as it is
+    logging.info("serving", extra={"gateway": given.name, "listen": listen})
     stopping = asyncio.create_task(stop.wait())
     await asyncio.wait({serving, stopping}, return_when=asyncio.FIRST_COMPLETED)
     if serving.done():
-        serving.result()
+        serving.result()  # it never returns: this raises
+    await _drain(given, owner)
+
+
+async def _drain(given: GatewayConfiguration, owner: Owner) -> None:
+    """Leave the other gateways, answer what is open, end all connections."""
     logging.info("draining")
     if owner.membership is not None:
         owner.membership.leave()
-    leaving = [owner.clients.drain(LINGER_S)]
+    draining = [owner.clients.drain(ACCEPT_AFTER_SIGTERM_S)]
     if owner.checks is not None:
-        leaving.append(owner.checks.drain(longest(told)))
-    await asyncio.gather(*leaving)
+        draining.append(owner.checks.drain(max_duration_s(given)))
+    await asyncio.gather(*draining)
     if owner.authorisers is not None:
         await owner.authorisers.end()
     metrics.report()
 
 
-def serve(early, accept_queue, path=None):
-    """Serves until SIGTERM; a wrong configuration ends it with a plain message.  `path`: an installation's
-    own file, in place of the platform's environment."""
+def serve(early: EarlySignals, accept_queue: AcceptQueue | None, path: str | None = None) -> None:
+    """Serve until SIGTERM; an unusable configuration ends the process with a plain message.
+
+    `path`: an installation's own file, in place of the platform's environment.
+    """
     key_value_logging.start()
     try:
-        told = configuration.read(os.environ) if path is None else configuration.read_file(path)
-        key_value_logging.start(*told.logs)
-        uvloop.run(gateway(told, early, accept_queue))
-    except (Malformed, OSError) as trouble:
-        sys.exit(f"kestrelbend: {trouble}")
+        given = configuration.read(os.environ) if path is None else configuration.read_file(path)
+        key_value_logging.start(*given.logs)
+        uvloop.run(run_gateway(given, early, accept_queue))
+    except (Malformed, OSError) as error:
+        sys.exit(f"kestrelbend: {error}")
