--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -1,42 +1,89 @@
-"""Backends: carries deliveries and probes on aiohttp's client, and says what came of each."""
+"""Backends: carries deliveries and probes on aiohttp's client, and says what came of each.
+
+Invariant: each delivery and each probe ends with exactly one event, and its outcome is never said to be safer
+than it was seen (RFC 9110, section 9.2.2: what may have run is not repeated by itself).
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections import defaultdict
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any, Final
 
 import aiohttp
 from yarl import URL
 
 from ..interface import Result
 from .answers import SENDING
+from .connection_pool import ConnectionPool
 from .connections import LONGEST_BODY
 from .events import BackendProbed, DeliveryEnded
 from .headers import PASSED_BACK, load_report, passed_on, reported_number
-from .connection_pool import ConnectionPool
+from .metrics import DescriptorLimits, counters
 from .sending import NotWanted, Sending, Settling, Stale
-from .metrics import counters
 from .trust import REST_S, Trust
 
+if TYPE_CHECKING:
+    from ..decisions import BackendState
+    from ..interface import Delivery
+    from .requests import Request
+
+MICROSECONDS_OF_SECOND: Final = 1e6
+MAX_CHARGE: Final = 1e9  # units, where the settings state no limit
+MAX_USED_PERCENT: Final = 1e6
+PERCENT: Final = 100
+OK: Final = 200
+UNSERVED_STATUSES: Final = (503, 504)  # they may say that the request was not processed
+LOAD_PATH: Final = "/_load"
+PING_PATH: Final = "/ping"
+
+BackendAnswer = tuple[int, bytes, Mapping[str, str]]
+"""Status, body and headers."""
+
 
 class Backends:
-    def __init__(self, queue, clock, settings, sockets):
-        self.queue, self.clock, self.settings = queue, clock, settings
-        self.sockets, self.connecting = sockets, 0
-        # Where each backend is; the links to those that were ever sent to; by delivery: its task; probes.
-        self.endpoints, self.links, self.running, self.tasks = {}, {}, {}, set()
-        self.trust = defaultdict(Trust)  # by backend, as long as it stays at its address
-        self.barred = {}  # backends that a list not yet taken in takes off or moves, by that list
+    """The connections to all backends, and what is under way on them.
+
+    `queue`: the owner's events. `clock`: now, in microseconds. `sockets`: how many descriptors may be held.
+    `connecting`: connections being made. `endpoints`: host:port by backend. `links`: the connection pools of
+    the backends that were ever sent to. `running`: the tasks of deliveries. `tasks`: other tasks, kept until
+    they are done. `trust`: by backend, as long as it stays at its address. `barred`: backends that a list not
+    yet taken in takes off or moves, by that list.
+    """
+
+    def __init__(
+        self,
+        queue: asyncio.Queue[Any],
+        clock: Callable[[], int],
+        settings: Mapping[str, Any],
+        sockets: DescriptorLimits,
+    ) -> None:
+        self.queue = queue
+        self.clock = clock
+        self.settings = settings
+        self.sockets = sockets
+        self.connecting = 0
+        self.endpoints: dict[BackendState, str] = {}
+        self.links: dict[BackendState, ConnectionPool] = {}
+        self.running: dict[Delivery, asyncio.Task[None]] = {}
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.trust: defaultdict[BackendState, Trust] = defaultdict(Trust)
+        self.barred: dict[BackendState, Any] = {}
 
     # Addresses.
 
-    def listed(self, backend, endpoint):
+    def listed(self, backend: BackendState, endpoint: str) -> None:
+        """A backend is at `endpoint` (host:port) from now on."""
         if self.endpoints.get(backend) != endpoint:
             self.unlisted(backend)
             self.endpoints[backend] = endpoint
 
-    def link(self, backend):
-        """Made when it is first needed: one for each of hundreds costs time at the start, and memory."""
+    def link(self, backend: BackendState) -> ConnectionPool | None:
+        """The pool of a backend's connections; None where its address is not known.
+
+        Made when it is first needed: one for each of hundreds costs time at the start, and memory.
+        """
         link = self.links.get(backend)
         if link is None and backend in self.endpoints:
             link = self.links[backend] = ConnectionPool(
@@ -44,116 +91,158 @@
             )
         return link
 
-    def unlisted(self, backend):
+    def unlisted(self, backend: BackendState) -> None:
+        """A backend is no longer at its address; what is under way on its connections goes on."""
         self.endpoints.pop(backend, None)
         self.trust.pop(backend, None)
-        self.retire(backend)
+        self._retire(backend)
 
-    def retire(self, backend):
+    def _retire(self, backend: BackendState) -> None:
         """Its idle connections go now, those in use with their last user."""
         link = self.links.pop(backend, None)
         if link is not None:
             link.retired = True
-            self.release(link)
+            self._release(link)
 
-    def release(self, link):
+    def _release(self, link: ConnectionPool) -> None:
+        """Close a retired pool once nobody uses it."""
         if link.retired and not link.users:
-            self.keep(asyncio.create_task(link.session.close()))
+            self._keep(asyncio.create_task(link.session.close()))
 
-    def renew(self, *backends):
-        """Give up the connections kept to these backends, or to all."""
+    def renew(self, *backends: BackendState) -> None:
+        """Give up the connections kept to these backends, or to all where none is named."""
         for backend in backends or list(self.links):
-            self.retire(backend)
+            self._retire(backend)
 
-    def keep(self, task):
+    def _keep(self, task: asyncio.Task[None]) -> None:
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     # Deliveries.
 
-    def deliver(self, d, request):
+    def deliver(self, d: Delivery, request: Request) -> None:
+        """Send a delivery; `DeliveryEnded` follows."""
         counters["deliveries"] += 1
-        self.running[d] = task = asyncio.create_task(self.delivery(d, request))
-        task.add_done_callback(lambda _: self.never_began(d))
+        task = asyncio.create_task(self._deliver(d, request))
+        self.running[d] = task
+        task.add_done_callback(lambda _: self._end_unstarted(d))
+
+    def _end_unstarted(self, d: Delivery) -> None:
+        """A task cancelled before its first turn runs nothing of its body, not even its `finally`.
 
-    def never_began(self, d):
-        """One cancelled before its task had its first turn runs nothing of it, not even its end.  (Seen in a
-        test: its client left in the turn in which a further delivery was decided, and that delivery's credit
-        was never earned back.)"""
+        (Seen in a test: its client left in the turn in which a further delivery was decided, and that
+        delivery's credit was never earned back.)
+        """
         if d in self.running:
-            self.ended(d, Result.VOID)
+            self._ended(d, Result.VOID)
 
-    def ended(self, d, result, answer=None, load=None, actual=0, used=None, at=None):
-        """The one event of a delivery, with the time that it took: until `at`, or until now."""
+    def _ended(
+        self,
+        d: Delivery,
+        result: Result,
+        answer: tuple[bytes, dict[str, str]] | None = None,
+        load: dict[str, float] | None = None,
+        actual: float = 0,
+        used: float | None = None,
+        at: int | None = None,
+    ) -> None:
+        """Put the one event of a delivery, with the time that it took: until `at`, or until now."""
         self.running.pop(d)
         counters["deliveries_" + result.name.lower()] += 1
         took = (self.clock() if at is None else at) - d.sent
         self.queue.put_nowait(DeliveryEnded(d, result, took, answer, load, actual, used))
 
-    def cancel(self, d):
+    def cancel(self, d: Delivery) -> None:
+        """Stop waiting for a delivery; its end follows as an event."""
         if d in self.running:
             self.running[d].cancel()
 
-    async def delivery(self, d, request):
-        """Ends with exactly one event, whatever comes; an outcome is never said safer than it was seen."""
-        sending, answer, load, actual, used = Sending(d.backend, self, d, request), None, None, 0, None
+    async def _deliver(self, d: Delivery, request: Request) -> None:
+        """Send it, and end with exactly one event, whatever comes."""
+        sending = Sending(d.backend, self, d, request)
+        answer: tuple[bytes, dict[str, str]] | None = None
+        load: dict[str, float] | None = None
+        actual: float = 0
+        used: float | None = None
         result = Result.CANCELLED
         try:
-            left = (d.until - self.clock()) / 1e6
-            headers = [*passed_on(request.headers), ("X-Timeout", f"{max(0.0, left):.3f}")]
-            status, answer, got = await self.exchange(
-                sending, request.method, request.target, left, headers=headers, data=request.body or None
+            remaining_s = (d.until - self.clock()) / MICROSECONDS_OF_SECOND
+            passed = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's, which is a Mapping
+            headers = [*passed, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
+            status, body, got = await self._exchange(
+                sending,
+                request.method,
+                request.target,
+                remaining_s,
+                headers=headers,
+                data=request.body or None,
             )
-            result, load = self.outcome(status, got), load_report(got.get("X-Server-Load"))
-            answer = answer, {name: got[name] for name in PASSED_BACK if name in got}
-            actual = reported_number(got.get("Api-Charge"), self.settings["most_units"] or 1e9) or 0
-            if self.settings["meter_period"]:
-                used = reported_number(got.get("Api-Used"), 1e6)
-                used = None if used is None else used / 100
+            answer = (body, {name: got[name] for name in PASSED_BACK if name in got})
+            result = self._outcome(status, got)
+            load = load_report(got.get("X-Server-Load"))
+            actual = reported_number(got.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE) or 0
+            used = self._reported_use(got)
         except asyncio.CancelledError:
-            pass
-        except Exception as trouble:
-            result = self.failure(trouble, sending)
+            pass  # by `cancel`: the event says so
+        except Exception as error:  # noqa: BLE001  whatever it is, the delivery has its end by it
+            result = self._failure(error, sending)
         finally:
             link = self.links.get(d.backend)
             if answer is None and d.overdue and link is not None and link.heard < d.sent:
                 # Silent for all that time: other connections kept from before would each cost a delivery.
                 self.renew(d.backend)
             at = None if answer is None else sending.ended_at()
-            self.ended(d, result, answer, load, actual, used, at)
+            self._ended(d, result, answer, load, actual, used, at)
+
+    def _reported_use(self, headers: Mapping[str, str]) -> float | None:
+        """The fraction of its quota that the customer has used, where answers tell it."""
+        if not self.settings["meter_period"]:
+            return None
+        percent = reported_number(headers.get("Api-Used"), MAX_USED_PERCENT)
+        return None if percent is None else percent / PERCENT
+
+    async def _exchange(
+        self, sending: Sending, method: str, target: str, timeout_s: float, **options: Any
+    ) -> BackendAnswer:
+        """One request on one connection; another connection is taken only before its first byte.
 
-    async def exchange(self, sending, method, target, left, **more):
-        """One request on one connection: (status, body, headers)."""
+        Raises `NothingWritten`, `TimeoutError` after `timeout_s` seconds, or what aiohttp's client raises.
+        """
         link = self.link(sending.backend)
-        if link is None or left <= 0:
+        if link is None or timeout_s <= 0:
             raise NotWanted
         link.users += 1
         sending.link = link
         SENDING.set(sending)
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(timeout_s):
                 while True:
                     try:
-                        answer = await self.ask(link, sending, method, target, **more)
-                        break
+                        return await self._ask(link, sending, method, target, **options)
                     except Stale:  # another connection, perhaps a new one
                         sending.over()
                     except Settling:
                         await asyncio.sleep(REST_S)
-            return answer
         finally:
             sending.over()
             link.users -= 1
-            self.release(link)
+            self._release(link)
 
     @staticmethod
-    async def ask(link, sending, method, target, **more):
+    async def _ask(
+        link: ConnectionPool, sending: Sending, method: str, target: str, **options: Any
+    ) -> BackendAnswer:
+        """One request and its complete answer.
+
+        The answer has to tell where it ends (RFC 9112, section 6.3): one that ends with its connection cannot
+        be told from one that was cut off. Raises `ClientPayloadError` where it does not, or is too long.
+        """
         async with link.session.request(
             method,
             URL(f"http://{link.endpoint}{target}", encoded=True),
             allow_redirects=False,
             trace_request_ctx=sending,
-            **more,
+            **options,
         ) as response:
             length = response.content_length
             if length is None and response.headers.get("Transfer-Encoding") != "chunked":
@@ -161,47 +250,56 @@
             if (length or 0) > LONGEST_BODY:
                 raise aiohttp.ClientPayloadError("longer than the protocol allows")
             body = bytearray()
-            async for part in response.content.iter_any():
-                body += part
+            async for chunk in response.content.iter_any():
+                body += chunk
                 if len(body) > LONGEST_BODY:  # one that never ends would fill the memory
                     raise aiohttp.ClientPayloadError("longer than the protocol allows")
-        sending.whole = link.heard = sending.peer.clock()
+        now = sending.peer.clock()
+        sending.whole = now
+        link.heard = now
         await sending.answers.proven()
         return response.status, bytes(body), response.headers
 
     @staticmethod
-    def outcome(status, headers):
-        if status == 200:
+    def _outcome(status: int, headers: Mapping[str, str]) -> Result:
+        """How a delivery ended, by its answer; only a backend that says so has not processed it."""
+        if status == OK:
             return Result.SUCCEEDED
-        if status in (503, 504) and headers.get("X-Not-Processed") == "1":
+        if status in UNSERVED_STATUSES and headers.get("X-Not-Processed") == "1":
             return Result.REJECTED
         return Result.ERRORED
 
     @staticmethod
-    def failure(trouble, sending):
-        if isinstance(trouble, NotWanted):
+    def _failure(error: Exception, sending: Sending) -> Result:
+        """How a sending without an answer ended; once a byte may have been written, it may have run."""
+        if isinstance(error, NotWanted):
             return Result.VOID
         if not sending.begun:
             return Result.UNREACHABLE
-        return Result.TIMED_OUT if isinstance(trouble, TimeoutError) else Result.BROKEN
+        return Result.TIMED_OUT if isinstance(error, TimeoutError) else Result.BROKEN
 
     # Probes.
 
-    def probe(self, backend):
+    def probe(self, backend: BackendState) -> None:
+        """Probe a backend; `BackendProbed` follows."""
         counters["probes"] += 1
-        self.keep(asyncio.create_task(self.probing(backend)))
+        self._keep(asyncio.create_task(self._probe(backend)))
 
-    async def probing(self, backend):
-        reports, sending = self.settings["load_reports"] != "none", Sending(backend, self)
-        result, load, sent = Result.CANCELLED, None, self.clock()
+    async def _probe(self, backend: BackendState) -> None:
+        """Ask a backend for its load, or only whether it is there; end with exactly one event."""
+        has_report = self.settings["load_reports"] != "none"
+        sending = Sending(backend, self)
+        result = Result.CANCELLED
+        load: dict[str, float] | None = None
+        sent = self.clock()
+        timeout_s = self.settings["connect_timeout"] / MICROSECONDS_OF_SECOND
         try:
-            status, body, _ = await self.exchange(
-                sending, "GET", "/_load" if reports else "/ping", self.settings["connect_timeout"] / 1e6
-            )
-            result = Result.SUCCEEDED if status == 200 else Result.ERRORED
-            load = load_report(body) if reports and status == 200 else None
-        except Exception as trouble:
-            result = self.failure(trouble, sending)
+            path = LOAD_PATH if has_report else PING_PATH
+            status, body, _ = await self._exchange(sending, "GET", path, timeout_s)
+            result = Result.SUCCEEDED if status == OK else Result.ERRORED
+            load = load_report(body) if has_report and status == OK else None
+        except Exception as error:  # noqa: BLE001  whatever it is, the probe has its end by it
+            result = self._failure(error, sending)
         finally:
             at = sending.ended_at() if result is Result.SUCCEEDED else self.clock()
             self.queue.put_nowait(BackendProbed(backend, result, at - sent, load))
--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -76,6 +76,12 @@
     return host, int(port)
 
 
+def format_address(pair: tuple[Any, int]) -> str:
+    """`host:port` of a host and a port."""
+    host, port = pair
+    return f"{host}:{port}"
+
+
 def read(env: Mapping[str, str], anew: bool = False) -> GatewayConfiguration:
     """What the platform gives, by its environment variables and the file that `ROUTER_CONFIG` names.
 
--- a/kestrelbend/gateway/net/events.py
+++ b/kestrelbend/gateway/net/events.py
@@ -3,6 +3,12 @@
 Each event is one object of a class of its own, by which `owner.Owner` finds its handler. Times are whole
 microseconds of the gateway's clock.
 
+Who puts which: `Clients` and `Checks` the requests and their clients' leaving; `Backends` the ends of
+deliveries and probes, `Checks` those of what it has let in; `Authorisers` whether a delivery may go on;
+`CounterCall` a counter call's end; `EndpointDiscovery` lists and its silence; `Owner.set_alarm` alarms;
+`DatagramReceiver` datagrams; `NewsPeer` and `Peers` their timers; `gateway.start` the first look for shared
+probes, and `Owner` each next one.
+
 Hazard: events are worked on in the order of the queue. Whoever puts two must put them in the order in which
 they happened.
 """
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -174,7 +174,7 @@
     owner.clients.sockets.most = new.sockets
     if repr(new.settings) != repr(given.settings):
         logging.warning("settings changed: they hold from the next start")
-    counter = "%s:%d" % new.counter if new.counter else "none"  # noqa: UP031  a pair as it is
+    counter = configuration.format_address(new.counter) if new.counter else "none"
     logging.info("configuration taken", extra={"discovery": new.discovery, "counter": counter})
 
 
@@ -211,7 +211,7 @@
     loop.add_signal_handler(signal.SIGUSR1, report, owner)
     gc.freeze()
     gc.enable()
-    listen = "%s:%d" % given.listen  # noqa: UP031  a pair as it is
+    listen = configuration.format_address(given.listen)
     logging.info("serving", extra={"gateway": given.name, "listen": listen})
     stopping = asyncio.create_task(stop.wait())
     await asyncio.wait({serving, stopping}, return_when=asyncio.FIRST_COMPLETED)
--- a/kestrelbend/gateway/net/headers.py
+++ b/kestrelbend/gateway/net/headers.py
@@ -34,7 +34,7 @@
     return [(name, value) for name, value in headers.items() if name.lower() not in left_out]
 
 
-def load_report(text: str | None) -> dict[str, float] | None:
+def load_report(text: str | bytes | None) -> dict[str, float] | None:
     """The numbers of a backend's report by the names that the decisions have for them.
 
     None: there is none, or it cannot be read, which is counted.
--- a/kestrelbend/gateway/net/news.py
+++ b/kestrelbend/gateway/net/news.py
@@ -1,57 +1,76 @@
-"""The UDP side of the news of use between gateways: carries `usage_sharing.exchange`, in the owner's
-task."""
+"""The UDP side of the usage exchange between gateways: carries `usage_sharing.exchange`."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from typing import TYPE_CHECKING, Any, Final
 
 from ..usage_sharing.errors import UnreadableUsageDatagram
 from ..usage_sharing.exchange import MeteredUsageExchange
+from .configuration import format_address
 from .datagrams import DatagramReceiver
 from .events import UsagePeriodDue
 from .metrics import counters
 
+if TYPE_CHECKING:
+    from .configuration import UsageExchangeAddresses
+    from .owner import Owner
+
+MICROSECONDS_OF_SECOND: Final = 1e6
 log = logging.getLogger(__name__)
 
 
 class NewsPeer:
     """Belongs to the owner's task; its core is the decisions' `Context.usage`.
 
-    `told`: `UsageExchangeAddresses`.  `numbers`: gateways' numbers by their addresses.
+    `addresses`: where gateways announce use to each other. `numbers`: gateways' numbers by their addresses.
     """
 
-    def __init__(self, told, queue, owner):
-        self.told, self.queue, self.owner = told, queue, owner
-        settings, gateway = owner.settings, owner.gateway
-        self.numbers = {pair: number for number, pair in enumerate(told.peers)}
+    carrier: DatagramReceiver
+
+    def __init__(self, addresses: UsageExchangeAddresses, queue: asyncio.Queue[Any], owner: Owner) -> None:
+        self.addresses = addresses
+        self.queue = queue
+        self.owner = owner
+        settings = owner.settings
+        gateway = owner.gateway
+        self.numbers: dict[Any, int] = {pair: number for number, pair in enumerate(addresses.peers)}
         self.core = gateway.context.usage = MeteredUsageExchange(
-            settings["gateways"], settings["gateway"], settings["plans"], told.most_in, gateway.now
+            settings["gateways"], settings["gateway"], settings["plans"], addresses.most_in, gateway.now
         )
 
-    async def start(self, part):
-        """`part`: of the first period, drawn, so that not all gateways speak at once."""
+    async def start(self, part: float) -> None:
+        """Open the socket; raises `OSError` where its address cannot be had.
+
+        `part`: of the first period, drawn, so that not all gateways speak at once.
+        """
         loop = asyncio.get_running_loop()
         _, self.carrier = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.queue), local_addr=self.told.listen
+            lambda: DatagramReceiver(self.queue), local_addr=self.addresses.listen
         )
-        self.later(part)
+        self._schedule(part)
 
-    def later(self, part=1.0):
+    def _schedule(self, part: float = 1.0) -> None:
+        """Put the next event after so much of a period."""
         asyncio.get_running_loop().call_later(
-            part * self.core.period_us / 1e6, self.queue.put_nowait, UsagePeriodDue()
+            part * self.core.period_us / MICROSECONDS_OF_SECOND, self.queue.put_nowait, UsagePeriodDue()
         )
 
-    def due(self):
+    def due(self) -> None:
+        """Close the period: announce what this gateway saw, or as the meter what all of them did."""
         meter = self.core.meter
         for to, data in self.core.close_period(self.owner.gateway.now):
             counters["news_sent"] += 1
-            self.carrier.transport.sendto(data, self.told.all if to is None else self.told.peers[to])
+            address = self.addresses.all if to is None else self.addresses.peers[to]
+            assert self.carrier.transport is not None  # open since the start
+            self.carrier.transport.sendto(data, address)
         if meter is None and self.core.meter is not None:
             log.info("meter: this gateway sums the use of all")
-        self.later()
+        self._schedule()
 
-    def got(self, source, data):
+    def got(self, source: tuple[str | Any, int], data: bytes) -> None:
+        """Take a datagram in; one that is no peer's or cannot be read is counted, the first one logged."""
         number = self.numbers.get(source)
         try:
             if number is None:
@@ -62,5 +81,6 @@
             counters["news_unreadable"] += 1
             if counters["news_unreadable"] == 1:
                 log.warning(
-                    "a datagram that cannot be read", extra={"why": error.reason, "source": "%s:%d" % source}
+                    "a datagram that cannot be read",
+                    extra={"why": error.reason, "source": format_address(source)},
                 )
--- a/kestrelbend/gateway/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -1,82 +1,122 @@
-"""The UDP side: carries membership between gateways and the duties that rest on it."""
+"""The UDP side of membership between gateways, and the singleton tasks that rest on it."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import time
+from collections.abc import Callable, Mapping
 from random import Random
+from typing import TYPE_CHECKING, Any, Final
 
-from ..singleton_tasks.leases import HolderId, LeaseHolder, Voter, voters_for
-from ..singleton_tasks.probing import SharedProbing
 from ..gossip.addresses import pack_address, unpack_address
 from ..gossip.codec import Codec
 from ..gossip.errors import UnreadableMessage
-from ..gossip.messages import LeaseMessage, LeaseVerdict, MemberState
+from ..gossip.messages import LeaseMessage, LeaseVerdict, MembershipUpdate, MemberState
 from ..gossip.parameters import SwimParameters
 from ..gossip.swim import SwimNode
+from ..singleton_tasks.leases import HolderId, LeaseHolder, Voter, voters_for
+from ..singleton_tasks.probing import SharedProbing
+from .configuration import format_address
 from .datagrams import DatagramReceiver
 from .events import MembershipDue
 from .metrics import counters
 
+if TYPE_CHECKING:
+    from ..decisions import BackendState
+    from ..gossip.member import Member
+    from ..settings.installation import MembershipSettings
+    from .owner import Owner
+
 log = logging.getLogger(__name__)
-MS = 1000
+MICROSECONDS_OF_MS: Final = 1000
+MICROSECONDS_OF_SECOND: Final = 1e6
+NANOSECONDS_OF_MICROSECOND: Final = 1000
+NANOSECONDS_OF_MS: Final = 1_000_000
+MIN_TIMER_US: Final = 1000
+MAX_NAME_PREFIX: Final = 24  # of a gateway's name, in the one that it takes where another has its own
+GENERATION_MASK: Final = 0xFFFFFF  # of the generation, in that name
 
 
 class Peers:
-    """Belongs to the owner's task.  Its clock is monotonic: leases rest on it."""
+    """Belongs to the owner's task.
 
-    def __init__(self, told, queue, owner, seed, shares):
-        self.told, self.queue, self.owner = told, queue, owner
-        self.codec, self.timer, self.heard = Codec(told.keys), None, 0
-        generation = time.time_ns() // 1_000_000
-        self.address = pack_address(told.seen_at)
+    Hazard: its clock is monotonic, in microseconds, since leases rest on it; a generation is Unix time in
+    milliseconds. `core`: the membership. `voter`, `holders`: leases as this gateway grants them, and the ones
+    that it wants, by task. `probing`: shared probes; None where each gateway probes for itself. `static`: the
+    peers of the configuration, as host:port.
+    """
+
+    carrier: DatagramReceiver
+
+    def __init__(
+        self,
+        given: MembershipSettings,
+        queue: asyncio.Queue[Any],
+        owner: Owner,
+        seed: int | str,
+        share_probes: bool,
+    ) -> None:
+        self.given = given
+        self.queue = queue
+        self.owner = owner
+        self.codec = Codec(given.keys)
+        self.timer: asyncio.TimerHandle | None = None
+        generation = time.time_ns() // NANOSECONDS_OF_MS
+        self.address = pack_address(given.seen_at)
         parameters = SwimParameters(
-            told.period,
-            max_datagrams_per_s=told.most_per_s,
+            given.period,
+            max_datagrams_per_s=given.most_per_s,
             max_message_bytes=self.codec.message_bytes(),
         )
         rng = Random(seed)
-        peers = [pack_address(pair) for pair in told.peers]
-        self.core = SwimNode(told.name, self.address, generation, parameters, rng, self.now(), peers)
-        self.static = [f"{host}:{port}" for host, port in told.peers]
-        self.voter, self.holders = Voter(self.now()), {}
-        self.probing = SharedProbing(told.name) if shares else None
+        peers = [pack_address(pair) for pair in given.peers]
+        self.core = SwimNode(given.name, self.address, generation, parameters, rng, self.now(), peers)
+        self.static = [f"{host}:{port}" for host, port in given.peers]
+        self.voter = Voter(self.now())
+        self.holders: dict[str, LeaseHolder[bytes]] = {}
+        self.probing: SharedProbing[BackendState] | None = SharedProbing(given.name) if share_probes else None
 
     @staticmethod
-    def now():
-        return time.monotonic_ns() // 1000
+    def now() -> int:
+        """Monotonic time in microseconds."""
+        return time.monotonic_ns() // NANOSECONDS_OF_MICROSECOND
 
-    async def start(self):
+    async def start(self) -> None:
+        """Open the socket and join; raises `OSError` where its address cannot be had."""
         loop = asyncio.get_running_loop()
         _, self.carrier = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.queue), local_addr=self.told.listen
+            lambda: DatagramReceiver(self.queue), local_addr=self.given.listen
         )
-        self.after()
+        self._carry_out()
 
     # Events, in the owner's task.
 
-    def got(self, source, data):
+    def got(self, source: tuple[str | Any, int], data: bytes) -> None:
+        """Take a datagram in; one that is no member's is counted, the first one of a reason logged."""
         try:
-            message, at = self.codec.decode(data), pack_address(source)
+            message = self.codec.decode(data)
+            at = pack_address(source)
         except (UnreadableMessage, OSError) as error:
             why = error.reason if isinstance(error, UnreadableMessage) else "address"
             counters[f"peer_unreadable_{why}"] += 1
             if counters[f"peer_unreadable_{why}"] == 1:
-                log.warning("a datagram that is no member's", extra={"why": why, "source": "%s:%d" % source})
+                extra = {"why": why, "source": format_address(source)}
+                log.warning("a datagram that is no member's", extra=extra)
             return
         self.core.receive(self.now(), at, message)
-        self.after()
+        self._carry_out()
 
-    def due(self):
+    def due(self) -> None:
+        """The membership's next step, or a lease's, is due."""
         self.timer = None
         self.core.tick(self.now())
         for holder in self.holders.values():
-            self.claim(holder)
-        self.after()
+            self._request_lease(holder)
+        self._carry_out()
 
-    def after(self):
-        """Whatever the core has to say, to others and to this gateway."""
+    def _carry_out(self) -> None:
+        """Carry out whatever the core has to say, to others and to this gateway."""
         core = self.core
         while core.changes:
             change = core.changes.popleft()
@@ -85,37 +125,44 @@
                 extra={
                     "name_": change.member.name,
                     "state": change.state.name.lower(),
-                    "at": "%s:%d" % unpack_address(change.member.address),
+                    "at": format_address(unpack_address(change.member.address)),
                 },
             )
         if core.local.name_conflict is not None:
-            self.give_way(core.local.name_conflict)
+            self._change_name(core.local.name_conflict)
         if self.probing is not None:
-            counters["reports_shared"] += self.probing.receive(
-                core, self.owner.gateway.background.load_reported
-            )
+            counters["reports_shared"] += self.probing.receive(core, self._load_reported())
         while core.received_leases:
-            self.leased(*core.received_leases.popleft())
-        self.flush()
+            self._take_lease_message(*core.received_leases.popleft())
+        self._flush()
         if self.timer is not None:
             self.timer.cancel()
-        left = max(1000, core.due_us() - self.now()) / 1e6
-        self.timer = asyncio.get_running_loop().call_later(left, self.queue.put_nowait, MembershipDue())
+        remaining_s = max(MIN_TIMER_US, core.due_us() - self.now()) / MICROSECONDS_OF_SECOND
+        self.timer = asyncio.get_running_loop().call_later(
+            remaining_s, self.queue.put_nowait, MembershipDue()
+        )
+
+    def _load_reported(self) -> Callable[[BackendState, Any], None]:
+        """Whom the decisions let know of a load report."""
+        return self.owner.gateway.background.load_reported
 
-    def flush(self):
+    def _flush(self) -> None:
+        """Send what the core has to send."""
+        transport = self.carrier.transport
+        assert transport is not None  # open since the start
         while self.core.outgoing:
             to, message = self.core.outgoing.popleft()
             counters["peer_datagrams"] += 1
-            self.carrier.transport.sendto(self.codec.encode(message), unpack_address(to))
+            transport.sendto(self.codec.encode(message), unpack_address(to))
 
-    def give_way(self, other):
+    def _change_name(self, other: MembershipUpdate) -> None:
         """Another one serves under this name: this one goes on under a name of its own."""
-        own = f"{self.told.name[:24]}~{self.core.local.generation & 0xFFFFFF:x}"
+        own = f"{self.given.name[:MAX_NAME_PREFIX]}~{self.core.local.generation & GENERATION_MASK:x}"
         log.error(
             "two gateways have one name; this one takes another",
             extra={
                 "name_": self.core.local.name,
-                "other": "%s:%d" % unpack_address(other.address),
+                "other": format_address(unpack_address(other.address)),
                 "now": own,
             },
         )
@@ -127,7 +174,7 @@
             old.parameters,
             Random(old.local.generation),
             self.now(),
-            [pack_address(pair) for pair in self.told.peers],
+            [pack_address(pair) for pair in self.given.peers],
         )
         for member in old.members.values():
             if member.state <= MemberState.SUSPECT:
@@ -135,58 +182,62 @@
         self.core.rules.apply(other, disseminate=False)
         if self.probing is not None:
             self.probing.rename(own)
-            self.probing.receive(self.core, self.owner.gateway.background.load_reported)
+            self.probing.receive(self.core, self._load_reported())
 
     # Probes as singleton tasks.
 
-    def probes_due(self):
-        """Backends that this gateway should probe now, of those that are cold."""
-        return self.probing.due_backends(
-            self.owner.listed, self.owner.gateway.slow_start.is_warming_up, self.now()
-        )
+    def probes_due(self) -> list[BackendState]:
+        """Backends that this gateway should probe now, of those that are warming up."""
+        assert self.probing is not None  # asked only with shared probes
+        listed: Mapping[Any, BackendState] = self.owner.listed
+        return self.probing.due_backends(listed, self.owner.gateway.slow_start.is_warming_up, self.now())
 
-    def probed(self, backend, load):
+    def probed(self, backend: BackendState, load: dict[str, float] | None) -> None:
+        """Share the result of a probe with the other gateways."""
+        assert self.probing is not None  # asked only with shared probes
         self.probing.publish(self.core, self.now(), self.owner.backend_ids.get(backend), load)
 
     # Singleton tasks under a lease.
 
-    def hold(self, task):
+    def hold(self, task: str) -> LeaseHolder[bytes]:
         """Try to hold a singleton task from now on; `holds` says whether this gateway does."""
-        voters = [pack_address(split(peer)) for peer in voters_for(task, self.static)]
+        voters = [pack_address(_split(peer)) for peer in voters_for(task, self.static)]
         identity = HolderId(self.core.local.name, self.core.local.generation)
         self.holders[task] = LeaseHolder(task, identity, voters)
         return self.holders[task]
 
-    def holds(self, task):
+    def holds(self, task: str) -> int | None:
         """Its fencing token, or None."""
         holder = self.holders.get(task)
         return holder.fencing_token if holder is not None and holder.holds(self.now()) else None
 
-    def claim(self, holder):
+    def _request_lease(self, holder: LeaseHolder[bytes]) -> None:
+        """Ask the voters for a lease, or for more of it, if it is time."""
         now = self.now()
         if not holder.voters or not holder.is_request_due(now):
             return
-        token = holder.begin_request(now, time.time_ns() // 1_000_000)
+        token = holder.begin_request(now, time.time_ns() // NANOSECONDS_OF_MS)
         asked = LeaseMessage(holder.task, token, *holder.identity, requested_at=now)
         for voter in holder.voters:
             if voter == self.address:
                 granted, highest, wait = self.voter.request(now, holder.task, token, holder.identity)
-                self.answered(holder, voter, granted, highest, wait, now)
+                self._record_answer(holder, voter, granted, highest, wait, now)
             else:
                 self.core.send_lease(voter, asked)
 
-    def leased(self, member, lease):
-        """A lease's message: a question to this voter, or an answer to this holder."""
-        now, who = self.now(), HolderId(lease.holder, lease.generation)
+    def _take_lease_message(self, member: Member, lease: LeaseMessage) -> None:
+        """A lease's message: a request to this voter, or an answer to this holder."""
+        now = self.now()
+        who = HolderId(lease.holder, lease.generation)
         if lease.verdict in (LeaseVerdict.GRANTED, LeaseVerdict.DENIED):
             holder = self.holders.get(lease.task)
             if holder is not None and holder.identity == who:
-                self.answered(
+                self._record_answer(
                     holder,
                     member.address,
                     lease.verdict == LeaseVerdict.GRANTED,
                     lease.fencing_token,
-                    lease.wait_ms * MS,
+                    lease.wait_ms * MICROSECONDS_OF_MS,
                     lease.requested_at,
                 )
         elif (lease.holder, lease.generation) == (member.name, member.generation):
@@ -197,10 +248,21 @@
             verdict = LeaseVerdict.GRANTED if granted else LeaseVerdict.DENIED
             self.core.send_lease(
                 member.address,
-                LeaseMessage(lease.task, token, *who, int(verdict), wait // MS, lease.requested_at),
+                LeaseMessage(
+                    lease.task, token, *who, int(verdict), wait // MICROSECONDS_OF_MS, lease.requested_at
+                ),
             )
 
-    def answered(self, holder, voter, granted, token, wait, requested_at):
+    def _record_answer(
+        self,
+        holder: LeaseHolder[bytes],
+        voter: bytes,
+        granted: bool,
+        token: int,
+        wait: int,
+        requested_at: int,
+    ) -> None:
+        """A voter's answer; `wait`: microseconds until it may grant, where it does not now."""
         if granted:
             holder.record_grant(voter, token, requested_at)
         else:
@@ -208,42 +270,56 @@
 
     # The view, and the end.
 
-    def view(self):
-        """Rows of name, state, life, incarnation, address, seconds since its last change, duties."""
-        now, core, local = self.now(), self.core, self.core.local
-        duties = {}
+    def view(self) -> list[dict[str, Any]]:
+        """This gateway's row, then those of the others by their names.
+
+        The keys are those of `kestrelbend members`; `since_s`: seconds since a member's last change.
+        """
+        owned = self._owned_tasks()
+        members = sorted(self.core.members.values(), key=lambda member: member.name)
+        return [self._local_row(owned), *(self._member_row(member, owned) for member in members)]
+
+    def _owned_tasks(self) -> dict[str | None, list[str]]:
+        """The singleton tasks by the names of those who have them."""
+        owned: dict[str | None, list[str]] = {}
         if self.probing is not None:
-            for task in self.probing.assignment.assignments:
-                duties.setdefault(self.probing.assignment.owner(task), []).append(task)
-        rows = [
-            {
-                "name": local.name,
-                "state": local.state().name.lower(),
-                "life": local.generation,
-                "incarnation": local.incarnation,
-                "address": "%s:%d" % unpack_address(local.address),
-                "since_s": None,
-                "duties": sorted(duties.get(local.name, ())),
-                "self": True,
-                "doubt": local.local_health,
-                "leases": {d: h.fencing_token for d, h in self.holders.items() if h.holds(now)},
-            }
-        ]
-        for m in sorted(core.members.values(), key=lambda m: m.name):
-            rows.append(
-                {
-                    "name": m.name,
-                    "state": m.state.name.lower(),
-                    "life": m.generation,
-                    "incarnation": m.incarnation,
-                    "address": "%s:%d" % unpack_address(m.address),
-                    "since_s": round((now - m.changed_at_us) / 1e6, 1),
-                    "duties": sorted(duties.get(m.name, ())),
-                }
-            )
-        return rows
+            assignment = self.probing.assignment
+            for task in assignment.assignments:
+                owned.setdefault(assignment.owner(task), []).append(task)
+        return owned
+
+    def _local_row(self, owned: dict[str | None, list[str]]) -> dict[str, Any]:
+        now = self.now()
+        local = self.core.local
+        return {
+            "name": local.name,
+            "state": local.state().name.lower(),
+            "life": local.generation,
+            "incarnation": local.incarnation,
+            "address": format_address(unpack_address(local.address)),
+            "since_s": None,
+            "duties": sorted(owned.get(local.name, ())),
+            "self": True,
+            "doubt": local.local_health,
+            "leases": {
+                task: holder.fencing_token for task, holder in self.holders.items() if holder.holds(now)
+            },
+        }
+
+    def _member_row(self, member: Member, owned: dict[str | None, list[str]]) -> dict[str, Any]:
+        age_us = self.now() - member.changed_at_us
+        return {
+            "name": member.name,
+            "state": member.state.name.lower(),
+            "life": member.generation,
+            "incarnation": member.incarnation,
+            "address": format_address(unpack_address(member.address)),
+            "since_s": round(age_us / MICROSECONDS_OF_SECOND, 1),
+            "duties": sorted(owned.get(member.name, ())),
+        }
 
-    def report(self):
+    def report(self) -> None:
+        """Log the view, a line for each member."""
         for row in self.view():
             log.info(
                 "member",
@@ -254,7 +330,8 @@
                 },
             )
 
-    def leave(self):
+    def leave(self) -> None:
+        """Give leases back and tell the others that this gateway leaves; nothing is due any more."""
         for holder in self.holders.values():
             if holder.holds(self.now()):
                 given = LeaseMessage(
@@ -263,11 +340,11 @@
                 for voter in holder.voters:
                     self.core.send_lease(voter, given)
         self.core.leave(self.now())
-        self.flush()
+        self._flush()
         if self.timer is not None:
             self.timer.cancel()
 
 
-def split(text):
+def _split(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -56,10 +56,14 @@
     sockets: DescriptorLimits
     connecting: int
     """Connections being made."""
-    endpoints: Mapping[Any, str]
-    """host:port by backend."""
-    barred: Mapping[Any, Any]
-    """Backends that a list not yet taken in takes off or moves."""
+
+    @property
+    def endpoints(self) -> Mapping[Any, str]:
+        """host:port by backend."""
+
+    @property
+    def barred(self) -> Mapping[Any, Any]:
+        """Backends that a list not yet taken in takes off or moves."""
 
     def clock(self) -> int:
         """Now, in microseconds of the gateway's clock."""
