--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -4,7 +4,6 @@
 import contextlib
 import inspect
 import json
-import multiprocessing
 import unittest
 from unittest import mock
 
@@ -33,6 +32,7 @@
 from kestrelbend.tier.replication.messages import ReadIndexReply, ReadIndexRequest
 from kestrelbend.tier.replication.snapshot_transfer import SnapshotReceiver
 from kestrelbend.tier.roles.routing_state import RoutingState
+from tests.tier.forked_pool import forked_pool
 from tests.tier import virtual_time
 from tests.tier.dataplane_world import STAMP, World
 from tests.tier.replication_harness import SHARD, Cluster
@@ -224,7 +224,7 @@
     """Guards whose removal a day of the in-memory fleet shows."""
 
     def test_each_removal_breaks_a_rule_of_the_watch(self):
-        with multiprocessing.get_context("fork").Pool(len(FOUND_BY_DAY) + 1) as pool:
+        with forked_pool(len(FOUND_BY_DAY) + 1) as pool:
             failures = pool.map(failures_without, ("", *FOUND_BY_DAY), chunksize=1)
         self.assertEqual((), failures[0])
         for guard, found in zip(FOUND_BY_DAY, failures[1:], strict=True):
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -4,7 +4,6 @@
 faults, as `kestrelbend lab model --depth` does.
 """
 
-import multiprocessing
 import os
 
 import testtools
@@ -15,6 +14,7 @@
 from kestrelbend.tier.model.orders import search_orders
 from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
 from kestrelbend.tier.model.search import search
+from tests.tier.forked_pool import forked_pool
 
 DEPTH = int(os.environ.get("MODEL", "0"))
 QUICK_STATES = 2500  # of each script
@@ -33,7 +33,7 @@
 class TestModel(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.pool = multiprocessing.get_context("fork").Pool(os.cpu_count())
+        self.pool = forked_pool(os.cpu_count())
         self.addCleanup(self.pool.terminate)
 
     def test_no_run_of_the_core_breaks_a_rule(self):
