--- a/kestrelbend/tier/configuration/shard_ports.py
+++ b/kestrelbend/tier/configuration/shard_ports.py
@@ -31,7 +31,7 @@
     def replica(self, shard: str) -> Replica | None:
         """The replica of a shard, if there is one here."""
 
-    def machine(self, shard: str) -> Any:
+    def state_machine(self, shard: str) -> Any:
         """The state machine of a shard, if there is one here."""
 
     def propose(
@@ -39,7 +39,7 @@
     ) -> bool:
         """Proposes a command; `outcome` gets its result, or None where it may be committed or not."""
 
-    def confirm(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
+    def confirm_read(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
         """Calls back with True once the state here is the newest there is; False where none can tell."""
 
     def flush(self, shard: str) -> None:
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -130,7 +130,7 @@
     @property
     def state(self) -> ConfigurationState:
         """The state as far as this replica has applied it; raises `ShardNotOpen`."""
-        machine: ConfigurationMachine | None = self._host.machine(CONFIGURATION_SHARD)
+        machine: ConfigurationMachine | None = self._host.state_machine(CONFIGURATION_SHARD)
         if machine is None:
             raise ShardNotOpen
         return machine.state
@@ -219,7 +219,7 @@
             if not future.done():
                 future.set_result(is_confirmed)
 
-        if not self._host.confirm(CONFIGURATION_SHARD, done, self._now()):
+        if not self._host.confirm_read(CONFIGURATION_SHARD, done, self._now()):
             return False
         try:
             async with asyncio.timeout(max(0.0, min(within, ANSWER_TIMEOUT_S))):
--- a/kestrelbend/tier/fleet/machines.py
+++ b/kestrelbend/tier/fleet/machines.py
@@ -163,7 +163,7 @@
 
     def state_machine(self, shard: str) -> StateMachine:
         """The state machine of a shard that has a replica here."""
-        machine = self.host.machine(shard)
+        machine = self.host.state_machine(shard)
         if machine is None:
             raise RuntimeError(f"{self.name} holds no replica of {shard}")
         return machine
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -7,8 +7,7 @@
 from ...configuration.messages import OrderKind
 from ...configuration.stores import Emptied
 from ...membership.placement import found_budget_shards
-from ...replication.group import has_quorum
-from ...replication.group import without as group_without
+from ...replication.group import has_quorum, remove_voter
 from ...storage.identity import FIRST_IDENTITY
 from ...storage.identity import _write_identity as _write_any_identity
 from ..guards import guard, guard_property
@@ -52,7 +51,9 @@
     return True
 
 
-@guard("placement-number", "replication.placement:Placement.may_follow", "a group led back by an old word")
+@guard(
+    "placement-number", "replication.placement:Placement.is_valid_target", "a group led back by an old word"
+)
 def follow_any_placement(placement: Placement, target: Target) -> bool:
     """Follows a placement of any number."""
     return True
@@ -114,7 +115,7 @@
     return retirement.rejection_now(order.body.decode(), retirement._now())
 
 
-@guard("done-without", "replication.group:_with_one_less", "the last whole copies taken out")
+@guard("done-without", "replication.group:_remove_one_voter", "the last whole copies taken out")
 def leave_at_once(
     voters: Voters,
     target: Voters,
@@ -125,7 +126,7 @@
     """Takes a voter out before the others have caught up."""
     surplus = [voter for voter in voters if voter not in target and voter != owner]
     for removed in sorted(surplus, key=is_live):
-        group = group_without(voters, removed, target)
+        group = remove_voter(voters, removed, target)
         if has_quorum(group, is_live):
             return group
     return None
--- a/kestrelbend/tier/fleet/mutations/log.py
+++ b/kestrelbend/tier/fleet/mutations/log.py
@@ -25,7 +25,7 @@
     state.send(receiver, message)
 
 
-@guard("one-vote", "replication.election:Election._grants", "two owners of one epoch")
+@guard("one-vote", "replication.election:Election._grants_vote", "two owners of one epoch")
 def grant_again(elections: Election, request: RequestVote) -> bool:
     """Votes more than once in a term."""
     return request.term == elections._state.term and elections._may_vote_for(request)
--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -81,7 +81,7 @@
         )
         self.last_contacts = {}
         if watches_freshness:
-            self._replica.watch_freshness()
+            self._replica.enable_read_index_polling()
 
     def sync(self) -> int:
         """The oldest write under way is on the disk; its ticket."""
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -25,7 +25,7 @@
 from ..protocol.codec import encode
 from ..replication import Effects, Replica
 from ..replication.hosted import PendingProposal
-from ..replication.interfaces import Outcome
+from ..replication.interfaces import OutcomeCallback
 from ..replication.messages import EntryKind
 from .node import Node
 from .rules import require
@@ -70,7 +70,7 @@
         self.proposals: dict[int, PendingProposal] = {}  # by index
         self.pending_reads: dict[int, Callable[[bool], None]] = {}  # by ticket
 
-    def machine(self, shard: str) -> ConfigurationMachine:
+    def state_machine(self, shard: str) -> ConfigurationMachine:
         """The state here."""
         return self.table
 
@@ -78,16 +78,16 @@
         """The replica here."""
         return self._node.replica
 
-    def propose(self, shard: str, command: bytes, outcome: Outcome, now: float) -> bool:
+    def propose(self, shard: str, command: bytes, outcome: OutcomeCallback, now: float) -> bool:
         """Proposes a command."""
         index = self._node.replica.propose(command, self._node.clock)
         if index is not None:
             self.proposals[index] = PendingProposal(self._node.replica.term, outcome)
         return index is not None
 
-    def confirm(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
+    def confirm_read(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
         """Asks for a confirmation."""
-        ticket = self._node.replica.confirm(self._node.clock)
+        ticket = self._node.replica.confirm_read(self._node.clock)
         if ticket is None:
             return False
         self.pending_reads[ticket] = outcome
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -170,7 +170,7 @@
     def read(self, name: str) -> None:
         """A read comes to a replica, which may not lead."""
         node = self.nodes[name]
-        ticket = node.replica.confirm(node.clock)
+        ticket = node.replica.confirm_read(node.clock)
         if ticket is not None:
             node.reads[ticket] = len(self.rules.history)
             self._work(node)
@@ -178,7 +178,7 @@
     def transfer(self, name: str) -> None:
         """A replica is asked to transfer its leadership."""
         node = self.nodes[name]
-        node.replica.transfer(node.clock)
+        node.replica.transfer_leadership(node.clock)
         self._work(node)
 
     def set_target(self, names: str) -> None:
@@ -284,7 +284,7 @@
             return
         ticket = node.sync()
         self._pass_time(node)
-        node.replica.written(ticket, node.clock)
+        node.replica.complete_write(ticket, node.clock)
         self._work(node)
 
     def _pass_time(self, node: Node) -> None:
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -117,7 +117,7 @@
         if request.pre_vote:
             granted = not is_leader and self._grants_pre_vote(request, now)
         else:
-            granted = self._grants(request)
+            granted = self._grants_vote(request)
         term = request.term if granted else state.term
         reply = VoteReply(state.shard, state.identity, term, granted, request.pre_vote)
         if granted and not request.pre_vote:
@@ -140,7 +140,7 @@
             return False
         return True
 
-    def written(self, now: float) -> bool:
+    def handle_completed_writes(self, now: float) -> bool:
         """Writes were done; True where this replica's own vote is now on its disk and makes it the leader."""
         if not self._vote_pending or not self._state.hard_state_durable:
             return False
@@ -166,7 +166,7 @@
             self._pre_vote_backoff_until = now + self._timing.pre_vote_backoff
         return True
 
-    def _grants(self, request: RequestVote) -> bool:
+    def _grants_vote(self, request: RequestVote) -> bool:
         state = self._state
         if request.term != state.term or state.voted_for not in ("", request.sender):
             return False
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -65,7 +65,7 @@
         self._verify(message.snapshot.index, message.round)
         self._accept_when_durable()
 
-    def written(self) -> None:
+    def handle_completed_writes(self) -> None:
         """Answers as far as the disk has come, where an answer waits for it."""
         if self._reply_pending and (self._round, self._match_index) != self._last_reply:
             self._reply_pending = self._match_index < self._verified_index
--- a/kestrelbend/tier/replication/group.py
+++ b/kestrelbend/tier/replication/group.py
@@ -63,16 +63,16 @@
     leadership first.
     """
     if len(voters) <= len(target):
-        group = _with_one_more(voters, target, is_live, is_caught_up)
+        group = _add_one_voter(voters, target, is_live, is_caught_up)
     else:
-        group = _with_one_less(voters, target, leader, is_live, is_caught_up)
+        group = _remove_one_voter(voters, target, leader, is_live, is_caught_up)
     if group is not None or set(voters) != set(target):
         return group
-    ordered = in_order(voters, target)
+    ordered = order_voters(voters, target)
     return ordered if ordered != voters else None
 
 
-def _with_one_more(
+def _add_one_voter(
     voters: Voters,
     target: Voters,
     is_live: Callable[[ReplicaId], bool],
@@ -80,14 +80,14 @@
 ) -> Voters | None:
     """The group with the first of the missing that can be relied on from its first entry on."""
     for added in target:
-        group = in_order((*voters, added), target)
+        group = order_voters((*voters, added), target)
         ready = added not in voters and is_live(added) and is_caught_up(added)
         if ready and has_quorum(group, is_live):
             return group
     return None
 
 
-def _with_one_less(
+def _remove_one_voter(
     voters: Voters,
     target: Voters,
     leader: ReplicaId,
@@ -97,19 +97,19 @@
     """The group without one that should leave; a live one leaves only once the others can do without."""
     surplus = [voter for voter in voters if voter not in target and voter != leader]
     for removed in sorted(surplus, key=is_live):
-        group = without(voters, removed, target)
+        group = remove_voter(voters, removed, target)
         can_do_without = not is_live(removed) or all(map(is_caught_up, filter(is_live, group)))
         if can_do_without and has_quorum(group, is_live):
             return group
     return None
 
 
-def without(voters: Voters, removed: ReplicaId, target: Voters) -> Voters:
+def remove_voter(voters: Voters, removed: ReplicaId, target: Voters) -> Voters:
     """The voters but for one, in the order of `target`."""
-    return in_order(tuple(voter for voter in voters if voter != removed), target)
+    return order_voters(tuple(voter for voter in voters if voter != removed), target)
 
 
-def in_order(voters: Voters, target: Voters) -> Voters:
+def order_voters(voters: Voters, target: Voters) -> Voters:
     """The voters in the order of `target`; those that it lacks come last, in their old order."""
     known = [voter for voter in target if voter in voters]
     return (*known, *(voter for voter in voters if voter not in target))
--- a/kestrelbend/tier/replication/host.py
+++ b/kestrelbend/tier/replication/host.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from .hosted import HostedReplica
-from .interfaces import Journal, Outcome, StateMachine
+from .interfaces import Journal, OutcomeCallback, StateMachine
 from .messages import AppendEntries, DurableRecord, ReplicaId, ReplicaMessage, ShardId, SnapshotChunk
 from .replica import Replica
 from .replica_disk import ReplicaDisk
@@ -19,13 +19,15 @@
 
 
 class ShardHost:
-    """All replicas of a process; times are seconds of its steady clock.
-
-    `first_ticket` rises with each incarnation of the process, see `read_index`.  `send(replica_id, message)`
-    hands a message to the process of another replica; `machine_for(shard)` makes an empty state machine;
-    `hosts(shard)`: a message of a leader may begin a replica here; `announces_commits(shard)`: the leader
-    sends a new commit index at once, not only with the next entries or round; `on_applied(shard)` is called
-    after commands were applied.
+    """All replicas of a process; times are seconds of the process's monotonic clock.
+
+    `first_ticket` increases with each incarnation of the process, see `read_index`.
+    `send(replica_id, message)` hands a message to the process of another replica.
+    `create_state_machine(shard)` returns an empty state machine.
+    `may_host(shard)`: whether a leader's message may open a replica of the shard here.
+    `announces_commits(shard)`: whether a leader sends a new commit index at once instead of with the next
+    entries or heartbeat round.
+    `on_applied(shard)` is called after commands were applied.
     """
 
     def __init__(
@@ -37,8 +39,8 @@
         journal: Journal,
         encode: Callable[[DurableRecord], bytes],
         send: Callable[[ReplicaId, ReplicaMessage], None],
-        machine_for: Callable[[ShardId], StateMachine],
-        hosts: Callable[[ShardId], bool],
+        create_state_machine: Callable[[ShardId], StateMachine],
+        may_host: Callable[[ShardId], bool],
         on_applied: Callable[[ShardId], None] = lambda shard: None,
         announces_commits: Callable[[ShardId], bool] = lambda shard: True,
     ) -> None:
@@ -46,8 +48,8 @@
         self._first_ticket = first_ticket
         self._timing = timing
         self._send = send
-        self._machine_for = machine_for
-        self._hosts = hosts
+        self._create_state_machine = create_state_machine
+        self._may_host = may_host
         self._on_applied = on_applied
         self._announces_commits = announces_commits
         self._disk = ReplicaDisk(identity, journal, encode)
@@ -72,10 +74,10 @@
         hosted = self._hosted.get(shard)
         return None if hosted is None else hosted.replica
 
-    def machine(self, shard: ShardId) -> StateMachine | None:
+    def state_machine(self, shard: ShardId) -> StateMachine | None:
         """The state machine of a shard, if there is one here."""
         hosted = self._hosted.get(shard)
-        return None if hosted is None else hosted.machine
+        return None if hosted is None else hosted.state_machine
 
     def open(self, shard: ShardId, founders: tuple[ReplicaId, ...], now: float) -> Replica:
         """The replica of a shard, begun from the disk where it isn't here yet."""
@@ -92,7 +94,7 @@
             first_ticket=self._first_ticket,
             announces_commits=self._announces_commits(shard),
         )
-        hosted = HostedReplica(replica, self._machine_for(shard))
+        hosted = HostedReplica(replica, self._create_state_machine(shard))
         self._hosted[shard] = hosted
         self._carry_out(hosted)
         return replica
@@ -103,17 +105,17 @@
         """A message from another replica; a leader's message begins a replica where none is here."""
         hosted = self._hosted.get(message.shard)
         if hosted is None:
-            if not isinstance(message, AppendEntries | SnapshotChunk) or not self._hosts(message.shard):
+            if not isinstance(message, AppendEntries | SnapshotChunk) or not self._may_host(message.shard):
                 return
             self.open(message.shard, (), now)
             hosted = self._hosted[message.shard]
         hosted.replica.receive(message, now)
         self._carry_out(hosted)
 
-    def reconnected(self, replica: ReplicaId) -> None:
+    def handle_reconnection(self, replica: ReplicaId) -> None:
         """A new connection to another replica's process stands."""
         for hosted in self._hosted.values():
-            hosted.replica.reconnected(replica)
+            hosted.replica.handle_reconnection(replica)
             self._carry_out(hosted)
 
     def tick(self, now: float) -> None:
@@ -124,27 +126,27 @@
         self._advance_snapshot()
         self._disk.checkpoint_when_large(self._hosted.values())
 
-    def written(self, tickets: list[int], now: float) -> None:
+    def complete_writes(self, tickets: list[int], now: float) -> None:
         """The journal has made these records durable."""
         touched: dict[int, HostedReplica] = {}
         for journal_ticket in tickets:
             write = self._disk.end_write(journal_ticket)
-            write.hosted.replica.written(write.ticket, now)
+            write.hosted.replica.complete_write(write.ticket, now)
             touched[id(write.hosted)] = write.hosted
         for hosted in touched.values():
             self._carry_out(hosted)
 
     # What is asked
 
-    def propose(self, shard: ShardId, command: bytes, outcome: Outcome, now: float) -> bool:
+    def propose(self, shard: ShardId, command: bytes, outcome: OutcomeCallback, now: float) -> bool:
         """Proposes a command; `outcome` gets the state machine's, None where it may or may not count."""
         hosted = self._hosted.get(shard)
         return hosted is not None and hosted.propose(command, outcome, now)
 
-    def confirm(self, shard: ShardId, outcome: Callable[[bool], None], now: float) -> bool:
+    def confirm_read(self, shard: ShardId, outcome: Callable[[bool], None], now: float) -> bool:
         """Calls back with True once the state here is the newest there is; False where that can't be said."""
         hosted = self._hosted.get(shard)
-        if hosted is None or not hosted.confirm(outcome, now):
+        if hosted is None or not hosted.confirm_read(outcome, now):
             return False
         self._carry_out(hosted)
         return True
--- a/kestrelbend/tier/replication/hosted.py
+++ b/kestrelbend/tier/replication/hosted.py
@@ -13,7 +13,7 @@
 import attrs
 
 from .effects import Effects
-from .interfaces import Outcome, SnapshotImage, StateMachine
+from .interfaces import OutcomeCallback, SnapshotImage, StateMachine
 from .messages import Entry, EntryKind
 from .replica import Replica
 
@@ -27,7 +27,7 @@
     """A command that was appended in `term` and whose proposer waits."""
 
     term: int
-    outcome: Outcome
+    outcome: OutcomeCallback
 
 
 @attrs.frozen
@@ -43,13 +43,13 @@
     """One replica in its process."""
 
     replica: Replica
-    machine: StateMachine
+    state_machine: StateMachine
     _proposals: dict[int, PendingProposal] = attrs.field(factory=dict, init=False)  # by index
     _reads: dict[int, Callable[[bool], None]] = attrs.field(factory=dict, init=False)  # by ticket
     _snapshot: PendingSnapshot | None = attrs.field(default=None, init=False)
     _applied_bytes: int = attrs.field(default=0, init=False)  # since the last snapshot was begun
 
-    def propose(self, command: bytes, outcome: Outcome, now: float) -> bool:
+    def propose(self, command: bytes, outcome: OutcomeCallback, now: float) -> bool:
         """Proposes a command; False where this replica can't take it."""
         index = self.replica.propose(command, now)
         if index is None:
@@ -57,9 +57,9 @@
         self._proposals[index] = PendingProposal(self.replica.term, outcome)
         return True
 
-    def confirm(self, outcome: Callable[[bool], None], now: float) -> bool:
+    def confirm_read(self, outcome: Callable[[bool], None], now: float) -> bool:
         """Begins a read by index; False where this replica can't confirm one."""
-        ticket = self.replica.confirm(now)
+        ticket = self.replica.confirm_read(now)
         if ticket is None:
             return False
         self._reads[ticket] = outcome
@@ -70,7 +70,7 @@
         if effects.restore is not None:
             self._snapshot = None
             self._applied_bytes = 0
-            self.machine.restore(effects.restore.state)
+            self.state_machine.restore(effects.restore.state)
             self._fail_proposals()
         for entry in effects.applied:
             self._apply(entry)
@@ -84,7 +84,7 @@
     def _apply(self, entry: Entry) -> None:
         outcome = None
         if entry.kind == EntryKind.COMMAND:
-            outcome = self.machine.apply(entry.data)
+            outcome = self.state_machine.apply(entry.data)
         self._begin_snapshot_when_due(entry)
         pending = self._proposals.pop(entry.index, None)
         if pending is not None:
@@ -108,7 +108,7 @@
         self._applied_bytes += len(entry.data)
         due = entry.index % COMPACT_ENTRIES == 0 or self._applied_bytes >= COMPACT_BYTES
         if due and self._snapshot is None:
-            self._snapshot = PendingSnapshot(entry.index, self.machine.begin_snapshot())
+            self._snapshot = PendingSnapshot(entry.index, self.state_machine.begin_snapshot())
             self._applied_bytes = 0
 
     @property
--- a/kestrelbend/tier/replication/interfaces.py
+++ b/kestrelbend/tier/replication/interfaces.py
@@ -11,7 +11,8 @@
 
 from ..storage.records import Record
 
-Outcome = Callable[[Any], None]  # gets the state machine's outcome; None: the command may or may not count
+# Called with the state machine's outcome, or with None where the command may or may not have been applied.
+OutcomeCallback = Callable[[Any], None]
 
 
 class SnapshotImage(Protocol):
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -80,7 +80,7 @@
         if now - self._round_started_at >= self._timing.heartbeat:
             self.begin_round(now)
 
-    def confirm(self, ticket: int) -> None:
+    def confirm_read(self, ticket: int) -> None:
         """Adds a read of what is committed now, or of this term's first entry where that is later."""
         self._add_read(ticket, LOCAL)
         self._round_requested = True
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -49,9 +49,9 @@
     @property
     def target(self) -> Voters:
         """The voters to move towards; empty where nothing that may be followed is known."""
-        return self._target.voters if self.may_follow(self._target) else ()
+        return self._target.voters if self.is_valid_target(self._target) else ()
 
-    def may_follow(self, target: Target) -> bool:
+    def is_valid_target(self, target: Target) -> bool:
         """Whether the group may take steps towards a target: the fence against late placements."""
         if target.term is not None and target.term != self._state.term:
             return False
--- a/kestrelbend/tier/replication/replica.py
+++ b/kestrelbend/tier/replication/replica.py
@@ -188,13 +188,13 @@
         self._advance_clock(now)
         self._roles.tick(now)
 
-    def written(self, ticket: int, now: float) -> None:
+    def complete_write(self, ticket: int, now: float) -> None:
         """The write `ticket` is on the disk, and so are all before it."""
         self._advance_clock(now)
-        self._state.written(ticket)
-        self._roles.written(now)
+        self._state.complete_write(ticket)
+        self._roles.handle_completed_writes(now)
 
-    def reconnected(self, identity: ReplicaId) -> None:
+    def handle_reconnection(self, identity: ReplicaId) -> None:
         """A new connection to a replica's process stands: what was sent over older ones may be lost."""
         if self._roles.leader_state is not None:
             self._roles.leader_state.resend(identity)
@@ -211,7 +211,7 @@
             return None
         return leader_state.append(EntryKind.COMMAND, command)
 
-    def confirm(self, now: float) -> int | None:
+    def confirm_read(self, now: float) -> int | None:
         """Begins a read by index (Ongaro 2014, section 6.4): its ticket, or None where this is no leader.
 
         The ticket is among `confirmed_reads` once it is certain that no later leader had committed
@@ -223,12 +223,12 @@
             return None
         ticket = self._next_confirmation
         self._next_confirmation += 1
-        leader_state.confirm(ticket)
+        leader_state.confirm_read(ticket)
         return ticket
 
-    def watch_freshness(self) -> None:
+    def enable_read_index_polling(self) -> None:
         """Asks the leader again and again from now on; without it a follower is never confirmed."""
-        self._roles.watches_freshness = True
+        self._roles.polls_read_index = True
 
     def set_learners(self, identities: tuple[ReplicaId, ...]) -> None:
         """The replicas that get all entries without a vote, while this one leads."""
@@ -244,7 +244,7 @@
         self._placement.set_target(Target(tuple(voters), number, term))
         self._update_followers()
 
-    def transfer(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Hands the leadership over, where this replica has it; leads on where nobody can take it."""
         self._advance_clock(now)
         if self._roles.leader_state is not None:
--- a/kestrelbend/tier/replication/roles.py
+++ b/kestrelbend/tier/replication/roles.py
@@ -43,7 +43,7 @@
         self.election = Election(state, now)
         self.placement = Placement(state)
         self.reads = reads
-        self.watches_freshness = False
+        self.polls_read_index = False
 
     # Changes of role
 
@@ -105,15 +105,15 @@
         else:
             self.step_down(now)
 
-    def written(self, now: float) -> None:
+    def handle_completed_writes(self, now: float) -> None:
         """Writes were done: what waited for them goes on in the present role."""
-        elected = self.election.written(now)
+        elected = self.election.handle_completed_writes(now)
         if self.leader_state is not None:
             self._advance_commit(self.leader_state, now)
         elif elected:
             self._become_leader(now)
         elif self.follower_state is not None:
-            self.follower_state.written()
+            self.follower_state.handle_completed_writes()
 
     # Elections
 
@@ -175,7 +175,7 @@
 
     def _request_read_index_when_due(self, follower_state: FollowerState, now: float) -> None:
         """Asks the leader for its read index, where this replica watches its freshness."""
-        if not self.watches_freshness or not self.reads.is_due(now):
+        if not self.polls_read_index or not self.reads.is_due(now):
             return
         state = self._state
         request = ReadIndexRequest(state.shard, state.identity, state.term, self.reads.begin_request(now))
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -111,7 +111,7 @@
         self._after_write.clear()
         self.effects.sends.extend(self.disk.release_ready())
 
-    def written(self, ticket: int) -> None:
+    def complete_write(self, ticket: int) -> None:
         """The write `ticket`, and all before it, is on the disk."""
         self.disk.complete(ticket)
         self.log.end_write(ticket)
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -122,7 +122,7 @@
         if self.settings.bootstrap:
             founders = tuple(f"{address}#first" for address in seed_addresses(self.settings))
         host = cast(ShardHost, self.host)
-        host.open(CONFIGURATION_SHARD, founders, self.now()).watch_freshness()
+        host.open(CONFIGURATION_SHARD, founders, self.now()).enable_read_index_polling()
         super().open_replicas()
 
     def on_applied(self, shard: ShardId) -> None:
--- a/kestrelbend/tier/roles/local_shards.py
+++ b/kestrelbend/tier/roles/local_shards.py
@@ -80,8 +80,8 @@
             journal=journal,
             encode=encode,
             send=role.send_to_replica,
-            machine_for=role.machine_for,
-            hosts=role.hosts_shard,
+            create_state_machine=role.machine_for,
+            may_host=role.hosts_shard,
             on_applied=role.on_applied,
             announces_commits=lambda shard: shard == CONFIGURATION_SHARD,  # nobody reads budgets at followers
         )
@@ -102,7 +102,7 @@
             return
         now = self._now()
         for replica in self.replicas():
-            replica.transfer(now)
+            replica.transfer_leadership(now)
             self.host.flush(replica.shard)
         deadline = now + within
         while self._now() < deadline and self._owns_any():  # noqa: ASYNC110  replicas set no event
@@ -115,7 +115,7 @@
 
     def _written(self, tickets: list[int]) -> None:
         if self.host is not None:
-            self.host.written(tickets, self._now())
+            self.host.complete_writes(tickets, self._now())
 
     # Replicas
 
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -191,7 +191,7 @@
     def _on_peer(self, connection: PeerConnection) -> None:
         """A new outgoing connection stands: what replicas sent over older ones may be lost."""
         if self.host is not None and connection.peer_replica:
-            self.host.reconnected(connection.peer_replica)
+            self.host.handle_reconnection(connection.peer_replica)
         self.on_peer(connection)
 
     def _on_message(self, connection: PeerConnection, message: Any, sequence: int) -> None:
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -116,8 +116,8 @@
 class Cluster:
     """Machines, links and one clock; `seed` decides all that is left to chance."""
 
-    def __init__(self, names="abc", others="", seed=0, timing=None, watches_freshness=False):
-        self.watches_freshness = watches_freshness
+    def __init__(self, names="abc", others="", seed=0, timing=None, polls_read_index=False):
+        self.polls_read_index = polls_read_index
         self.random = random.Random(seed)
         self.timing = timing or Timing()
         self.now = 0.0
@@ -147,8 +147,8 @@
             now=self.now,
             first_ticket=node.incarnation * TICKETS_OF_A_LIFE,
         )
-        if self.watches_freshness:
-            node.replica.watch_freshness()
+        if self.polls_read_index:
+            node.replica.enable_read_index_polling()
         self._work(node)
 
     def lose_power(self, *names):
@@ -209,9 +209,9 @@
             self._work(node)
         return index
 
-    def confirm(self, node=None):
+    def confirm_read(self, node=None):
         node = node or self.leader()
-        ticket = node.replica.confirm(self.now) if node else None
+        ticket = node.replica.confirm_read(self.now) if node else None
         if ticket is not None:
             node.reads[ticket] = len(self.promises.history)
             self._work(node)
@@ -219,7 +219,7 @@
 
     def transfer(self):
         node = self.leader()
-        node.replica.transfer(self.now)
+        node.replica.transfer_leadership(self.now)
         self._work(node)
 
     def set_target(self, names, number=0):
@@ -302,7 +302,7 @@
         done = [record for number, record in node.unsynced if number <= ticket]
         node.records += done
         del node.unsynced[: len(done)]
-        node.replica.written(ticket, self.now)
+        node.replica.complete_write(ticket, self.now)
         self._work(node)
 
     def _work(self, node):
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -248,7 +248,7 @@
     def replica(self, shard):
         return self
 
-    def machine(self, shard):
+    def state_machine(self, shard):
         return self._machine
 
     def propose(self, shard, command, outcome, now):
@@ -256,7 +256,7 @@
             self.pending.append((command, outcome))
         return self.owns
 
-    def confirm(self, shard, outcome, now):
+    def confirm_read(self, shard, outcome, now):
         if self.owns and not self.is_cut_off:
             asyncio.get_running_loop().call_soon(outcome, True)
         return self.owns
@@ -284,7 +284,7 @@
             def replica(self, shard):
                 return None
 
-            machine = replica
+            state_machine = replica
 
         service = ConfigurationService(EmptyHost(), None, lambda: 0.0, None)
         self.assertFalse(service.is_open)
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -25,9 +25,9 @@
 SHORT = 0.3  # a question, the next round and their messages
 
 
-def settled(watches_freshness=True, **options):
+def settled(polls_read_index=True, **options):
     """A cluster that watches its freshness and has committed a command."""
-    cluster = Cluster(watches_freshness=watches_freshness, **options)
+    cluster = Cluster(polls_read_index=polls_read_index, **options)
     cluster.run(1.0)
     cluster.propose(b"first")
     assert cluster.run_until(lambda: cluster.committed(b"first"), 0.5)
@@ -58,7 +58,7 @@
             timing=Timing(),
             now=10.0,
         )
-        self.replica.watch_freshness()
+        self.replica.enable_read_index_polling()
         self.replica.receive(self.heartbeat(previous_index=400), 10.0)
 
     def heartbeat(self, previous_index):
@@ -217,7 +217,7 @@
 
     def test_questions_come_five_times_a_second_and_begin_no_rounds(self):
         cluster = settled()
-        quiet = settled(watches_freshness=False)
+        quiet = settled(polls_read_index=False)
         counts = []
         for each in (cluster, quiet):
             each.sent.clear()
@@ -233,7 +233,7 @@
         """Losses, delays, doubles, cuts, freezes and restarts at random; checked at each tick."""
         current = 0
         for seed in range(40):
-            cluster = Cluster(seed=seed, watches_freshness=True)
+            cluster = Cluster(seed=seed, polls_read_index=True)
             committed_at = [(0.0, 0)]
             for step in range(400):
                 self._disturb(cluster, step)
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -131,7 +131,7 @@
         elif incarnation == self.incarnations[name]:
             ticket, record = self.unsynced[name].pop(0)
             self.disks[name].append(record)
-            replica.written(ticket, self.clocks[name])
+            replica.complete_write(ticket, self.clocks[name])
         self.work(name)
 
     def work(self, name):
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -39,7 +39,7 @@
     """Ends all writes; the messages that were due before and after."""
     effects = replica.drain_effects()
     for ticket, _ in effects.writes:
-        replica.written(ticket, now)
+        replica.complete_write(ticket, now)
     return effects.sends + replica.drain_effects().sends
 
 
@@ -176,7 +176,7 @@
 
     def test_a_read_waits_for_an_entry_of_the_epoch(self):
         replica = self.leader()
-        ticket = replica.confirm(0.6)
+        ticket = replica.confirm_read(0.6)
         replica.drain_effects()
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 2), 0.6)
         self.assertEqual([], replica.drain_effects().confirmed_reads)
--- a/tests/tier/test_replication_search.py
+++ b/tests/tier/test_replication_search.py
@@ -66,7 +66,7 @@
             for _ in range(self.random.choice((0, 1, 5))):
                 self.proposed += 1
                 self.cluster.propose(b"command %d" % self.proposed, node)
-            self.cluster.confirm(node)
+            self.cluster.confirm_read(node)
 
     def trouble(self):
         """Breaks something, or mends something broken."""
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -252,7 +252,7 @@
 class ReadAndLogStories(testtools.TestCase):
     def test_a_read_is_confirmed_by_a_round_begun_after_it(self):
         cluster = settled()
-        ticket = cluster.confirm()
+        ticket = cluster.confirm_read()
         self.assertEqual([], cluster.leader().confirmed)
         cluster.run(0.02)
         self.assertEqual([ticket], cluster.leader().confirmed)
@@ -260,7 +260,7 @@
     def test_a_read_at_an_owner_that_was_replaced_is_lost(self):
         cluster = settled()
         cluster.isolate("a")
-        cluster.confirm(cluster.nodes["a"])
+        cluster.confirm_read(cluster.nodes["a"])
         cluster.run(2.0)
         self.assertEqual([], cluster.nodes["a"].confirmed)
 
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -56,7 +56,7 @@
     while len({host.replica(SHARD).applied_index for host in hosts}) > 1:
         await asyncio.sleep(0.005)
     for host in hosts:
-        table = host.machine(SHARD).table
+        table = host.state_machine(SHARD).table
         earlier = BudgetTable()
         earlier.restore(state)
         earlier.snapshot()
@@ -75,7 +75,7 @@
             await propose_many(world, TAIL, 0.002)
             await fill(world, state)
             owner = owner_of(world, SHARD)
-            epoch, size = owner.replica(SHARD).term, len(owner.machine(SHARD).snapshot())
+            epoch, size = owner.replica(SHARD).term, len(owner.state_machine(SHARD).snapshot())
             fleet.network.limit_bandwidth(store.spec.ip, NARROW)
             fleet.start(store)
             began = fleet.now()
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -70,8 +70,8 @@
             journal=self.journal,
             encode=encode,
             send=lambda receiver, message: None,
-            machine_for=lambda shard: Machine(),
-            hosts=lambda shard: True,
+            create_state_machine=lambda shard: Machine(),
+            may_host=lambda shard: True,
         )
         self.host.load([decode(bytes_of(record)) for record in records])
         self.host.open(SHARD, ("a",), self.now)
@@ -80,13 +80,13 @@
 
     @property
     def machine(self):
-        return self.host.machine(SHARD)
+        return self.host.state_machine(SHARD)
 
     def run(self, ticks):
         for _ in range(ticks):
             self.now += 0.02
             self.host.tick(self.now)
-            self.host.written(self.journal.take(), self.now)
+            self.host.complete_writes(self.journal.take(), self.now)
 
     def reserve(self, number):
         name = f"program {number % PROGRAMS}"
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -211,7 +211,7 @@
         cluster.heal()
         leader = cluster.nodes["a"]
         for name in "bc":
-            leader.replica.reconnected(cluster.nodes[name].identity)
+            leader.replica.handle_reconnection(cluster.nodes[name].identity)
         cluster._work(leader)
         self.assertTrue(cluster.run_until(lambda: cluster.committed(LARGE), len(LARGE) / NARROW + 0.3))
         self.assertEqual([2, 2], [self.large_sent(cluster, name) for name in "bc"])
