--- a/kestrelbend/tier/control/directory_stream.py
+++ b/kestrelbend/tier/control/directory_stream.py
@@ -30,7 +30,7 @@
         self._last_sent[connection] = None
         self.send()
 
-    def lost(self, connection: PeerConnection) -> None:
+    def connection_lost(self, connection: PeerConnection) -> None:
         """A connection ended, or its process wants no directory any more."""
         self._last_sent.pop(connection, None)
 
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -71,7 +71,7 @@
         """How many connections brought summaries and stand."""
         return len(self._reported)
 
-    def lost(self, connection: PeerConnection) -> None:
+    def connection_lost(self, connection: PeerConnection) -> None:
         """A connection ended; the sender's next one begins with a complete summary."""
         self._up_to_date.discard(connection)
         self._reported.pop(connection, None)
--- a/kestrelbend/tier/discovery/exchange.py
+++ b/kestrelbend/tier/discovery/exchange.py
@@ -55,17 +55,17 @@
         subscriber.complete = complete
         subscriber.send(self._everything(), complete)
 
-    def lost(self, connection: PeerConnection) -> None:
+    def connection_lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
         subscriber = self._subscribers.pop(connection, None)
         if subscriber is not None:
-            subscriber.end()
+            subscriber.close()
 
-    def acknowledged(self, connection: PeerConnection, ack: BackendAck) -> None:
+    def record_ack(self, connection: PeerConnection, ack: BackendAck) -> None:
         """A gateway acknowledges."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
-            subscriber.acknowledged(ack)
+            subscriber.record_ack(ack)
 
     def notify_gateways(self, backends: list[Backend]) -> list[SentUpdate]:
         """Streams changes to the gateways that are subscribed here."""
@@ -91,7 +91,7 @@
 
         The internal addresses of the control nodes that acknowledged, without this one's.
         """
-        acks = [sent.subscriber.until_acknowledged(sent.number) for sent in self.notify_gateways(backends)]
+        acks = [sent.subscriber.ack_future(sent.number) for sent in self.notify_gateways(backends)]
         return await self._request_peers(backends, set(), ACK_WAIT_S, acks)
 
     async def notify_remaining_peers(
@@ -141,6 +141,6 @@
         return BackendUpdate(self._sender, UNNUMBERED, complete, tuple(backends))
 
     @staticmethod
-    def acknowledge(connection: PeerConnection, sequence: int, update: BackendUpdate) -> None:
+    def reply_ack(connection: PeerConnection, sequence: int, update: BackendUpdate) -> None:
         """Replies to another control node's update."""
         connection.reply(sequence, BackendAck(update.sender, update.number))
--- a/kestrelbend/tier/discovery/subscriber.py
+++ b/kestrelbend/tier/discovery/subscriber.py
@@ -49,7 +49,7 @@
             self.connection.send(BackendUpdate(self._sender, self._sent_number, complete, wanted))
         return self._sent_number
 
-    def acknowledged(self, ack: BackendAck) -> None:
+    def record_ack(self, ack: BackendAck) -> None:
         """The gateway has everything up to a number."""
         self._acknowledged_number = max(self._acknowledged_number, ack.number)
         for waiter in self._waiters:
@@ -57,7 +57,7 @@
                 waiter.finish()
         self._waiters = [waiter for waiter in self._waiters if not waiter.future.done()]
 
-    def until_acknowledged(self, number: int) -> asyncio.Future[None]:
+    def ack_future(self, number: int) -> asyncio.Future[None]:
         """Done once the update is acknowledged or the connection has ended."""
         waiter = _AckWaiter(number, asyncio.get_running_loop().create_future())
         if number <= self._acknowledged_number or self.connection.closed:
@@ -66,7 +66,7 @@
             self._waiters.append(waiter)
         return waiter.future
 
-    def end(self) -> None:
+    def close(self) -> None:
         """The connection ended: nobody waits for it any longer."""
         for waiter in self._waiters:
             waiter.finish()
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -157,7 +157,7 @@
     def on_lost(self, connection: PeerConnection) -> None:
         """Ends the streams of a connection."""
         super().on_lost(connection)
-        self._summaries.lost(connection)
+        self._summaries.connection_lost(connection)
         self._streams.lost(connection)
 
     def on_message(self, connection: PeerConnection, message: Any, sequence: int) -> None:
@@ -175,10 +175,10 @@
             case ConfigFetch():
                 self._streams.send_newer_configuration(connection, message.version)
             case BackendAck():
-                self.exchange.acknowledged(connection, message)
+                self.exchange.record_ack(connection, message)
             case BackendUpdate():
                 self.backend_reports.merge(message.backends)
-                self.exchange.acknowledge(connection, sequence, message)
+                self.exchange.reply_ack(connection, sequence, message)
             case ConfigOrder():
                 self.spawn(_reply_with(connection, sequence, self._decide(message)))
             case ReadRequest():
--- a/kestrelbend/tier/roles/control_streams.py
+++ b/kestrelbend/tier/roles/control_streams.py
@@ -46,13 +46,13 @@
         if message.complete:
             self._directory_stream.subscribe(connection)
         else:
-            self._directory_stream.lost(connection)
+            self._directory_stream.connection_lost(connection)
 
     def lost(self, connection: PeerConnection) -> None:
         """The connection ended; whoever waits for its acknowledgements waits no longer."""
-        self._exchange.lost(connection)
+        self._exchange.connection_lost(connection)
         self._config_stream.lost(connection)
-        self._directory_stream.lost(connection)
+        self._directory_stream.connection_lost(connection)
 
     def stream_configuration(self) -> None:
         """Sends the version applied here to those that don't have it, or not as the current one."""
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -124,7 +124,7 @@
     def test_given_a_connection_that_was_lost_then_the_next_one_begins_with_everything(self):
         self.run_for(5.0, ["c1"], applied=5)
         lost = self.connection("c1", "c2")
-        self.nodes["c1"].summaries.lost(lost)
+        self.nodes["c1"].summaries.connection_lost(lost)
         self.nodes["c2"].table = MemberTable()
         self.nodes["c2"].summaries = MemberSummaries("c2", self.nodes["c2"].table)
         self.run_for(HEARTBEAT_S, ["c1"], applied=5)
@@ -137,7 +137,7 @@
             old = self.connection("c1", "c2")
             self.nodes["c1"].connections[id(self.nodes["c2"])] = Connection(self.nodes["c2"])
             self.run_for(HEARTBEAT_S, ["c1"])
-            receiver.lost(old)  # later than the next one's complete summary
+            receiver.connection_lost(old)  # later than the next one's complete summary
             self.run_for(1.0, ["c1"])
             self.assertTrue(self.nodes["c2"].knows(GATEWAY))
         self.assertEqual(2, receiver.sender_count)
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -123,12 +123,12 @@
             self.given_an_exchange()
             telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
-            self.exchange.acknowledged(self.gateway, BackendAck("c:1", 1))
+            self.exchange.record_ack(self.gateway, BackendAck("c:1", 1))
             self.peer.asked[0].set_result(None)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             self.assertFalse(telling.done())
-            self.exchange.acknowledged(self.gateway, BackendAck("c:1", 2))
+            self.exchange.record_ack(self.gateway, BackendAck("c:1", 2))
             await telling
 
         asyncio.run(play())
@@ -138,7 +138,7 @@
             self.given_an_exchange()
             telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
-            self.exchange.lost(self.gateway)
+            self.exchange.connection_lost(self.gateway)
             self.peer.asked[0].set_result(None)
             await telling
 
