--- a/kestrelbend/tier/membership/control_choice.py
+++ b/kestrelbend/tier/membership/control_choice.py
@@ -19,7 +19,7 @@
 import attrs
 
 from .messages import Member
-from .ring import monitors
+from .ring import nearest_control_nodes
 
 REPLY_VALIDITY_S = 0.45  # for which a reply counts, from its heartbeat on
 STABILIZATION_TIMEOUT_S = 3.0  # for a node that replies to become stable, before another one's streams
@@ -44,7 +44,7 @@
 
 
 class ControlChoice:
-    """The choice of one process, from the calls of `sent` and `answered`."""
+    """The choice of one process, from the calls of `record_sent` and `record_reply`."""
 
     def __init__(self, address: str, zone: str, now: float) -> None:
         self._address = address
@@ -54,7 +54,7 @@
         self._heartbeats: deque[_SentHeartbeat] = deque(maxlen=MAX_REMEMBERED_HEARTBEATS)
         self._replies: dict[str, _Reply] = {}
 
-    def order(self, members: Iterable[Member], seeds: Iterable[str]) -> list[str]:
+    def nearest_first(self, members: Iterable[Member], seeds: Iterable[str]) -> list[str]:
         """The addresses of all known control nodes, nearest first; seeds unknown to it come last."""
         controls = [member for member in members if member.serves_control]
         near = [member.address for member in controls if member.zone == self._zone]
@@ -62,22 +62,22 @@
         others = set(seeds).difference(near, far)
         return [*self._ring_order(near), *self._ring_order(far), *self._ring_order(others)]
 
-    def sent(self, sequence: int, now: float) -> None:
+    def record_sent(self, sequence: int, now: float) -> None:
         """Records that the heartbeat of this sequence number was sent."""
         self._heartbeats.append(_SentHeartbeat(sequence, now))
 
-    def answered(self, address: str, sequence: int, stable: bool) -> None:
+    def record_reply(self, address: str, sequence: int, stable: bool) -> None:
         """Records a node's reply to a heartbeat; a reply to one that is forgotten proves nothing."""
         sent_at = next((sent.sent_at for sent in self._heartbeats if sent.sequence == sequence), NEVER)
         known = self._replies.get(address)
         if known is None or sent_at >= known.sent_at:
             self._replies[address] = _Reply(sent_at, stable)
 
-    def to_report_to(self, order: Sequence[str], now: float) -> list[str]:
+    def report_targets(self, order: Sequence[str], now: float) -> list[str]:
         """The nodes that heartbeats go to now."""
         return self._up_to_stable(order, now) or list(order[:MAX_CHOSEN])
 
-    def to_stream_from(self, order: Sequence[str], now: float) -> list[str]:
+    def stream_sources(self, order: Sequence[str], now: float) -> list[str]:
         """The nodes whose complete streams are wanted now."""
         chosen = self._up_to_stable(order, now)
         if chosen is not None:
@@ -103,4 +103,4 @@
 
     def _ring_order(self, addresses: Iterable[str]) -> list[str]:
         listed = list(addresses)
-        return monitors(self._address, listed, len(listed))
+        return nearest_control_nodes(self._address, listed, len(listed))
--- a/kestrelbend/tier/membership/ring.py
+++ b/kestrelbend/tier/membership/ring.py
@@ -12,7 +12,7 @@
 import zlib
 from collections.abc import Iterable
 
-MONITORS = 3
+DEFAULT_COUNT = 3
 RING_SIZE = 1 << 32
 SPREAD = 2654435761  # Knuth's multiplicative hash: close addresses come to stand apart
 
@@ -22,7 +22,9 @@
     return zlib.crc32(address.encode()) * SPREAD % RING_SIZE
 
 
-def monitors(address: str, control_addresses: Iterable[str], count: int = MONITORS) -> list[str]:
+def nearest_control_nodes(
+    address: str, control_addresses: Iterable[str], count: int = DEFAULT_COUNT
+) -> list[str]:
     """The monitors of the process at `address`, nearest first."""
     own = position(address)
     others = [other for other in set(control_addresses) if other and other != address]
--- a/kestrelbend/tier/roles/control_reports.py
+++ b/kestrelbend/tier/roles/control_reports.py
@@ -31,7 +31,7 @@
 
     def answered(self, connection: PeerConnection, answer: HeartbeatAck) -> None:
         """A control node has answered a heartbeat."""
-        self._choice.answered(connection.address, answer.sequence, answer.stable)
+        self._choice.record_reply(connection.address, answer.sequence, answer.stable)
 
     def lost(self, connection: PeerConnection) -> None:
         """A connection ended."""
@@ -39,7 +39,7 @@
 
     def subscribe(self, order: Sequence[str], wish: Callable[[bool], Subscribe], now: float) -> None:
         """Asks the nearest stable of the control nodes for all of its streams, the others for notices."""
-        chosen = self._choice.to_stream_from(order, now)
+        chosen = self._choice.stream_sources(order, now)
         for address in order:
             connection = self._connections.to(address)
             complete = address in chosen
@@ -52,9 +52,9 @@
 
     def report(self, order: Sequence[str], heartbeat: Heartbeat, now: float) -> None:
         """Tells the control nodes that are to know it that this process runs."""
-        self._choice.sent(heartbeat.sequence, now)
+        self._choice.record_sent(heartbeat.sequence, now)
         data = encode(heartbeat)
-        for address in self._choice.to_report_to(order, now):
+        for address in self._choice.report_targets(order, now):
             connection = self._connections.to(address)
             if connection is not None:
                 connection.send_encoded(data)
--- a/kestrelbend/tier/roles/process.py
+++ b/kestrelbend/tier/roles/process.py
@@ -170,7 +170,7 @@
     def control_addresses(self) -> list[str]:
         """The directory's control nodes, nearest first and not too many, and the settings' seeds."""
         seeds = seed_addresses(self.settings)
-        ordered = self._control_choice.order(self.directory.members, seeds)
+        ordered = self._control_choice.nearest_first(self.directory.members, seeds)
         return list(dict.fromkeys(ordered[: self.max_control_connections] + seeds))
 
     def wanted_connections(self) -> set[str]:
--- a/tests/tier/test_control_choice.py
+++ b/tests/tier/test_control_choice.py
@@ -31,13 +31,13 @@
         self.choice = ControlChoice("10.0.0.9:7", "a", 0.0)
         self.now = 0.0
         self.sequence = 0
-        self.order = self.choice.order(MEMBERS, [])
+        self.order = self.choice.nearest_first(MEMBERS, [])
 
     def streams(self):
-        return self.choice.to_stream_from(self.order, self.now)
+        return self.choice.stream_sources(self.order, self.now)
 
     def reports(self):
-        return self.choice.to_report_to(self.order, self.now)
+        return self.choice.report_targets(self.order, self.now)
 
     def run_for(self, seconds, stable=(), answering=()):
         """Heartbeats to whoever is chosen; some of them answer, and some of those as stable."""
@@ -47,12 +47,12 @@
             self.sequence += 1
             self.streams()
             chosen = self.reports()
-            self.choice.sent(self.sequence, self.now)
+            self.choice.record_sent(self.sequence, self.now)
             for address in set(chosen).intersection([*stable, *answering]):
-                self.choice.answered(address, self.sequence, address in stable)
+                self.choice.record_reply(address, self.sequence, address in stable)
 
     def test_given_a_directory_then_this_zone_comes_first_and_unknown_seeds_last(self):
-        order = self.choice.order(MEMBERS, ["10.9.9.9:7", HERE])
+        order = self.choice.nearest_first(MEMBERS, ["10.9.9.9:7", HERE])
         self.assertEqual(HERE, order[0])
         self.assertEqual("10.9.9.9:7", order[-1])
         self.assertEqual(4, len(order))
@@ -103,12 +103,13 @@
         self.run_for(5.0, stable=[HERE])
         old = self.sequence
         self.run_for(REPLY_VALIDITY_S + HEARTBEAT_S)
-        self.choice.answered(HERE, old, True)
+        self.choice.record_reply(HERE, old, True)
         self.assertNotEqual([HERE], self.streams())
 
     def test_given_a_lost_node_then_those_who_followed_it_spread_over_the_others(self):
         members = [control(HERE, "a"), *(control(f"10.0.{zone}.1:7", f"z{zone}") for zone in range(1, 4))]
         heirs = {
-            ControlChoice(f"10.0.0.{process}:7", "a", 0.0).order(members, [])[1] for process in range(9, 40)
+            ControlChoice(f"10.0.0.{process}:7", "a", 0.0).nearest_first(members, [])[1]
+            for process in range(9, 40)
         }
         self.assertEqual(3, len(heirs))
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -11,7 +11,7 @@
 from kestrelbend.tier.discovery.messages import Backend, BackendAck, BackendUpdate
 from kestrelbend.tier.membership.messages import ConfigUpdate
 from kestrelbend.tier.protocol.codec import decode
-from kestrelbend.tier.membership.ring import monitors
+from kestrelbend.tier.membership.ring import nearest_control_nodes
 
 
 class FakeConnection:
@@ -149,7 +149,7 @@
     def test_given_a_ring_when_one_monitor_goes_then_the_others_stay(self):
         nodes = [f"10.0.0.{number}:7" for number in range(9)]
         for process in nodes:
-            before = monitors(process, nodes)
+            before = nearest_control_nodes(process, nodes)
             self.assertNotIn(process, before)
-            after = monitors(process, [node for node in nodes if node != before[1]])
+            after = nearest_control_nodes(process, [node for node in nodes if node != before[1]])
             self.assertEqual([before[0], before[2]], after[:2])
