--- a/kestrelbend/tier/control/shard_placer.py
+++ b/kestrelbend/tier/control/shard_placer.py
@@ -26,8 +26,8 @@
     SPARE_TIMEOUT_S,
     budget_shards,
     candidates,
-    found_budget_shards,
     group_size,
+    initial_budget_placements,
     next_voters,
 )
 from ..membership.placement_changes import due_placements
@@ -35,7 +35,7 @@
 from .store_facts import due_emptied, unknown_disks
 
 LEAVING_ABSENCE_S = SPARE_TIMEOUT_S + 0.1  # a process that leaves counts as absent for at least this long
-FOUNDING_WAIT_S = 2.5  # for stores to come before budgets are founded on what is there
+STORE_JOIN_WAIT_S = 2.5  # for stores to come before budgets are founded on what is there
 FIRST_HEARTBEATS_S = 0.5  # for heartbeats to come in, from the beginning of an ownership
 
 Spawn = Callable[[Coroutine[Any, Any, None]], object]
@@ -124,9 +124,9 @@
         placed_shards = {placed.shard for placed in state.placements}
         if not placed_shards.issuperset(budget_shards()):
             stores = [candidate for candidate in available if candidate.preference == PREFERRED]
-            if len(stores) < self._size and self.owned_for(now) < FOUNDING_WAIT_S:
+            if len(stores) < self._size and self.owned_for(now) < STORE_JOIN_WAIT_S:
                 return []
-            return found_budget_shards(placed_shards, self._size, available)
+            return initial_budget_placements(placed_shards, self._size, available)
         return due_placements(
             state.placements,
             self._size,
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -6,7 +6,7 @@
 
 from ...configuration.messages import OrderKind
 from ...configuration.stores import Emptied
-from ...membership.placement import found_budget_shards
+from ...membership.placement import initial_budget_placements
 from ...replication.group import has_quorum, remove_voter
 from ...storage.identity import FIRST_IDENTITY
 from ...storage.identity import _write_identity as _write_any_identity
@@ -28,7 +28,7 @@
     from ...replication.replica import Replica
     from ...storage.disk import Disk
 
-_found_budget_shards = found_budget_shards
+_initial_budget_placements = initial_budget_placements
 
 
 @guard("learner", "replication.leader:LeaderState.is_caught_up", "voters that hold nothing")
@@ -132,13 +132,13 @@
     return None
 
 
-@guard("whole-group", "membership.placement:found_budget_shards", "groups that bear no loss")
+@guard("whole-group", "membership.placement:initial_budget_placements", "groups that bear no loss")
 def found_by_whoever_is_there(
     placed: Iterable[str], size: int, available: list[Candidate]
 ) -> list[ShardPlacement]:
     """Places groups that are smaller than the tolerated loss requires."""
     most = min(size, len(available))
-    return _found_budget_shards(placed, most, available) if most else []
+    return _initial_budget_placements(placed, most, available) if most else []
 
 
 @guard_property(
--- a/kestrelbend/tier/fleet/rules/calm.py
+++ b/kestrelbend/tier/fleet/rules/calm.py
@@ -9,7 +9,7 @@
 from ...budgets.program import ProgramBudget
 from ...budgets.shards import shard_of
 from ...budgets.state_machine import BudgetStateMachine
-from ...membership.placement import BUDGET_SHARDS
+from ...membership.placement import BUDGET_SHARD_COUNT
 from ..backends import Backends
 from ..fleet import Fleet
 from ..machines import Process
@@ -93,11 +93,11 @@
     def _check_counters(self) -> None:
         """The owners' counters hold all that was handed out, and know each turn that was admitted."""
         owners = self._owners()
-        if len(owners) != BUDGET_SHARDS + 1:
+        if len(owners) != BUDGET_SHARD_COUNT + 1:
             self._fleet.report_violation(f"shards without an owner at the end; owned are {sorted(owners)}")
             return
         for program in self._programs.all.values():
-            shard = shard_of(program.name, BUDGET_SHARDS)
+            shard = shard_of(program.name, BUDGET_SHARD_COUNT)
             machine = cast(BudgetStateMachine, owners[shard].state_machine(shard))
             self._check_program(program, machine.table._use(program.name))
 
--- a/kestrelbend/tier/membership/placement.py
+++ b/kestrelbend/tier/membership/placement.py
@@ -22,7 +22,7 @@
 
 SPARE_TIMEOUT_S = 1.5  # of absence, until a spare of the preferred class replaces a replica
 LOST_TIMEOUT_S = 5.0  # and until another one does
-BUDGET_SHARDS = 6  # never changes, see `budget_shards`
+BUDGET_SHARD_COUNT = 6  # never changes, see `budget_shards`
 FIRST_NUMBER = 1  # of a shard's placements; see `ShardPlacement`
 CONFIGURATION_SHARD = "configuration"
 PREFERRED = 0  # the preference of a candidate that is taken first
@@ -152,10 +152,12 @@
 
 def budget_shards() -> list[str]:
     """The names of all budget shards.  Their number never changes: it decides where a program's total is."""
-    return shard_names(BUDGET_SHARDS)
+    return shard_names(BUDGET_SHARD_COUNT)
 
 
-def found_budget_shards(placed: Iterable[str], size: int, available: list[Candidate]) -> list[ShardPlacement]:
+def initial_budget_placements(
+    placed: Iterable[str], size: int, available: list[Candidate]
+) -> list[ShardPlacement]:
     """The first placement of the budget shards not placed yet, their owners spread over the replicas.
 
     None as long as there are fewer disks than a complete group has: fewer could not bear the losses.
--- a/kestrelbend/tier/roles/gateway_budgets.py
+++ b/kestrelbend/tier/roles/gateway_budgets.py
@@ -9,7 +9,7 @@
 from ..budgets.names import ReservationNames
 from ..errors import TierError
 from ..membership.directory import DirectoryView
-from ..membership.placement import BUDGET_SHARDS, address_of, budget_shards
+from ..membership.placement import BUDGET_SHARD_COUNT, address_of, budget_shards
 from ..protocol.peer_connections import PeerConnections
 from .gateway_contact import GatewayContact, Standing
 
@@ -47,7 +47,9 @@
         """Begins once every shard is placed: a program always meets the same shard."""
         placed = self._directory.placements
         if self.client is None and all(shard in placed for shard in budget_shards()):
-            self.client = BudgetClient(self._send, self.addresses, BUDGET_SHARDS, may_wait=self._may_wait)
+            self.client = BudgetClient(
+                self._send, self.addresses, BUDGET_SHARD_COUNT, may_wait=self._may_wait
+            )
 
     def addresses(self, shard: str) -> list[str]:
         """Who may own the shard: the owner last known first, then the voters in the order of ownership."""
--- a/tests/tier/test_former_owner.py
+++ b/tests/tier/test_former_owner.py
@@ -15,7 +15,7 @@
 from kestrelbend.tier.fleet.faults import owner_machine
 from kestrelbend.tier.membership.directory import DirectoryView
 from kestrelbend.tier.membership.messages import Directory, ShardReport
-from kestrelbend.tier.membership.placement import BUDGET_SHARDS
+from kestrelbend.tier.membership.placement import BUDGET_SHARD_COUNT
 from tests.tier.fleet_story import FleetStory
 
 SHARD = "budget-0"
@@ -101,7 +101,7 @@
 
     async def turns(self, world, gateways, seconds):
         """A turn of a program of the shard every 100 ms, at each gateway in turn."""
-        names = [f"former-{n}" for n in range(400) if shard_of(f"former-{n}", BUDGET_SHARDS) == SHARD]
+        names = [f"former-{n}" for n in range(400) if shard_of(f"former-{n}", BUDGET_SHARD_COUNT) == SHARD]
         verdicts = []
 
         async def turn(gateway, program):
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -301,8 +301,8 @@
     def test_fewer_disks_than_a_whole_group_has_found_nothing(self):
         disks = [placement.Candidate(f"{name}:1#x", f"{name}:1", name, "a", 0) for name in "abc"]
         for count in range(3):
-            self.assertEqual([], placement.found_budget_shards((), 3, disks[:count]))
-        self.assertNotEqual([], placement.found_budget_shards((), 3, disks))
+            self.assertEqual([], placement.initial_budget_placements((), 3, disks[:count]))
+        self.assertNotEqual([], placement.initial_budget_placements((), 3, disks))
 
 
 @attrs.define
--- a/tests/tier/test_membership_placement.py
+++ b/tests/tier/test_membership_placement.py
@@ -6,7 +6,7 @@
     LOST_TIMEOUT_S,
     SPARE_TIMEOUT_S,
     Candidate,
-    found_budget_shards,
+    initial_budget_placements,
     next_voters,
 )
 
@@ -52,7 +52,7 @@
     def test_budgets_are_founded_on_no_fewer_disks_than_a_complete_group_has(self):
         two = [candidate("a"), candidate("b")]
         three = [*two, candidate("control", preference=1)]
-        self.assertEqual([], found_budget_shards((), 3, two))
-        placements = found_budget_shards((), 3, three)
+        self.assertEqual([], initial_budget_placements((), 3, two))
+        placements = initial_budget_placements((), 3, three)
         self.assertEqual({3}, {len(placed.voters) for placed in placements})
         self.assertEqual({1}, {placed.number for placed in placements})
