--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -15,7 +15,7 @@
 from ..membership.placement import group_size
 from ..membership.table import MemberTable
 
-HEARD_ALL_S = 2.0  # of ownership, after which every live store has been heard of
+ALL_STORES_HEARD_S = 2.0  # of ownership, after which every live store has been heard of
 SHORT_FAULT_S = 30.0  # for which an unresponsive store counts among those that will remain
 
 OUTCOMES = {
@@ -61,12 +61,12 @@
         if order.kind != OrderKind.RETIRE:
             return None
         now = self._now()
-        rejection = self.rejection_now(order.body.decode(), now)
-        if rejection is not None and self._owned_for(now) < HEARD_ALL_S:
+        rejection = self.rejection_by_known_members(order.body.decode(), now)
+        if rejection is not None and self._owned_for(now) < ALL_STORES_HEARD_S:
             return NOT_OWNER
         return rejection
 
-    def rejection_now(self, node: str, now: float) -> ConfigOutcome | None:
+    def rejection_by_known_members(self, node: str, now: float) -> ConfigOutcome | None:
         """Why a store can't be emptied, by what has been heard until now; it may not be all."""
         state = self._configuration.state
         if not state.stores.is_store(node):
--- a/kestrelbend/tier/control/shard_placer.py
+++ b/kestrelbend/tier/control/shard_placer.py
@@ -32,7 +32,7 @@
 )
 from ..membership.placement_changes import due_placements
 from ..membership.table import MemberTable
-from .store_facts import due_emptied, unknown_disks
+from .store_facts import due_emptied_orders, unknown_disk_orders
 
 LEAVING_ABSENCE_S = SPARE_TIMEOUT_S + 0.1  # a process that leaves counts as absent for at least this long
 STORE_JOIN_WAIT_S = 2.5  # for stores to come before budgets are founded on what is there
@@ -89,9 +89,9 @@
     def _due_orders(self, now: float) -> list[ConfigOrder]:
         """Disks first: a placement counts on its voters' nodes being known."""
         state = self._configuration.state
-        disks = unknown_disks(state, self._members.members(now))
+        disks = unknown_disk_orders(state, self._members.members(now))
         placements = [self._placement_order(placed) for placed in self._due_placements(now)]
-        return disks + placements + due_emptied(state, self._members.reports())
+        return disks + placements + due_emptied_orders(state, self._members.reports())
 
     def _place_configuration(self, now: float) -> None:
         """Sets the learners of the configuration's own group, and the voters that it moves towards."""
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -15,7 +15,7 @@
 from ..membership.placement import CONFIGURATION_SHARD
 
 
-def unknown_disks(state: ConfigurationState, members: Iterable[Member]) -> list[ConfigOrder]:
+def unknown_disk_orders(state: ConfigurationState, members: Iterable[Member]) -> list[ConfigOrder]:
     """The orders that record the members' disks where that wasn't done."""
     disks = [
         KnownDisk(member.node, member.replica, member.serves_storage) for member in members if member.replica
@@ -24,7 +24,7 @@
     return [ConfigOrder(OrderKind.STORE, 0, encode_disk(disk)) for disk in unknown]
 
 
-def due_emptied(state: ConfigurationState, reports: dict[str, ShardReport]) -> list[ConfigOrder]:
+def due_emptied_orders(state: ConfigurationState, reports: dict[str, ShardReport]) -> list[ConfigOrder]:
     """The orders that record which shards have departed from nodes that are to be emptied."""
     shards = [CONFIGURATION_SHARD, *(placed.shard for placed in state.placements)]
     orders = []
@@ -33,13 +33,13 @@
             report = reports.get(shard)
             if report is None or state.stores.is_emptied(node, shard):
                 continue
-            fact = emptied_by(node, report)
+            fact = emptied_evidence(node, report)
             if fact is not None and state.stores.may_record(fact, state.placement(shard)):
                 orders.append(ConfigOrder(OrderKind.EMPTIED, 0, encode_emptied(fact)))
     return orders
 
 
-def emptied_by(node: str, report: ShardReport) -> Emptied | None:
+def emptied_evidence(node: str, report: ShardReport) -> Emptied | None:
     """What a report proves of a shard's group: nothing unless it is its owner's and the group is stable."""
     if report.replica != report.owner or not report.stable or not report.committed_voters:
         return None
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -101,7 +101,7 @@
     return False
 
 
-@guard("emptied-by-owner", "control.store_facts:emptied_by", "emptied by the word of a former owner")
+@guard("emptied-by-owner", "control.store_facts:emptied_evidence", "emptied by the word of a former owner")
 def believe_any_report(node: str, report: ShardReport) -> Emptied | None:
     """Takes every report as proof, not only that of a stable group's owner."""
     return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
@@ -112,7 +112,7 @@
     """Rejects a retirement before the owner has heard of all members."""
     if order.kind != OrderKind.RETIRE:
         return None
-    return retirement.rejection_now(order.body.decode(), retirement._now())
+    return retirement.rejection_by_known_members(order.body.decode(), retirement._now())
 
 
 @guard("done-without", "replication.group:_remove_one_voter", "the last whole copies taken out")
--- a/tests/tier/test_control_store_facts.py
+++ b/tests/tier/test_control_store_facts.py
@@ -7,7 +7,7 @@
 from kestrelbend.tier.configuration.placements import encode_placement
 from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.configuration.stores import Emptied, decode_disk, decode_emptied
-from kestrelbend.tier.control.store_facts import due_emptied, emptied_by, unknown_disks
+from kestrelbend.tier.control.store_facts import due_emptied_orders, emptied_evidence, unknown_disk_orders
 from kestrelbend.tier.membership.messages import Member, ShardPlacement, ShardReport
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD
 
@@ -25,7 +25,7 @@
     def setUp(self):
         super().setUp()
         self.state = ConfigurationState()
-        self.take(unknown_disks(self.state, map(member, "abcd")))
+        self.take(unknown_disk_orders(self.state, map(member, "abcd")))
         self.place(1, ("a:1#x", "b:1#x", "c:1#x"))
         self.take([ConfigOrder(OrderKind.RETIRE, 0, b"a")])
         self.place(2, VOTERS)
@@ -39,18 +39,18 @@
         self.take([ConfigOrder(OrderKind.PLACEMENT, 0, encode_placement(placed))])
 
     def noted(self, *reports):
-        orders = due_emptied(self.state, {report.shard: report for report in reports})
+        orders = due_emptied_orders(self.state, {report.shard: report for report in reports})
         return [decode_emptied(order.body) for order in orders]
 
     def test_given_members_then_only_unknown_disks_are_noted(self):
         members = [member("a"), member("e"), member("gateway", replica=""), member("a", replica="a:1#y")]
-        noted = [decode_disk(order.body).replica for order in unknown_disks(self.state, members)]
+        noted = [decode_disk(order.body).replica for order in unknown_disk_orders(self.state, members)]
         self.assertEqual(["e:1#x", "a:1#y"], noted)
 
     def test_given_a_stable_group_reported_by_its_owner_then_the_node_is_recorded_as_empty_once(self):
         fact = Emptied("a", "budget-0", 4, VOTERS, 2)
         self.assertEqual([fact], self.noted(REPORT))
-        self.take(due_emptied(self.state, {"budget-0": REPORT}))
+        self.take(due_emptied_orders(self.state, {"budget-0": REPORT}))
         self.assertEqual([], self.noted(REPORT))
 
     def test_given_the_report_of_anybody_else_or_of_a_group_on_its_way_then_nothing_is_recorded(self):
@@ -73,4 +73,4 @@
         self.assertEqual(CONFIGURATION_SHARD, self.noted(report)[0].shard)
 
     def test_given_a_report_without_an_owner_then_it_proves_nothing(self):
-        self.assertIsNone(emptied_by("a", attrs.evolve(REPORT, replica="", owner="", stable=False)))
+        self.assertIsNone(emptied_evidence("a", attrs.evolve(REPORT, replica="", owner="", stable=False)))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -18,7 +18,7 @@
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import NOT_OWNER
 from kestrelbend.tier.configuration.state import ConfigurationState
-from kestrelbend.tier.control.retirement import HEARD_ALL_S, NOT_FOUND, Retirement
+from kestrelbend.tier.control.retirement import ALL_STORES_HEARD_S, NOT_FOUND, Retirement
 from kestrelbend.tier.fleet import mutations  # noqa: F401  (fills the registry)
 from kestrelbend.tier.fleet.day import Day, play_day
 from kestrelbend.tier.fleet.guards import GUARDS, UnknownGuard, find, locate, without
@@ -316,9 +316,9 @@
 class TestRetirements(testtools.TestCase):
     def test_a_young_owner_refuses_no_retirement(self):
         order = ConfigOrder(OrderKind.RETIRE, 0, b"nobody")
-        for owned_for in (0.0, HEARD_ALL_S - 0.1):
+        for owned_for in (0.0, ALL_STORES_HEARD_S - 0.1):
             self.assertEqual(NOT_OWNER, retirement_of_an_owner_for(owned_for).rejection(order))
-        self.assertEqual(NOT_FOUND, retirement_of_an_owner_for(HEARD_ALL_S).rejection(order).status)
+        self.assertEqual(NOT_FOUND, retirement_of_an_owner_for(ALL_STORES_HEARD_S).rejection(order).status)
 
 
 def retirement_of_an_owner_for(seconds):
