--- a/kestrelbend/tier/membership/contact_period.py
+++ b/kestrelbend/tier/membership/contact_period.py
@@ -19,6 +19,6 @@
         if not is_in_contact:
             self._began_at = now
 
-    def seconds(self, now: float) -> float:
+    def duration_s(self, now: float) -> float:
         """How long the process has been in contact."""
         return now - self._began_at
--- a/kestrelbend/tier/membership/status.py
+++ b/kestrelbend/tier/membership/status.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class ShardsWanted:
+class DesiredShards:
     """What the configuration's shard says of the others."""
 
     placements: tuple[ShardPlacement, ...]
@@ -34,7 +34,7 @@
     in_contact: bool,
     config_version: int,
     table: MemberTable,
-    wanted: ShardsWanted,
+    wanted: DesiredShards,
     backends: Iterable[Backend],
     now: float,
 ) -> dict[str, Any]:
--- a/kestrelbend/tier/membership/table.py
+++ b/kestrelbend/tier/membership/table.py
@@ -70,7 +70,7 @@
         if row is not None and row.heartbeat.member.incarnation == incarnation:
             row.heard_at = max(row.heard_at, heard_at)
 
-    def forget_old(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Drops who is unresponsive for `REMEMBERED_S`."""
         old = [address for address, row in self._rows.items() if now - row.heard_at > REMEMBERED_S]
         for address in old:
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -194,7 +194,7 @@
     def _is_stable(self) -> bool:
         """Whether whoever is live can be expected to have been heard of here."""
         now = self.now()
-        return in_contact(self.configuration.replica, now) and self._contact.seconds(now) > LIVE_S
+        return in_contact(self.configuration.replica, now) and self._contact.duration_s(now) > LIVE_S
 
     # Time
 
@@ -210,16 +210,16 @@
     def on_heartbeat(self, now: float) -> None:
         """Tells all subscribers who is there, places shards, and publishes what can wait about backends."""
         self._contact.observe(in_contact(self.configuration.replica, now), now)
-        self.members.forget_old(now)
+        self.members.forget_expired(now)
         self._refresh_directory(now)
         self.directory_stream.send()
         self._placer.run(now)
         self.backend_reports.publish_pending_changes()
         heartbeat_interval_s = self.settings.heartbeat_ms / 1000
-        self.backend_reports.expire_unresponsive(self._contact.seconds(now), heartbeat_interval_s)
+        self.backend_reports.expire_unresponsive(self._contact.duration_s(now), heartbeat_interval_s)
 
     def _refresh_directory(self, now: float) -> None:
-        directory = self.directory_stream.refresh(self.configuration, self._contact.seconds(now), now)
+        directory = self.directory_stream.refresh(self.configuration, self._contact.duration_s(now), now)
         if directory is not None:
             self.directory.merge(self.address, directory)
         self.on_directory()
--- a/kestrelbend/tier/roles/control_operations.py
+++ b/kestrelbend/tier/roles/control_operations.py
@@ -15,7 +15,7 @@
 from ..discovery.registry import BackendRegistry
 from ..membership.messages import Member
 from ..membership.owner_contact import in_contact
-from ..membership.status import ShardsWanted, status
+from ..membership.status import DesiredShards, status
 from ..membership.table import MemberTable
 
 
@@ -64,7 +64,7 @@
             in_contact(self.configuration.replica, now),
             state.version,
             self.members,
-            ShardsWanted(state.placements, state.retiring),
+            DesiredShards(state.placements, state.retiring),
             self.registry.all(),
             now,
         )
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -35,7 +35,7 @@
         for address in heard:
             self.members.record_heartbeat(heartbeat(address, self.sequence), now)
         self.contact.observe(in_contact, now)
-        directory = self.stream.refresh(CONFIGURATION, self.contact.seconds(now), now)
+        directory = self.stream.refresh(CONFIGURATION, self.contact.duration_s(now), now)
         self.named = self.named if directory is None else [member.address for member in directory.members]
         return self.named
 
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -12,7 +12,7 @@
 from kestrelbend.command.application import run
 from kestrelbend.tier.discovery.messages import Backend, BackendState
 from kestrelbend.tier.membership.messages import Heartbeat, Member, ShardPlacement, ShardReport
-from kestrelbend.tier.membership.status import ShardsWanted, status
+from kestrelbend.tier.membership.status import DesiredShards, status
 from kestrelbend.tier.membership.table import MemberTable
 
 VOTERS = ("10.0.0.1:70#a", "10.0.0.2:70#b", "10.0.0.3:70#c")
@@ -50,7 +50,7 @@
         self.table.record_heartbeat(heartbeat(4, 0, role="gateway", version=7), NOW)
 
     def status(self, now=NOW):
-        wanted = ShardsWanted(self.placements, self.retiring)
+        wanted = DesiredShards(self.placements, self.retiring)
         answer = status(member(1), True, 7, self.table, wanted, self.backends, now)
         return json.loads(json.dumps(answer))
 
