--- a/kestrelbend/gateway/hosting.py
+++ b/kestrelbend/gateway/hosting.py
@@ -26,12 +26,12 @@
 class Task:
     """A running generator and the handle of the alarm that it waits for, if any."""
 
-    __slots__ = ("work", "inv", "alarm")
+    __slots__ = ("work", "inv", "timer")
 
     def __init__(self, work: i.Steps[Any], inv: i.Invocation | None = None) -> None:
         self.work = work
         self.inv = inv  # that it serves; None for the generators beside invocations
-        self.alarm: Any = None
+        self.timer: Any = None
 
 
 class Host:
@@ -60,7 +60,7 @@
 
     def run(self, task: Task, value: Any = None) -> None:
         """Resume a task with the answer to its last effect, until it waits or ends."""
-        task.alarm = None
+        task.timer = None
         while True:
             try:
                 effect = task.work.send(value)
@@ -81,7 +81,7 @@
                     self.fail(inv)
                     inv.done = True
                 case i.Pause(until):
-                    task.alarm = self.set_alarm(task, until)
+                    task.timer = self.set_timer(task, until)
                     return
                 case i.Count(name, amount, lifetime):
                     self.counts[name].append(task)
@@ -105,8 +105,8 @@
     def resume(self, inv: i.Invocation, value: i.Delivery | None = None) -> None:
         """Resume an invocation that pauses; one that waits for a count sees `inv.done` by itself."""
         task = self.tasks.get(inv)
-        if task is not None and task.alarm is not None:
-            self.cancel_alarm(task.alarm)
+        if task is not None and task.timer is not None:
+            self.cancel_timer(task.timer)
             self.run(task, value)
 
     # Events, as the front end tells them.
@@ -231,11 +231,11 @@
         """Answer its client: errored."""
         raise NotImplementedError
 
-    def set_alarm(self, task: Task, until: int) -> Any:
+    def set_timer(self, task: Task, until: int) -> Any:
         """Run the task at a time in microseconds; a handle, never None."""
         raise NotImplementedError
 
-    def cancel_alarm(self, alarm: Any) -> None:
+    def cancel_timer(self, timer: Any) -> None:
         """The task of this handle was resumed by something else."""
         raise NotImplementedError
 
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -221,7 +221,7 @@
         """Resume the task, unless something else has resumed it since."""
         decayed = self.alarm_lateness - self.alarm_lateness // LATENESS_DECAY
         self.alarm_lateness = max(self.gateway.now - event.until, decayed)
-        alarm: events.AlarmDue | None = event.task.alarm
+        alarm: events.AlarmDue | None = event.task.timer
         if alarm is not None and alarm.until == event.until:
             self.run(event.task)
 
@@ -343,16 +343,16 @@
         """Answer a request: errored."""
         self.front_of(inv).errored(self.requests[inv])
 
-    def set_alarm(self, task: Task, until: int) -> events.AlarmDue:
+    def set_timer(self, task: Task, until: int) -> events.AlarmDue:
         """Put an alarm of this task on the queue at `until`; the handle is the event itself."""
         remaining_s = max(0, until - self.gateway.now) / MICROSECONDS_OF_SECOND
         alarm = events.AlarmDue(task, until)
         alarm.timer = asyncio.get_running_loop().call_later(remaining_s, self.queue.put_nowait, alarm)
         return alarm
 
-    def cancel_alarm(self, alarm: events.AlarmDue) -> None:
+    def cancel_timer(self, alarm: events.AlarmDue) -> None:
         """Stop an alarm's timer; the event may stand in the queue already, and says nothing then."""
-        assert alarm.timer is not None  # by `set_alarm`
+        assert alarm.timer is not None  # by `set_timer`
         alarm.timer.cancel()
 
     def count(self, name: int, amount: float, lifetime: int) -> None:
--- a/kestrelbend/gateway/simulator_adapter/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -236,7 +236,7 @@
     return f"lose {instance} {invocation}"
 
 
-def alarm(instance: str, handle: int, after: int) -> str:
+def set_timer(instance: str, handle: int, after: int) -> str:
     """Ask for a `reminder` after so long."""
     return f"arm {instance} {handle} {_milliseconds(after)}"
 
--- a/kestrelbend/gateway/simulator_adapter/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -31,7 +31,7 @@
         self.out = out
         self.invs: dict[int, i.Invocation] = {}
         self.inv_ids: dict[i.Invocation, int] = {}
-        self.alarms: dict[int, tuple[Task, int]] = {}
+        self.timers: dict[int, tuple[Task, int]] = {}
         self._latest_handle = 0
         self.start()
 
@@ -55,17 +55,17 @@
         """Write `lose`."""
         self.out.append(codec.fail(self.name, self.inv_ids[inv]))
 
-    def set_alarm(self, task: Task, until: int) -> int:
+    def set_timer(self, task: Task, until: int) -> int:
         """Write `arm`, under a new handle."""
         self._latest_handle += 1
         handle = self._latest_handle
-        self.alarms[handle] = (task, until)
-        self.out.append(codec.alarm(self.name, handle, max(0, until - self.gateway.now)))
+        self.timers[handle] = (task, until)
+        self.out.append(codec.set_timer(self.name, handle, max(0, until - self.gateway.now)))
         return handle
 
-    def cancel_alarm(self, alarm: int) -> None:
+    def cancel_timer(self, timer: int) -> None:
         """The simulator still sends its `reminder`, which then finds nothing."""
-        self.alarms.pop(alarm, None)
+        self.timers.pop(timer, None)
 
     def count(self, name: int, amount: float, lifetime: int) -> None:
         """Write `incr`."""
@@ -100,7 +100,7 @@
             case "accept":
                 self._invocation_accepted(*values)
             case "reminder":
-                self._alarm_rang(*values)
+                self._timer_fired(*values)
             case "counter_reply":
                 name, _took, result, total = values
                 self.counter_replied(name, result, total)
@@ -194,10 +194,10 @@
         if inv is not None:
             self.client_gone(inv)
 
-    def _alarm_rang(self, handle: int) -> None:
+    def _timer_fired(self, handle: int) -> None:
         """Run the alarm's task, unless something else has resumed it meanwhile."""
-        armed = self.alarms.pop(handle, None)
-        if armed is not None and armed[0].alarm == handle:
+        armed = self.timers.pop(handle, None)
+        if armed is not None and armed[0].timer == handle:
             self.run(armed[0])
 
     def _load_report(self, row: list[float | None] | None) -> dict[str, float] | None:
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -216,17 +216,17 @@
         self.world.oracle.answered(asking.number, what)
         self.world.network.send(self.party, clients.party, clients.answered, asking, what, retry_after)
 
-    def set_alarm(self, task, until):
+    def set_timer(self, task, until):
         return self.clock.after(max(0, until - self.gateway.now), self.ring, task, until)
 
     def ring(self, task, until):
         self.post(self.rung, task, until)
 
     def rung(self, task, until):
-        if task.alarm is not None and task.alarm[2] is not None and self.gateway.now >= until:
+        if task.timer is not None and task.timer[2] is not None and self.gateway.now >= until:
             self.run(task)
 
-    def cancel_alarm(self, alarm):
+    def cancel_timer(self, alarm):
         self.clock.cancel(alarm)
 
     def count(self, name, add, life):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -184,9 +184,9 @@
 
     def pass_time(self, ms):
         """Go on to the next reminder due within `ms`, or by `ms` if there is none."""
-        due = min([due for _, due in self.inst.alarms.values()], default=self.now + ms * MS)
+        due = min([due for _, due in self.inst.timers.values()], default=self.now + ms * MS)
         self.now = self.gateway.now = max(self.now, min(due, self.now + ms * MS))
-        for handle, (_, due) in list(self.inst.alarms.items()):
+        for handle, (_, due) in list(self.inst.timers.items()):
             if due <= self.now:
                 self.tell("reminder", [], handle)
 
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -137,9 +137,9 @@
         self.digest.add(self, "fail", self.asked_by(inv))
         super().fail(inv)
 
-    def set_alarm(self, task, until):
+    def set_timer(self, task, until):
         self.digest.add(self, "alarm", until)
-        return super().set_alarm(task, until)
+        return super().set_timer(task, until)
 
     def count(self, name, add, life):
         self.digest.add(self, "count", name, add, life)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -172,7 +172,7 @@
         f.accept(n, left=3000 if n % 2 else 6)
         f.answer_counts(store)
     invs = list(f.inst.invs.values())
-    while f.inst.alarms and not all(inv.done for inv in invs):
+    while f.inst.timers and not all(inv.done for inv in invs):
         f.pass_time(4000)
         f.answer_counts(store)
     assert all(inv.done for inv in invs)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -164,7 +164,7 @@
             for target in front.inst.backends.values():
                 assert front.gateway.rules.may_send(inv, target) == model.allowed(inv, target)
     check(front.answer_counts(store))
-    while front.inst.alarms:
+    while front.inst.timers:
         front.pass_time(4000)
         check(front.answer_counts(store))
     assert all(inv.done for inv in invs.values())
