--- a/kestrelbend/gateway/decisions/admission.py
+++ b/kestrelbend/gateway/decisions/admission.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Invocation, Steps
+from ..interface import Effects, Invocation
 from .concurrency import ConcurrencyCaps, local_cap
 from .context import Context
 from .counter import CounterCalls
@@ -39,7 +39,7 @@
     sampling: CounterSampling
     credits: Credits
 
-    def admit(self, inv: Invocation) -> Steps[int | None]:
+    def admit(self, inv: Invocation) -> Effects[int | None]:
         """None admits it; else the microseconds after which its client should come back."""
         rejection = yield from self._rejection(inv)
         if rejection is None or rejection.beyond_quota and self._pays_beyond_quota(inv):
@@ -56,7 +56,7 @@
     def _beyond_quota(self, inv: Invocation, seconds: float = 0.0) -> Rejection:
         return Rejection(self.budget.retry_after(inv, seconds), True)
 
-    def _rejection(self, inv: Invocation) -> Steps[Rejection | None]:
+    def _rejection(self, inv: Invocation) -> Effects[Rejection | None]:
         """Why it may not go on, None where it may.
 
         In turn: rate limit; sampling alone, where that acts; the latest total; the cap; the call; the retry
@@ -67,7 +67,7 @@
             seconds = missing * customer.spread / plan.limit_rate
             return Rejection(self.budget.retry_after(inv, seconds), False)
         self.quota.observe(inv)
-        if self.counter.call_fraction < 1 and self.quota.is_wide(customer):
+        if self.counter.call_fraction < 1 and self.quota.has_many_gateways(customer):
             fits = yield from self.sampling.admits(inv)
             return None if fits else self._beyond_quota(inv)
         short = self.quota.shortage(customer, self.budget.units_needed(inv))
@@ -80,11 +80,11 @@
         if rejection is not None:
             return rejection
         if (yield from self.budget.is_exceeded(inv)):
-            yield from self.quota.take_back(inv)
+            yield from self.quota.refund(inv)
             return Rejection(self.budget.retry_after(inv), False)
         return None
 
-    def _count(self, inv: Invocation) -> Steps[Rejection | None]:
+    def _count(self, inv: Invocation) -> Effects[Rejection | None]:
         """Count it at the counter service where the total matters, else by what was last seen."""
         customer, plan = inv.customer, inv.customer.plan
         units = 0.0
@@ -115,13 +115,13 @@
         remaining = customer.remaining
         return remaining is None or remaining - inv.units < self.counter.call_fraction * plan.burst
 
-    def _judge_total(self, inv: Invocation) -> Steps[Rejection | None]:
+    def _judge_total(self, inv: Invocation) -> Effects[Rejection | None]:
         customer = inv.customer
         if self.quota.shortage(customer, 0.0) > 0:
-            yield from self.quota.take_back(inv)
+            yield from self.quota.refund(inv)
             return self._beyond_quota(inv, self.quota.shortage(customer, 0.0) / customer.plan.rate)
         if self.caps.is_exceeded(customer):
             self.caps.postpone_calls(inv)
-            yield from self.quota.take_back(inv)
+            yield from self.quota.refund(inv)
             return self._beyond_quota(inv)
         return None
--- a/kestrelbend/gateway/decisions/attempts.py
+++ b/kestrelbend/gateway/decisions/attempts.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Delivery, Invocation, RepeatEffect, State, TokenScope
+from ..interface import Delivery, EndpointState, Invocation, RepeatEffect, TokenScope
 from .context import Context
 from .rate_limits import RateLimits
 from .slow_start import SlowStart
@@ -39,7 +39,7 @@
     def begin_by(self, inv: Invocation) -> int:
         """Microseconds by which a further delivery has to begin: while backends remember the token of the
         first."""
-        until = inv.until
+        until = inv.deadline
         if inv.op.effect is RepeatEffect.TOKENED:
             lifetime = inv.op.token_lifetime - self.context.settings.tick
             for d in inv.deliveries:
@@ -49,7 +49,7 @@
 
     def may_go(self, inv: Invocation) -> bool:
         """Rules 1, 2 and 5, without a backend in view."""
-        if inv.done or self.context.now >= inv.until or not self.may_repeat(inv):
+        if inv.done or self.context.now >= inv.deadline or not self.may_repeat(inv):
             return False
         if inv.deliveries or not inv.customer.plan.limit_rate:
             return True
@@ -57,7 +57,7 @@
 
     def may_take(self, inv: Invocation, backend: BackendState) -> bool:
         """Rules 2, 3 and 4 for one backend."""
-        if backend.state is not State.READY:
+        if backend.state is not EndpointState.READY:
             return False
         if inv.deliveries and inv.op.effect is RepeatEffect.TOKENED and inv.op.scope is not TokenScope.ALL:
             for d in inv.deliveries:
--- a/kestrelbend/gateway/decisions/background.py
+++ b/kestrelbend/gateway/decisions/background.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Pause, Probe, Probed, Spawn, Steps, Subscribe, Work
+from ..interface import BackgroundTask, Effects, Pause, Probe, Probed, Spawn, Subscribe
 from ..routing.pool import Pool
 from .context import SECOND, Context
 from .slow_start import SlowStart
@@ -24,7 +24,7 @@
     slow_start: SlowStart
     subscribed: bool = False
 
-    def tasks(self) -> list[Work]:
+    def tasks(self) -> list[BackgroundTask]:
         """Generators, to be run beside the invocations."""
         settings, tasks = self.context.settings, []
         if settings.may_probe and settings.load_reports == "probe":
@@ -33,7 +33,7 @@
             tasks.append(self._keep_subscribed())
         return tasks
 
-    def _probe_warming_up(self) -> Steps[None]:
+    def _probe_warming_up(self) -> Effects[None]:
         """Where load reports come by probes alone.  All gateways together probe about as often as one alone
         would, drawn here by chance: else probes grow with gateways times backends."""
         while True:
@@ -42,7 +42,7 @@
                     yield Spawn(self._probe(backend))
             yield Pause(self.context.now + PROBE_INTERVAL)
 
-    def _probe(self, backend: BackendState) -> Steps[None]:
+    def _probe(self, backend: BackendState) -> Effects[None]:
         probed: Probed = yield Probe(backend)
         self.load_reported(backend, probed.load)
 
@@ -51,7 +51,7 @@
         if load:
             backend.saturated = load.get("queued", 0) >= 1 or load.get("busy", 0) > SATURATED_BUSY
 
-    def _keep_subscribed(self) -> Steps[None]:
+    def _keep_subscribed(self) -> Effects[None]:
         while True:
             if not self.subscribed:
                 self.subscribed = True
--- a/kestrelbend/gateway/decisions/concurrency.py
+++ b/kestrelbend/gateway/decisions/concurrency.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Invocation, Pause, Steps
+from ..interface import Effects, Invocation, Pause
 from .context import Context
 from .counter import CounterCalls
 from .credits import Credits
@@ -27,10 +27,10 @@
     counter: CounterCalls
     credits: Credits
 
-    def wait_for_slot(self, inv: Invocation) -> Steps[bool]:
+    def wait_for_slot(self, inv: Invocation) -> Effects[bool]:
         """Wait in turn for a place; true if there is none in time.  At the latest total there may be none."""
         customer, cap = inv.customer, inv.customer.plan.max_in_flight
-        end = min(inv.until, inv.arrived + int(MAX_WAIT_FRACTION * inv.op.objective))
+        end = min(inv.deadline, inv.arrived + int(MAX_WAIT_FRACTION * inv.op.objective))
         customer.queue.append(inv)
         while full := self._is_full(customer):
             turn = customer.queue.index(inv) + 1
--- a/kestrelbend/gateway/decisions/counter.py
+++ b/kestrelbend/gateway/decisions/counter.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Count, Counted, Invocation, Log, Result, Steps
+from ..interface import Count, Counted, Effects, Invocation, Log, Result
 from .context import SECOND, Context
 
 SILENT_AFTER = 3  # calls in a row without an answer
@@ -42,11 +42,11 @@
         settings, now = self.context.settings, self.context.now
         return (
             settings.counter_allowed
-            and inv.until - now > self.timeout + TICKS_TO_SPARE * settings.tick
+            and inv.deadline - now > self.timeout + TICKS_TO_SPARE * settings.tick
             and (self.failures < SILENT_AFTER or now >= self.silent_until)
         )
 
-    def add(self, name: int, amount: float, lifetime: int) -> Steps[Counted]:
+    def add(self, name: int, amount: float, lifetime: int) -> Effects[Counted]:
         """Add to a named number that the service forgets after `lifetime` microseconds; its total, 0 if none
         came."""
         called_at = self.context.now
--- a/kestrelbend/gateway/decisions/credits.py
+++ b/kestrelbend/gateway/decisions/credits.py
@@ -21,8 +21,8 @@
 INITIAL_CREDITS = 6.0  # at a backend, over all gateways
 MIN_CREDITS = 1.5
 MAX_CREDITS = 192.0
-ALL_SLOW_MEDIAN = 0.2  # of the latency target: past it all backends are pressed
-REST_MEDIAN = 0.3  # past it a gateway with less than a credit rests between deliveries
+OVERLOAD_MEDIAN = 0.2  # of the latency target: past it all backends are pressed
+COOLDOWN_MEDIAN = 0.3  # past it a gateway with less than a credit rests between deliveries
 FEW_CREDITS = 4.0  # so few that chance leaves some unused
 MIN_REMAINING = 0.1  # credits that count as remaining, at least
 INITIAL_MEAN = 0.2  # of the latency target, before answers are known
@@ -38,7 +38,7 @@
     backlog: Backlog
     latencies: LatencyHistogram = field(default_factory=LatencyHistogram)
     debt: float = 0.0  # what slow answers cost beyond the least credits of their backends
-    rest_until: int = 0  # microseconds; no delivery before, while backends are pressed
+    cooldown_until: int = 0  # microseconds; no delivery before, while backends are pressed
 
     def refill_pool(self) -> None:
         """Choose the pool's members anew; new ones get their first credits."""
@@ -54,31 +54,31 @@
             self.refill_pool()
         remaining = max(0.0, self.pool.capacity - self.debt)
         extra = 0.0
-        if self.latencies.median() <= ALL_SLOW_MEDIAN:
+        if self.latencies.median() <= OVERLOAD_MEDIAN:
             extra = min(2 * math.sqrt(remaining), FEW_CREDITS / max(remaining, MIN_REMAINING))
         return max(1, int(remaining + extra))
 
     def available(self) -> int:
         """Credits that are free now."""
-        if self.context.now < self.rest_until:
+        if self.context.now < self.cooldown_until:
             return 0
         return max(0, self.capacity() - self.pool.in_flight)
 
-    def pressed(self) -> bool:
+    def is_saturated(self) -> bool:
         """Whether invocations wait, or the next would."""
         return bool(self.backlog.waiting) or not self.available()
 
-    def rest(self, took: int) -> None:
+    def start_cooldown(self, took: int) -> None:
         """Rest after a delivery, with less than one credit in all and pressed backends.
 
         It took so many microseconds; the rest is as long as the missing part of a credit would have taken.
         (Seen: hundreds of gateways with one delivery in flight each, and nothing in time.)
         """
         remaining = max(MIN_REMAINING, self.pool.capacity - self.debt)
-        if remaining < 1 and not self.pool.in_flight and self.latencies.median() > REST_MEDIAN:
-            self.rest_until = self.context.now + int(took * (1 / remaining - 1))
+        if remaining < 1 and not self.pool.in_flight and self.latencies.median() > COOLDOWN_MEDIAN:
+            self.cooldown_until = self.context.now + int(took * (1 / remaining - 1))
 
-    def earn(self, backend: BackendState, credit: float) -> None:
+    def adjust(self, backend: BackendState, credit: float) -> None:
         """Change a backend's credits; what it cannot lose is owed by all together, and paid first."""
         gateways = self.pool.sharing_gateways()
         if credit > 0:
@@ -88,7 +88,7 @@
         wanted = backend.capacity + credit
         self.pool.set_capacity(backend, min(MAX_CREDITS / gateways, max(MIN_CREDITS / gateways, wanted)))
         max_debt = self.pool.capacity - MIN_CREDITS / gateways * len(self.pool.members)
-        if self.latencies.median() > ALL_SLOW_MEDIAN:  # else it is this backend's own matter
+        if self.latencies.median() > OVERLOAD_MEDIAN:  # else it is this backend's own matter
             self.debt += max(0.0, backend.capacity - wanted)
         self.debt = min(max(0.0, max_debt), self.debt)
 
--- a/kestrelbend/gateway/decisions/delivery.py
+++ b/kestrelbend/gateway/decisions/delivery.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Cancel, Deliver, Delivery, Fail, Invocation, Pause, Steps, Throttle
+from ..interface import Cancel, Deliver, Delivery, Effects, Fail, Invocation, Pause, Throttle
 from ..routing.pool import Pool
 from .attempts import AttemptRules
 from .context import Context
@@ -33,10 +33,10 @@
     outcomes: Outcomes
     budget: RetryBudget
 
-    def serve(self, inv: Invocation) -> Steps[None]:
+    def serve(self, inv: Invocation) -> Effects[None]:
         """Deliver it until it is done or its time is up."""
         target = inv.op.objective
-        give_up = inv.until - TICKS_TO_ANSWER * self.context.settings.tick
+        give_up = inv.deadline - TICKS_TO_ANSWER * self.context.settings.tick
         in_time = inv.arrived + target if not inv.op.late_value else give_up  # later answers earn nothing
         while not inv.done:
             in_flight = [d for d in inv.deliveries if d.result is None]
@@ -61,8 +61,8 @@
                 yield from self.close(inv)
                 break
             self.credits.backlog.join(inv)
-            rest_until = self.credits.rest_until
-            yield Pause(min(wait_until, rest_until) if rest_until > self.context.now else wait_until)
+            cooldown_until = self.credits.cooldown_until
+            yield Pause(min(wait_until, cooldown_until) if cooldown_until > self.context.now else wait_until)
         yield from self._cancel_in_flight(inv)
         self.credits.backlog.leave(inv)
 
@@ -80,12 +80,12 @@
         turn = self.credits.backlog.ahead_of(inv) + 1
         return until if self.context.now + turn * interval <= until else None
 
-    def _cancel_in_flight(self, inv: Invocation) -> Steps[None]:
+    def _cancel_in_flight(self, inv: Invocation) -> Effects[None]:
         for d in inv.deliveries:
             if d.result is None and self.context.settings.may_cancel and not inv.streaming:
                 yield Cancel(d)
 
-    def deliver(self, inv: Invocation, backend: BackendState, until: int) -> Steps[bool]:
+    def deliver(self, inv: Invocation, backend: BackendState, until: int) -> Effects[bool]:
         """The one way to a backend: all five rules are kept here.  Whether it was sent."""
         if not self.rules.may_send(inv, backend):
             return False
@@ -112,14 +112,14 @@
         if self.context.usage and plan.rate:
             self.context.usage.record_admission(usage_key(customer), plan.number, inv.units)
 
-    def close(self, inv: Invocation) -> Steps[None]:
+    def close(self, inv: Invocation) -> Effects[None]:
         """Give up: rejected where nothing can have run, or a repeat is harmless; else errored."""
         if inv.op.repeats_anywhere or not any(d.may_have_run for d in inv.deliveries):
             yield from self.reject(inv, self.budget.retry_after(inv))
         elif not inv.done:
             yield Fail(inv)
 
-    def reject(self, inv: Invocation, retry_after: int) -> Steps[None]:
+    def reject(self, inv: Invocation, retry_after: int) -> Effects[None]:
         """The final answer, unless it has one; `retry_after` in microseconds, 0: no advice."""
         if not inv.done:
             yield Throttle(inv, retry_after)
--- a/kestrelbend/gateway/decisions/gateway.py
+++ b/kestrelbend/gateway/decisions/gateway.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from ..interface import GatewaySettings, Invocation, State, Steps, Wake
+from ..interface import Effects, EndpointState, GatewaySettings, Invocation, Wake
 from ..routing.pool import Pool
 from .admission import Admission
 from .attempts import AttemptRules
@@ -74,26 +74,26 @@
     def endpoints_changed(self, backends: list[BackendState], failed: bool) -> None:
         """All backends that discovery lists, in any state; `failed`: its subscription or the call ended."""
         self.background.subscribed = self.background.subscribed and not failed
-        ready = [backend for backend in backends if backend.state is State.READY]
+        ready = [backend for backend in backends if backend.state is EndpointState.READY]
         for backend in ready:
             if backend.started != backend.observed_start:
                 backend.reset()
         self.pool.set_endpoints(ready)
         self.credits.refill_pool()
 
-    def invocation(self, inv: Invocation) -> Steps[None]:
+    def invocation(self, inv: Invocation) -> Effects[None]:
         """One invocation, from its arrival to its final answer."""
         customer = inv.customer
         retry_after = yield from self.admission.admit(inv)
         if retry_after is not None or inv.done:
-            yield from self.quota.take_back(inv)
+            yield from self.quota.refund(inv)
             yield from self.delivery.reject(inv, retry_after or 0)
         else:
             customer.in_flight += 1
             yield from self.delivery.serve(inv)
             customer.in_flight -= 1
             if not inv.deliveries:
-                yield from self.quota.take_back(inv)
+                yield from self.quota.refund(inv)
             elif inv.counted is not None:
                 customer.at_cap_until = 0
                 yield from self.quota.release(inv)
--- a/kestrelbend/gateway/decisions/outcomes.py
+++ b/kestrelbend/gateway/decisions/outcomes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Delivery, Result, Steps, Wake
+from ..interface import Delivery, Effects, Result, Wake
 from ..routing.pool import Pool
 from .background import BackgroundTasks
 from .context import SECOND, Context
@@ -36,7 +36,7 @@
 
     def ended(
         self, delivery: Delivery, load: dict[str, float] | None, actual: float, used: float | None
-    ) -> Steps[None]:
+    ) -> Effects[None]:
         """A delivery ended: earn its credit back, judge its backend, wake who waits.
 
         `load`: the backend's report; `actual`: units that it really used, 0 where that is not told; `used`:
@@ -57,10 +57,10 @@
             self.quota.correct(inv, actual)
             yield from self.ejection.judge(backend, result, known)
         elif not delivery.overdue and result not in (Result.CANCELLED, Result.VOID):
-            self.credits.earn(backend, -ERROR_LOSS * (1 - known))
+            self.credits.adjust(backend, -ERROR_LOSS * (1 - known))
             if result is not Result.REJECTED:
                 yield from self.ejection.judge(backend, result, known)
-        self.credits.rest(min(delivery.took, target))
+        self.credits.start_cooldown(min(delivery.took, target))
         yield from self.wake()
 
     def _succeeded(self, delivery: Delivery, fraction: float) -> None:
@@ -71,26 +71,26 @@
         self.slow_start.answered(backend)
         if fraction > SLOW_FRACTION:
             if not delivery.overdue:
-                credits.earn(backend, -SLOW_LOSS)
+                credits.adjust(backend, -SLOW_LOSS)
         elif (
             backend.in_flight + 2 > backend.capacity
             and credits.available() < IDLE_FRACTION * credits.capacity() + 1
         ):
-            credits.earn(backend, FAST_GAIN)
+            credits.adjust(backend, FAST_GAIN)
 
-    def overdue(self, delivery: Delivery) -> Steps[None]:
+    def overdue(self, delivery: Delivery) -> Effects[None]:
         """Past its latency target a delivery gives its credit back, as a slow answer would: else long work,
         or a silent backend, holds all credits until the client gives up."""
         backend = delivery.backend
         delivery.overdue = True
         self.pool.return_credit(backend)
-        self.credits.earn(backend, -SLOW_LOSS)
-        self.credits.rest(delivery.inv.op.objective)
+        self.credits.adjust(backend, -SLOW_LOSS)
+        self.credits.start_cooldown(delivery.inv.op.objective)
         known = self.ejection.record(backend, delivery.inv, Result.TIMED_OUT)
         yield from self.ejection.judge(backend, Result.TIMED_OUT, known)
         yield from self.wake()
 
-    def wake(self) -> Steps[None]:
+    def wake(self) -> Effects[None]:
         """Resume as many of those that wait as there are free credits."""
         for waiter in self.credits.backlog.waiting[: self.credits.available()]:
             yield Wake(waiter)
--- a/kestrelbend/gateway/decisions/quota.py
+++ b/kestrelbend/gateway/decisions/quota.py
@@ -5,8 +5,8 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Counted, Invocation, Plan, Result, Spawn, Steps
-from ..keys import stable_key
+from ..interface import Counted, Effects, Invocation, Plan, Result, Spawn
+from ..keys import stable_hash
 from .context import SECOND, Context
 from .counter import CounterCalls
 from .state import CustomerState
@@ -18,7 +18,7 @@
 CAP_WINDOW = 10 * SECOND  # window under a concurrency cap
 IN_FLIGHT_PER_UNIT = 1000  # deliveries in flight ride on a total as thousandths of a unit
 EXACT_TOTAL = 1e7  # the counter service gives seven digits
-WIDE_CAP_FACTOR = 4  # spread over a cap from which a cap is not counted
+MANY_GATEWAYS_CAP_FACTOR = 4  # spread over a cap from which a cap is not counted
 MAX_CALL_DELAY = SECOND  # after a call that the service rejected, when no other is let through
 UNITS_SMOOTHING = 0.01  # weight of one invocation in the mean units
 KEY_MASK = 0xFFFFFFFF  # customers are told apart by 32 bits among the gateways
@@ -43,13 +43,13 @@
 
 def counter_name(customer: CustomerState, what: str, window: int) -> int:
     """The number's name at the counter service, the same at every gateway."""
-    return stable_key(f"{customer.plan.name} {customer.name} {what} {window}")
+    return stable_hash(f"{customer.plan.name} {customer.name} {what} {window}")
 
 
 def usage_key(customer: CustomerState) -> int:
     """The customer's key among the gateways."""
     if customer.usage_key is None:
-        customer.usage_key = stable_key(f"{customer.plan.name} {customer.name}") & KEY_MASK
+        customer.usage_key = stable_hash(f"{customer.plan.name} {customer.name}") & KEY_MASK
     return customer.usage_key
 
 
@@ -68,10 +68,10 @@
         if self.context.usage and plan.rate:
             self.context.usage.record_request(usage_key(inv.customer), plan.number, inv.units, inv.retry)
 
-    def is_wide(self, customer: CustomerState) -> bool:
+    def has_many_gateways(self, customer: CustomerState) -> bool:
         """Whether its gateways are so many that its total here is old when it comes again."""
         plan = customer.plan
-        store = plan.burst if plan.rate else WIDE_CAP_FACTOR * plan.max_in_flight or math.inf
+        store = plan.burst if plan.rate else MANY_GATEWAYS_CAP_FACTOR * plan.max_in_flight or math.inf
         return customer.spread * self.mean_units > store
 
     def shortage(self, customer: CustomerState, units: float) -> float:
@@ -92,7 +92,7 @@
             customer.unreported_in_flight = 0
         return window
 
-    def report(self, customer: CustomerState, units: float, in_flight: int) -> Steps[None]:
+    def report(self, customer: CustomerState, units: float, in_flight: int) -> Effects[None]:
         """Add to the customer's total, and learn from it what remains and how many are in flight.
 
         One number holds whole units and, under a concurrency cap, deliveries in flight in thousandths.
@@ -162,7 +162,7 @@
         customer.assumed_elsewhere += elsewhere
         customer.remaining_at = self.context.now
 
-    def release(self, inv: Invocation) -> Steps[None]:
+    def release(self, inv: Invocation) -> Effects[None]:
         """It is no longer in flight; under the name of a past window it stands until that is forgotten."""
         customer = inv.customer
         if customer.plan.max_in_flight and inv.window == self.enter_window(customer):
@@ -170,7 +170,7 @@
             if customer.unreported_in_flight and self.context.settings.counter_allowed:
                 yield Spawn(self.report(customer, 0, 0))
 
-    def take_back(self, inv: Invocation) -> Steps[None]:
+    def refund(self, inv: Invocation) -> Effects[None]:
         """Take back what was counted for an invocation that is not forwarded."""
         customer, units = inv.customer, inv.counted
         inv.counted = None
@@ -182,7 +182,7 @@
         yield from self.release(inv)
         # In a wide set the next call is far off, and what was rejected stood as used with all others.
         called = self.counter.call_fraction >= 1 and self.context.settings.counter_allowed
-        if units and customer.unreported < 0 and called and self.is_wide(customer):
+        if units and customer.unreported < 0 and called and self.has_many_gateways(customer):
             yield Spawn(self.report(customer, 0, 0))
 
     def correct(self, inv: Invocation, units: float) -> None:
--- a/kestrelbend/gateway/decisions/rate_limits.py
+++ b/kestrelbend/gateway/decisions/rate_limits.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ..interface import Customer
-from ..keys import stable_key
+from ..keys import stable_hash
 from ..routing.pool import GOLDEN
 from .context import SECOND, Context
 from .state import CustomerState
@@ -33,18 +33,18 @@
         been spent then.
         """
         now, plan = self.context.now, customer.plan
-        dealt = self.dealt(customer, now)
-        if customer.limit_dealt is None:
-            customer.limit_dealt = self.dealt(customer, self.context.started_at)
+        allocated = self.allocated(customer, now)
+        if customer.limit_allocated is None:
+            customer.limit_allocated = self.allocated(customer, self.context.started_at)
         uneven = min(MAX_UNEVENNESS, customer.spread - 1) - plan.limit_slack
         burst = max(min(1.0, plan.limit_burst), plan.limit_burst - max(0.0, uneven))
-        kept = dealt - self.dealt(customer, now - int(burst / plan.limit_rate * SECOND))
-        customer.limit_units = min(kept, customer.limit_units + dealt - customer.limit_dealt)
-        customer.limit_dealt = dealt
+        kept = allocated - self.allocated(customer, now - int(burst / plan.limit_rate * SECOND))
+        customer.limit_units = min(kept, customer.limit_units + allocated - customer.limit_allocated)
+        customer.limit_allocated = allocated
         return customer.limit_units
 
-    def dealt(self, customer: Customer, at: int) -> int:
+    def allocated(self, customer: Customer, at: int) -> int:
         """Units that this gateway was dealt by a time in microseconds; any row of gateways gets about the
         same."""
-        turn = self.context.settings.gateway * GOLDEN + stable_key(customer.name) / 2**63
+        turn = self.context.settings.gateway * GOLDEN + stable_hash(customer.name) / 2**63
         return math.floor(at * customer.plan.limit_rate / (customer.spread * SECOND) + turn % 1.0)
--- a/kestrelbend/gateway/decisions/retry_budget.py
+++ b/kestrelbend/gateway/decisions/retry_budget.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Invocation, Steps
+from ..interface import Effects, Invocation
 from .context import SECOND, Context
 from .counter import CounterCalls
 from .credits import Credits
@@ -29,21 +29,21 @@
         """Near the limit a first attempt, with all its time before it, goes before a marked retry."""
         return inv.units + (RETRY_RESERVE * inv.customer.plan.burst if inv.retry else 0.0)
 
-    def is_exceeded(self, inv: Invocation) -> Steps[bool]:
+    def is_exceeded(self, inv: Invocation) -> Effects[bool]:
         """Count a marked retry; true where it is beyond the budget.
 
         While credits are free and nobody waits the budget spares retries, and while calls fail the counter.
         """
         customer, plan, waiting = inv.customer, inv.customer.plan, self.credits.backlog.waiting
         waited = bool(waiting)
-        pressed = waited or not self.credits.available()
+        saturated = waited or not self.credits.available()
         if not (inv.retry and plan.rate and self.counter.may_call(inv)):
             return False
-        if not pressed and self.counter.call_fraction < 1:
+        if not saturated and self.counter.call_fraction < 1:
             return False
         name = counter_name(customer, "retries", self.quota.enter_window(customer))
         reply = yield from self.counter.add(name, 1, counter_lifetime(plan))
-        if not pressed or waited and not waiting:  # those that waited before the call may have gone by now
+        if not saturated or waited and not waiting:  # those that waited before the call may have gone by now
             return False
         return customer.total > RETRY_FLOOR * plan.rate and reply.total > RETRY_SHARE * customer.total
 
--- a/kestrelbend/gateway/decisions/sampling.py
+++ b/kestrelbend/gateway/decisions/sampling.py
@@ -2,7 +2,7 @@
 
 A part of the invocations is called for, each with the units of those not called for too, so that the total
 stays right on average.  Acts for sets of gateways so wide that a customer's latest total is old
-(`Quota.is_wide`).
+(`Quota.has_many_gateways`).
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Invocation, QuotaShare, Result, Spawn, Steps
+from ..interface import Effects, Invocation, QuotaShare, Result, Spawn
 from .concurrency import local_cap
 from .context import SECOND, Context
 from .counter import CounterCalls
@@ -35,7 +35,7 @@
     quota: Quota
     credits: Credits
 
-    def admits(self, inv: Invocation) -> Steps[bool]:
+    def admits(self, inv: Invocation) -> Effects[bool]:
         """Whether the customer's quota has units for it.  What is rejected stays counted, the part goes on
         that there are units for, and a marked retry needs a total."""
         customer, plan = inv.customer, inv.customer.plan
@@ -72,13 +72,13 @@
             factor = SHORT_CUSTOMER_FACTOR
         return min(1.0, factor * inv.units / units)
 
-    def _admits_by_usage(self, inv: Invocation, shared: QuotaShare) -> Steps[bool]:
+    def _admits_by_usage(self, inv: Invocation, shared: QuotaShare) -> Effects[bool]:
         """By what all gateways told each other recently.  The counter goes on counting, for gateways that no
         such message reaches and for when there is none."""
         customer, plan = inv.customer, inv.customer.plan
         customer.demand = plan.rate / max(shared.fraction, MIN_USAGE_SHARE)
-        pressed = self.credits.pressed()
-        if inv.retry and (shared.fraction < 1 or pressed and not shared.retries_in_budget):
+        saturated = self.credits.is_saturated()
+        if inv.retry and (shared.fraction < 1 or saturated and not shared.retries_in_budget):
             return False
         if plan.max_in_flight and customer.in_flight >= plan.max_in_flight:
             return False
@@ -89,7 +89,7 @@
             yield Spawn(self._sample(inv, self.counter.call_fraction, 1.0))
         return True
 
-    def _sample(self, inv: Invocation, sampled: float, fraction: float) -> Steps[bool | None]:
+    def _sample(self, inv: Invocation, sampled: float, fraction: float) -> Effects[bool | None]:
         """Count for those not called for too, and learn the customer's demand.
 
         `sampled`: the part of all invocations that calls like this one stand for; `fraction`: the part of the
--- a/kestrelbend/gateway/decisions/state.py
+++ b/kestrelbend/gateway/decisions/state.py
@@ -70,7 +70,7 @@
     usage_key: int | None = None  # its key among the gateways
     # Rate limit.
     limit_units: float = 0  # dealt to this gateway and not used
-    limit_dealt: int | None = None  # units dealt so far; None: none was asked for yet
+    limit_allocated: int | None = None  # units dealt so far; None: none was asked for yet
     # Concurrency cap.
     in_flight: int = 0  # invocations here
     total_in_flight: int = 0  # at all gateways, as last seen
--- a/kestrelbend/gateway/external_authorization/grpc/authorisers.py
+++ b/kestrelbend/gateway/external_authorization/grpc/authorisers.py
@@ -172,7 +172,7 @@
         if cached is not None:
             counters["authoriser_remembered"] += 1
             return cached
-        end = self.clock() + state.time_budget(delivery.until - self.clock())
+        end = self.clock() + state.time_budget(delivery.deadline - self.clock())
         attempts = 0
         while True:
             unavailable = state.unavailable(self.clock())
--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -174,7 +174,7 @@
         if self.check_settings.reports:
             wait_s = self.check_settings.report_wait
             self.admitted.setdefault(check.id, []).append(check)
-        remaining_s = max(0.0, (delivery.until - self.clock()) / MICROSECONDS_OF_SECOND)
+        remaining_s = max(0.0, (delivery.deadline - self.clock()) / MICROSECONDS_OF_SECOND)
         check.timer = asyncio.get_running_loop().call_later(
             min(wait_s, remaining_s), self.settle, check, Result.SUCCEEDED
         )
--- a/kestrelbend/gateway/gossip/member.py
+++ b/kestrelbend/gateway/gossip/member.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..keys import stable_key
+from ..keys import stable_hash
 from .messages import MembershipUpdate, MemberState
 from .suspicion import Suspicion
 
@@ -15,7 +15,7 @@
 
 def bucket_of(name: str) -> int:
     """The bucket of the view that a member belongs to."""
-    return stable_key(name) % BUCKET_COUNT
+    return stable_hash(name) % BUCKET_COUNT
 
 
 @dataclass(slots=True)
--- a/kestrelbend/gateway/gossip/view.py
+++ b/kestrelbend/gateway/gossip/view.py
@@ -5,7 +5,7 @@
 from collections import deque
 from random import Random
 
-from ..keys import stable_key
+from ..keys import stable_hash
 from .member import BUCKET_COUNT, LocalMember, Member, MemberChange
 from .messages import MemberState
 
@@ -17,7 +17,7 @@
 
     The dead are forgotten at different times and a suspicion ends by itself, so neither may make sums differ.
     """
-    return 0 if state >= MemberState.DEAD else stable_key(f"{name} {generation} {incarnation}") & SUM_MASK
+    return 0 if state >= MemberState.DEAD else stable_hash(f"{name} {generation} {incarnation}") & SUM_MASK
 
 
 class MembershipView:
--- a/kestrelbend/gateway/hosting.py
+++ b/kestrelbend/gateway/hosting.py
@@ -15,21 +15,21 @@
 
 from . import interface as i
 from .decisions import BackendState, CustomerState, Gateway
-from .keys import stable_key
+from .keys import stable_hash
 
 MIN_SWEEP = 1024  # customers known before those that may be forgotten are first looked for
 
-EndpointRow: TypeAlias = "tuple[Any, str, str, int, i.State, float, int | None]"
+EndpointRow: TypeAlias = "tuple[Any, str, str, int, i.EndpointState, float, int | None]"
 """A backend as discovery tells it: (id, zone, kind, group, state, weight, start in microseconds or None)."""
 
 
 class Task:
     """A running generator and the handle of the alarm that it waits for, if any."""
 
-    __slots__ = ("work", "inv", "timer")
+    __slots__ = ("generator", "inv", "timer")
 
-    def __init__(self, work: i.Steps[Any], inv: i.Invocation | None = None) -> None:
-        self.work = work
+    def __init__(self, generator: i.Effects[Any], inv: i.Invocation | None = None) -> None:
+        self.generator = generator
         self.inv = inv  # that it serves; None for the generators beside invocations
         self.timer: Any = None
 
@@ -50,20 +50,22 @@
         self.customers: dict[tuple[str, str], CustomerState] = {}  # by plan and name
         self.sweep_at = MIN_SWEEP
         self.tasks: dict[i.Invocation, Task] = {}
-        self.counts: defaultdict[int, deque[Task]] = defaultdict(deque)  # counter calls in flight, by name
-        self.probes: defaultdict[i.Backend, deque[Task]] = defaultdict(deque)
+        self.pending_counter_calls: defaultdict[int, deque[Task]] = defaultdict(
+            deque
+        )  # counter calls in flight, by name
+        self.pending_probes: defaultdict[i.Backend, deque[Task]] = defaultdict(deque)
 
     def start(self) -> None:
         """Start the background tasks; once."""
-        for work in self.gateway.background.tasks():
-            self.run(Task(work))
+        for generator in self.gateway.background.tasks():
+            self.run(Task(generator))
 
     def run(self, task: Task, value: Any = None) -> None:
         """Resume a task with the answer to its last effect, until it waits or ends."""
         task.timer = None
         while True:
             try:
-                effect = task.work.send(value)
+                effect = task.generator.send(value)
             except StopIteration:
                 if task.inv is not None:
                     self._invocation_ended(task.inv)
@@ -84,15 +86,15 @@
                     task.timer = self.set_timer(task, until)
                     return
                 case i.Count(name, amount, lifetime):
-                    self.counts[name].append(task)
+                    self.pending_counter_calls[name].append(task)
                     self.count(name, amount, lifetime)
                     return
                 case i.Probe(backend):
-                    self.probes[backend].append(task)
+                    self.pending_probes[backend].append(task)
                     self.probe(backend)
                     return
-                case i.Spawn(work):
-                    self.run(Task(work))
+                case i.Spawn(generator):
+                    self.run(Task(generator))
                 case i.Wake(inv):
                     self.resume(inv)
                 case i.Subscribe():
@@ -138,7 +140,7 @@
         self.resume(inv, delivery)
         self.release_if_complete(inv)
 
-    def client_gone(self, inv: i.Invocation) -> None:
+    def client_disconnected(self, inv: i.Invocation) -> None:
         """Its client waits no longer."""
         if not inv.done:
             inv.done = True
@@ -146,22 +148,22 @@
 
     def counter_replied(self, name: int, result: i.Result, total: float) -> None:
         """The reply to a counter call; replies for one name come in the order of the calls."""
-        if self.counts.get(name):
-            task = self.counts[name].popleft()
-            if not self.counts[name]:
-                del self.counts[name]
+        if self.pending_counter_calls.get(name):
+            task = self.pending_counter_calls[name].popleft()
+            if not self.pending_counter_calls[name]:
+                del self.pending_counter_calls[name]
             self.run(task, i.Counted(result, total))
 
     def probed(self, backend: i.Backend, result: i.Result, took: int, load: dict[str, float] | None) -> None:
         """The reply to a probe, after `took` microseconds."""
-        if self.probes.get(backend):
-            self.run(self.probes[backend].popleft(), i.Probed(result, took, load))
+        if self.pending_probes.get(backend):
+            self.run(self.pending_probes[backend].popleft(), i.Probed(result, took, load))
 
     def endpoints_listed(self, entries: Iterable[EndpointRow], complete: bool) -> None:
         """What discovery told; `complete`: backends that are not among them are gone."""
         if complete:
             for backend in self.listed.values():
-                backend.state = i.State.GONE
+                backend.state = i.EndpointState.GONE
             self.listed = {}
         for uid, zone, kind, group, state, weight, started in entries:
             backend = self.backends.get(uid) or self._new_backend(uid)
@@ -171,7 +173,7 @@
             backend.state = state
             backend.weight = weight if weight > 0 else 1.0
             backend.started = started or None
-            if state is i.State.GONE:
+            if state is i.EndpointState.GONE:
                 self.listed.pop(uid, None)
             else:
                 self.listed[uid] = backend
@@ -179,7 +181,7 @@
 
     def _new_backend(self, uid: Hashable) -> BackendState:
         backend = self.backends[uid] = BackendState()
-        backend.key = stable_key(str(uid))
+        backend.key = stable_hash(str(uid))
         self.backend_ids[backend] = uid
         return backend
 
--- a/kestrelbend/gateway/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -31,7 +31,7 @@
     GROUP = "group"
 
 
-class State(Enum):
+class EndpointState(Enum):
     """A backend's state, as discovery tells it."""
 
     READY = "ready"
@@ -105,7 +105,7 @@
     zone: str = ""
     kind: str = ""
     group: int = 0
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     weight: float = 1.0
     started: int | None = None  # latest start; None: long past
     key: int = 0  # a stable hash of its id: the same at every gateway
@@ -127,7 +127,7 @@
     inv: Invocation
     backend: BackendState
     sent: int
-    until: int
+    deadline: int
     number: int
     begin_by: int  # no first byte of it may go from then on
     result: Result | None = None
@@ -147,7 +147,7 @@
     op: Operation
     customer: CustomerState
     arrived: int
-    until: int  # the client gives up then
+    deadline: int  # the client gives up then
     units: float  # a guess where units are settled after the answer
     retry: bool  # marked by the client as a repeat
     done: bool = False  # has its final answer, or its client left, or its stream began
@@ -198,11 +198,11 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add `add` to a named number, forgotten after `life` microseconds; resumed with a Counted."""
+    """Add `amount` to a named counter that expires after `lifetime` microseconds; resumed with a Counted."""
 
     name: int
-    add: float
-    life: int
+    amount: float
+    lifetime: int
 
 
 @dataclass(slots=True)
@@ -233,7 +233,7 @@
 class Spawn:
     """Run another generator beside this one; resumed at once."""
 
-    work: Steps[Any]
+    generator: Effects[Any]
 
 
 @dataclass(slots=True)
@@ -262,10 +262,10 @@
 """All that a generator of the decisions may yield."""
 
 Returned = TypeVar("Returned")
-Steps: TypeAlias = Generator[HostEffect, Any, Returned]
+Effects: TypeAlias = Generator[HostEffect, Any, Returned]
 """A generator of the decisions; what it is resumed with depends on the effect."""
 
-Work: TypeAlias = Steps[None]
+BackgroundTask: TypeAlias = Effects[None]
 
 
 class QuotaShare(Protocol):
--- a/kestrelbend/gateway/keys.py
+++ b/kestrelbend/gateway/keys.py
@@ -5,6 +5,6 @@
 from hashlib import blake2b
 
 
-def stable_key(text: str) -> int:
+def stable_hash(text: str) -> int:
     """63 bits of a text, as a whole number."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -166,7 +166,7 @@
         used: float | None = None
         result = Result.CANCELLED
         try:
-            remaining_s = (d.until - self.clock()) / MICROSECONDS_OF_SECOND
+            remaining_s = (d.deadline - self.clock()) / MICROSECONDS_OF_SECOND
             passed = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's, which is a Mapping
             headers = [*passed, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
             status, body, got = await self._exchange(
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -18,7 +18,7 @@
 
 import aiohttp
 
-from ..interface import State
+from ..interface import EndpointState
 from ..settings.platform import Malformed
 from .configuration import address
 from .events import DiscoveryFailed, EndpointsReceived
@@ -26,8 +26,12 @@
 
 log = logging.getLogger(__name__)
 
-STATES: Final = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
-STATES_BY_DEMAND: Final = (State.GONE, State.DRAINING, State.READY)  # the least is asked of the first
+STATES: Final = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+STATES_BY_DEMAND: Final = (
+    EndpointState.GONE,
+    EndpointState.DRAINING,
+    EndpointState.READY,
+)  # the least is asked of the first
 WATCH_MS: Final = 2000  # a watch waits so long at discovery
 HEDGE_AFTER_S: Final = 0.75  # beyond that, until a call without answer is hedged; then twice as long
 CALL_TIMEOUT_S: Final = 3.0  # a call, whatever it says by then
@@ -47,7 +51,7 @@
     zone: str
     model: str
     group: Any  # as given: a number that means the same backends' group
-    state: State
+    state: EndpointState
     weight: float  # relative capacity
     started: int  # Unix time in microseconds; 0: not stated
 
@@ -112,12 +116,12 @@
     try:
         weight = float(entry.get("capacity_hint") or DEFAULT_WEIGHT)
         started = round(MICROSECONDS_OF_MS * float(entry.get("boot_ms") or 0))
-        if state is not State.GONE or entry.get("endpoint"):
+        if state is not EndpointState.GONE or entry.get("endpoint"):
             host, port = address(entry["endpoint"], "endpoint")
             endpoint = f"{host}:{port}"
     except (KeyError, TypeError, ValueError, OverflowError, AttributeError, Malformed):
         counters["unreadable_rows"] += 1
-        if state is State.READY:
+        if state is EndpointState.READY:
             return None
     zone = str(entry.get("az", ""))
     model = str(entry.get("model", ""))
@@ -306,4 +310,4 @@
     """What is known after a list, without the backends that are gone."""
     entries_read = {row.uid: KnownBackend(row, received.endpoints.get(row.uid)) for row in received.rows}
     merged = {**known, **entries_read}
-    return {uid: backend for uid, backend in merged.items() if backend.row.state is not State.GONE}
+    return {uid: backend for uid, backend in merged.items() if backend.row.state is not EndpointState.GONE}
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from ..interface import State
+from ..interface import EndpointState
 from ..settings.platform import Malformed
 from ..singleton_tasks import probes_shared
 from . import configuration, key_value_logging, metrics
@@ -50,7 +50,7 @@
     "authorisers",
 )
 """Parts of the configuration that SIGHUP leaves as they are; `known` is of use at a start alone."""
-UPSTREAM: Final = EndpointRow("upstream", "", "", 0, State.READY, 1.0, 0)
+UPSTREAM: Final = EndpointRow("upstream", "", "", 0, EndpointState.READY, 1.0, 0)
 """The one backend where a proxy routes what is let in."""
 
 
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Final, Protocol
 
 from ..hosting import Host, Task
-from ..interface import Invocation, Result, State
+from ..interface import EndpointState, Invocation, Result
 from . import events
 from .metrics import counters, must
 
@@ -185,7 +185,7 @@
     def on_client_left(self, event: events.ClientLeft) -> None:
         """Nobody waits for the answer any more."""
         if event.request.inv is not None:
-            self.client_gone(event.request.inv)
+            self.client_disconnected(event.request.inv)
 
     def on_delivery_ended(self, event: events.DeliveryEnded) -> None:
         """Answer the client by the delivery if it succeeded first, and tell the decisions."""
@@ -271,7 +271,7 @@
         From now on they get no first byte any more. Called by discovery, before the list's event.
         """
         client = self.backend_client
-        ready = {row.uid for row in received.rows if row.state is State.READY}
+        ready = {row.uid for row in received.rows if row.state is EndpointState.READY}
         concerned: Set[Any] = self.listed.keys() if received.complete else {row.uid for row in received.rows}
         for uid in concerned & self.backends.keys():
             backend = self.backends[uid]
@@ -309,7 +309,7 @@
                 continue
             del self.departed_at[uid]
             if uid not in self.listed:
-                self.probes.pop(self.backends[uid], None)
+                self.pending_probes.pop(self.backends[uid], None)
                 del self.backend_ids[self.backends.pop(uid)]
 
     def on_discovery_failed(self, _: events.DiscoveryFailed) -> None:
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from ..errors import GatewayError
-from ..interface import RepeatEffect, State
+from ..interface import EndpointState, RepeatEffect
 from .metrics import DescriptorLimits, counters
 
 if TYPE_CHECKING:
@@ -127,7 +127,7 @@
         """
         peer = self.peer
         if (
-            self.backend.state is not State.READY
+            self.backend.state is not EndpointState.READY
             or self.backend in peer.barred
             or self.link.endpoint != peer.endpoints.get(self.backend)
         ):
--- a/kestrelbend/gateway/routing/pool.py
+++ b/kestrelbend/gateway/routing/pool.py
@@ -45,7 +45,7 @@
         self.gateway = gateway
         self.order: list[BackendState] = []  # all ready backends, this gateway's own first
         self.members: list[BackendState] = []  # that may be selected
-        self.reach = 0  # how far down the order the members come from
+        self.nominal_size = 0  # how far down the order the members come from
         self.capacity = 0.0
         self.in_flight = 0
         self.size: float = MIN_MEMBERS  # wanted members
@@ -68,12 +68,12 @@
             backend.in_pool = False
         self.members = []
         self.next_return_at = math.inf
-        self.reach = 0
+        self.nominal_size = 0
         able = 0.0
         for backend in self.order:
             if able >= self.size:
                 break
-            self.reach += 1
+            self.nominal_size += 1
             if backend.ejected_until > now:
                 self.next_return_at = min(self.next_return_at, backend.ejected_until)
                 continue
@@ -92,15 +92,15 @@
 
     def ejected(self) -> int:
         """How many would be members, were they not ejected."""
-        return self.reach - len(self.members)
+        return self.nominal_size - len(self.members)
 
     def nominal_members(self) -> list[BackendState]:
         """The members and those that would be, were they not ejected."""
-        return self.order[: self.reach]
+        return self.order[: self.nominal_size]
 
     def sharing_gateways(self) -> float:
         """About how many gateways use each backend that this one uses."""
-        return max(1.0, self.gateways * self.reach / max(1, len(self.order)))
+        return max(1.0, self.gateways * self.nominal_size / max(1, len(self.order)))
 
     # Credits.
 
--- a/kestrelbend/gateway/simulator_adapter/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from typing import Any, BinaryIO, Final, NamedTuple, TypeAlias, TypeVar
 
-from ..interface import Result, State
+from ..interface import EndpointState, Result
 from ..settings.platform import micros, number, one_of
 from .errors import MalformedLine
 
@@ -33,7 +33,11 @@
     "withdrawn": Result.CANCELLED,
     "void": Result.VOID,
 }
-STATES: Final = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES: Final = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
 LIST_KINDS: Final = ("patch", "whole", "stale_copy", "broken")
 RETRY_FLAG: Final = 2  # in the flags of `accept`: the client marked it as a retry
 MAX_UNSIGNED: Final = (1 << 64) - 1
--- a/kestrelbend/gateway/simulator_adapter/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -41,7 +41,7 @@
         """Write `pass_on`."""
         invocation = self.inv_ids[delivery.inv]
         backend = self.backend_ids[delivery.backend]
-        self.out.append(codec.deliver(self.name, invocation, backend, delivery.until))
+        self.out.append(codec.deliver(self.name, invocation, backend, delivery.deadline))
 
     def cancel(self, delivery: i.Delivery) -> None:
         """Write `recall`."""
@@ -192,7 +192,7 @@
     def _client_withdrew(self, number: int) -> None:
         inv = self.invs.get(number)
         if inv is not None:
-            self.client_gone(inv)
+            self.client_disconnected(inv)
 
     def _timer_fired(self, handle: int) -> None:
         """Run the alarm's task, unless something else has resumed it meanwhile."""
--- a/kestrelbend/gateway/singleton_tasks/rendezvous.py
+++ b/kestrelbend/gateway/singleton_tasks/rendezvous.py
@@ -10,14 +10,14 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ..keys import stable_key
+from ..keys import stable_hash
 
-HASH_RANGE = 1 << 63  # of `stable_key`
+HASH_RANGE = 1 << 63  # of `stable_hash`
 
 
 def score(member: str, task: str, weight: float = 1.0) -> float:
     """The member with the highest score owns the task; each is as likely to as its part of all weights."""
-    return -weight / math.log((stable_key(f"{member} {task}") + 0.5) / HASH_RANGE)
+    return -weight / math.log((stable_hash(f"{member} {task}") + 0.5) / HASH_RANGE)
 
 
 class Assignment(NamedTuple):
--- a/kestrelbend/lab/customers.py
+++ b/kestrelbend/lab/customers.py
@@ -10,7 +10,7 @@
 
 import numpy
 
-from ..gateway.keys import stable_key
+from ..gateway.keys import stable_hash
 
 
 class Store:
@@ -52,7 +52,7 @@
     def gateway(self, drawn, epoch, gateways):
         """One of the set, unevenly: the busiest ones change with each epoch."""
         rank = int(self.spread * drawn * drawn)
-        turn = stable_key(f"{self.name} {epoch} {self.shifts}") % self.spread
+        turn = stable_hash(f"{self.name} {epoch} {self.shifts}") % self.spread
         return (self.first + (rank + turn) % self.spread) % gateways
 
 
--- a/kestrelbend/lab/plant.py
+++ b/kestrelbend/lab/plant.py
@@ -12,14 +12,14 @@
 from ..gateway.settings.platform import flatten, settings
 from ..gateway.singleton_tasks import probes_shared
 from ..gateway.hosting import Host
-from ..gateway.interface import Invocation, Result, State
+from ..gateway.interface import Invocation, Result, EndpointState
 from .backends import Job
 from .clock import Stuck
 from .counter import TURNED_AWAY
 from .network import Party
 from .settings import stated
 
-STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 RESULTS = {
     "succeeded": Result.SUCCEEDED,
     "errored": Result.ERRORED,
@@ -64,9 +64,9 @@
 
     def run(self, task, value=None):
         """As the host does, but a generator that never pauses ends the run with its name."""
-        if type(task.work) is not Watched:
-            task.work = Watched(task.work)
-        task.work.steps = 0
+        if type(task.generator) is not Watched:
+            task.generator = Watched(task.generator)
+        task.generator.steps = 0
         super().run(task, value)
 
     # Events: each comes by the plant's `post`, which sets the time.
@@ -86,7 +86,7 @@
         if inv is not None:
             if self.clock.now < asking.until:  # else an answer was due by then
                 self.world.oracle.left(asking.number)
-            self.client_gone(inv)
+            self.client_disconnected(inv)
 
     def delivered(self, d, result, took, load=None):
         sending = self.sending.pop(d, None)
@@ -109,7 +109,7 @@
         self.world.tally.sent(asking, not asking.sends)
         asking.sends += 1
         self.world.tally.out(asking.request.customer, 1)
-        sending.timer = self.clock.after(max(0, d.until - self.gateway.now), self.expired, d)
+        sending.timer = self.clock.after(max(0, d.deadline - self.gateway.now), self.expired, d)
         self.connect(sending)
 
     def connect(self, sending):
--- a/kestrelbend/lab/streams.py
+++ b/kestrelbend/lab/streams.py
@@ -8,7 +8,7 @@
 
 import numpy
 
-from ..gateway.keys import stable_key
+from ..gateway.keys import stable_hash
 
 
 class Streams:
@@ -17,7 +17,7 @@
 
     def of(self, name):
         if name not in self.made:
-            self.made[name] = numpy.random.Generator(numpy.random.PCG64([self.seed, stable_key(name)]))
+            self.made[name] = numpy.random.Generator(numpy.random.PCG64([self.seed, stable_hash(name)]))
         return self.made[name]
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 
 import pytest
 
-from kestrelbend.gateway.interface import Delivery, Invocation, Result, State
+from kestrelbend.gateway.interface import Delivery, Invocation, Result, EndpointState
 from kestrelbend.gateway.net import endpoint_discovery, sending
 from kestrelbend.gateway.net.answers import Answers
 from kestrelbend.gateway.net.gateway import start
@@ -172,8 +172,8 @@
             world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)  # the watch is open, and fails
             discovery.rev, discovery.rows, at = 7, changed(world), time.monotonic()
-            await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 6)
-            assert time.monotonic() - at < 6 and world.owner.backends["s1"].state is State.READY
+            await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
+            assert time.monotonic() - at < 6 and world.owner.backends["s1"].state is EndpointState.READY
 
     run(test())
 
@@ -186,12 +186,12 @@
             world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rows, at = changed(world), time.monotonic()  # and its version stays
-            await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 6)
+            await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
             assert time.monotonic() - at < 6
             # Nor does one that answers at once, for ever; it is not asked without a pause either.
             discovery.rows, discovery.stuck = world.rows, True
             asked, at = len(discovery.asked), time.monotonic()
-            await world.until(lambda: world.owner.backends["s0"].state is State.READY, 6)
+            await world.until(lambda: world.owner.backends["s0"].state is EndpointState.READY, 6)
             assert len(discovery.asked) - asked < 5 + 12 * (time.monotonic() - at)
 
     run(test())
@@ -208,7 +208,7 @@
             world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) > 3, 5)
             state = world.owner.backends["s0"].state
-            assert state is (State.READY if taken else State.DRAINING)
+            assert state is (EndpointState.READY if taken else EndpointState.DRAINING)
             assert taken or "since" not in discovery.asked[2]  # the whole list settles it
 
     run(test())
@@ -222,7 +222,7 @@
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 2, changed(world)
             discovery.play = [discovery.told(True, discovery.rows)]
-            await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 5)
+            await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 5)
             assert world.owner.discovery.version == 2
 
     run(test())
@@ -247,7 +247,7 @@
             world.owner.discovery.move(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 7, changed(world)
-            await world.until(lambda: world.owner.backends["s0"].state is State.DRAINING, 5)
+            await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 5)
 
     run(test())
 
@@ -261,7 +261,9 @@
         "all": False,
         "targets": [{"uid": "s1", "endpoint": "127.0.0.1:80", "state": "draining", **spoilt}],
     }
-    assert [(entry[0], entry[4]) for entry in endpoint_discovery.entries(told)[2]] == [("s1", State.DRAINING)]
+    assert [(entry[0], entry[4]) for entry in endpoint_discovery.entries(told)[2]] == [
+        ("s1", EndpointState.DRAINING)
+    ]
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -14,7 +14,7 @@
 import pytest
 
 from kestrelbend.gateway.settings import toml_files
-from kestrelbend.gateway.interface import Result, State
+from kestrelbend.gateway.interface import Result, EndpointState
 from kestrelbend.lab import plant
 from kestrelbend.lab.emulate import run
 from kestrelbend.lab.scenario import Scenario
@@ -119,7 +119,7 @@
 
     def sent_as(self, d):
         until_first_byte = d.begin_by
-        return self.asked_by(d.inv), d.number, self.backend_ids[d.backend], d.until, until_first_byte
+        return self.asked_by(d.inv), d.number, self.backend_ids[d.backend], d.deadline, until_first_byte
 
     def deliver(self, d):
         self.digest.add(self, "deliver", *self.sent_as(d))
@@ -243,7 +243,7 @@
         self.pressed = chance.random() < 0.4  # few backends, many marked retries
         self.front, self.spread = front_drawn(chance, self.pressed)
         backends = chance.choice([1, 2] if self.pressed else [3, 8, 39])
-        self.states = {n: (State.READY, 0) for n in range(1, backends + 1)}
+        self.states = {n: (EndpointState.READY, 0) for n in range(1, backends + 1)}
         self.store, self.invs, self.unanswered = {}, {}, []
         self.listed()
 
@@ -286,7 +286,9 @@
             front.pass_time(chance.randint(1, 400))
         elif draw < 0.97:
             n = chance.choice(list(self.states))
-            state = chance.choice([State.READY, State.READY, State.DRAINING, State.GONE])
+            state = chance.choice(
+                [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
+            )
             self.states[n] = state, chance.choice([0, front.now])
             self.listed()
         elif draw < 0.98 and self.invs:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from kestrelbend.gateway.interface import Invocation, Result, State
+from kestrelbend.gateway.interface import Invocation, Result, EndpointState
 
 from .helpers import MS, Front
 
-READY = [(n, State.READY) for n in (1, 2, 3, 4)]
+READY = [(n, EndpointState.READY) for n in (1, 2, 3, 4)]
 
 
 def front(**changes):
@@ -167,7 +167,7 @@
 )
 def test_settings_that_no_site_has_are_decided(changes):
     f, store = front(**changes), {}
-    f.roster(*READY, (9, State.READY, f.now))  # one just started and never heard from
+    f.roster(*READY, (9, EndpointState.READY, f.now))  # one just started and never heard from
     for n in range(10):
         f.accept(n, left=3000 if n % 2 else 6)
         f.answer_counts(store)
@@ -186,7 +186,7 @@
         familyInfo__mayCount="false",
         contracts__0__storeSize=1000,
     )
-    f.roster((1, State.READY), (2, State.READY, f.now))
+    f.roster((1, EndpointState.READY), (2, EndpointState.READY, f.now))
     for n in range(100):  # a warm neighbour's pace lets the cold one have several in the span
         f.accept(n, spread=1)
         f.returned(n, 0, Result.SUCCEEDED, took=10)
@@ -195,7 +195,7 @@
     f.accept(200, spread=1)
     inv = f.inst.invs[200]
     for queued, allowed in ((0.0, True), (3.0, False)):
-        f.inst.probes.clear()
+        f.inst.pending_probes.clear()
         while ["sound_out", "g/0", "2"] not in f.take():
             f.pass_time(500)
         f.tell("probe_result", [], 2, Result.SUCCEEDED, 1000, [queued, 1.0])
@@ -217,7 +217,7 @@
     fronts, sent = [], []
     for n in range(gateways):
         f = Front(seed=n, instances=gateways, familyInfo__mayCount="false", contracts__0__storeSize=10**6)
-        f.roster((1, State.READY), (2, State.READY, f.now))
+        f.roster((1, EndpointState.READY), (2, EndpointState.READY, f.now))
         f.gateway.slow_start.warm_answers, f.gateway.slow_start.counted_from = (
             10.0 * pace / gateways,
             f.now - 10_000 * MS,
@@ -310,7 +310,7 @@
 def test_customers_done_with_are_forgotten_but_no_spent_ceiling():
     """A gateway that runs for weeks meets more customers than its memory holds."""
     front = Front(contracts__0__ceilingRate=1, contracts__0__capDepth=400, familyInfo__mayCount="false")
-    front.roster((1, State.READY))
+    front.roster((1, EndpointState.READY))
     front.now += 400_000 * MS
     front.accept(1, customer="old")
     front.accept(2, customer="spent", units=200.0)
@@ -386,7 +386,7 @@
         contracts__0__storeSize=1e6,
         **more,
     )
-    f.roster(*[(n, State.READY) for n in range(1, 7)])
+    f.roster(*[(n, EndpointState.READY) for n in range(1, 7)])
     return f
 
 
@@ -468,7 +468,7 @@
 @pytest.mark.parametrize("left", [False, True])
 def test_a_retry_beyond_its_budget_is_let_in_when_those_that_waited_before_its_call_have_gone(left):
     f = Front(contracts__0__storeSize=60, contracts__0__refill=2)
-    f.roster((1, State.READY))
+    f.roster((1, EndpointState.READY))
     for n in range(20):
         f.accept(n, left=60_000)
         f.answer_counts({})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kestrelbend.gateway.interface import Result, State
+from kestrelbend.gateway.interface import Result, EndpointState
 
 from .helpers import MS, Front, StandIns, connect, reserve_address, run
 from .test_net import nested
@@ -33,7 +33,7 @@
             feedback__how="probe",
             feedback__fields="pending,busy_reqs",
         )
-        f.roster(*[(b, State.READY, started if b < 20 else 0) for b in range(backends)])
+        f.roster(*[(b, EndpointState.READY, started if b < 20 else 0) for b in range(backends)])
         fronts.append(f)
     chance, probes, sent, ends = random.Random(4), 0, [], []
     pairs = set()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 from kestrelbend.gateway.decisions.selection import BackendSelection
 from kestrelbend.gateway.decisions.slow_start import SlowStart
 from kestrelbend.gateway.settings import toml_files
-from kestrelbend.gateway.interface import Log, State
+from kestrelbend.gateway.interface import Log, EndpointState
 from kestrelbend.lab import plant
 from kestrelbend.lab.clock import SimClock, Stuck
 from kestrelbend.lab.emulate import run
@@ -241,7 +241,7 @@
     listing = plant.Life.endpoints_listed
 
     def deaf(life, entries, whole):
-        listing(life, [(*e[:4], State.READY, *e[5:]) for e in entries], whole)
+        listing(life, [(*e[:4], EndpointState.READY, *e[5:]) for e in entries], whole)
 
     monkeypatch.setattr(plant.Life, "endpoints_listed", deaf)
     more = failure(kind="release", at="1s", lasts="1s", drain="3s", share=0.5)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,7 +22,7 @@
 from kestrelbend.gateway.settings import model
 from kestrelbend.gateway.settings import platform as terms
 from kestrelbend.gateway.hosting import Task
-from kestrelbend.gateway.interface import Delivery, Invocation, Result, State
+from kestrelbend.gateway.interface import Delivery, Invocation, Result, EndpointState
 from kestrelbend.gateway.net import accept_queue, clients, configuration, connections, key_value_logging
 from kestrelbend.gateway.net.requests import Request
 from kestrelbend.gateway.net.gateway import reload, start
@@ -120,7 +120,7 @@
             inv = Invocation(
                 owner.operations["op"], owner.customer_state("plan", "c1", 1), 0, 1 << 62, 1.0, False
             )
-            peer, target.state = owner.backend_client, State.DRAINING
+            peer, target.state = owner.backend_client, EndpointState.DRAINING
             peer.queue = sent
             until = owner.clock() + 500_000
             peer.deliver(Delivery(inv, target, owner.clock(), until, 0, until), request)
@@ -249,7 +249,7 @@
             world.owner.on_alarm_due(AlarmDue(Task(None), world.owner.gateway.now - 80_000))
             request = asked_for(world.owner, "c3")
             world.owner.on_request_taken(RequestTaken(request))
-            assert request.inv.until - request.inv.arrived == 920_000
+            assert request.inv.deadline - request.inv.arrived == 920_000
             writer.close()
             assert (await out)[0] in (429, 502)
             service, world.counter.play = world.owner.counter, ["stall"]
@@ -297,9 +297,9 @@
         async with World(2) as world:
             owner, rows = world.owner, world.rows
             world.discovery.tell(rows[0] | {"state": "draining"}, rows[1])
-            await world.until(lambda: owner.backends["s0"].state is State.DRAINING)
+            await world.until(lambda: owner.backends["s0"].state is EndpointState.DRAINING)
             world.discovery.tell(rows[1] | {"boot_ms": 5})
-            await world.until(lambda: owner.backends["s0"].state is State.GONE)
+            await world.until(lambda: owner.backends["s0"].state is EndpointState.GONE)
             assert owner.backends["s1"].started == 5000 and len(owner.backend_client.endpoints) == 1
             owner.departed_at["s0"] -= owner.settings["cold"]  # it went long ago: nothing of it is kept
             world.discovery.tell(rows[1] | {"boot_ms": 5})
@@ -327,7 +327,7 @@
             world.discovery.rows, world.discovery.rev = [rows[0] | {"state": "draining"}, rows[1]], 2
             await asyncio.sleep(2.5)
             world.discovery.silent = False  # back before the watch is given up, on others' calls
-            await world.until(lambda: owner.backends["s0"].state is State.DRAINING, 4)
+            await world.until(lambda: owner.backends["s0"].state is EndpointState.DRAINING, 4)
             assert loop.time() - began < 4
 
     run(test())
@@ -364,7 +364,7 @@
             assert status == 429 and "retry-after" not in headers  # no unit of the ceiling comes along
             owner.gateway.context.started_at -= 10_000_000
             for customer in owner.customers.values():
-                customer.limit_dealt = None
+                customer.limit_allocated = None
             before = [len(b.seen) for b in world.backends]
             on = await connect(*listen)
             assert (await world.ask(on=on))[0] == 200
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -5,14 +5,14 @@
 from hypothesis import strategies as st
 
 from kestrelbend.gateway.decisions import BackendState
-from kestrelbend.gateway.keys import stable_key
+from kestrelbend.gateway.keys import stable_hash
 from kestrelbend.gateway.routing.pool import MIN_MEMBERS, PACE_MEMORY, Pool
 
 
 def targets(count):
     made = [BackendState() for _ in range(count)]
     for n, t in enumerate(made):
-        t.key = stable_key(f"s-{n}")
+        t.key = stable_hash(f"s-{n}")
     return made
 
 
@@ -109,6 +109,6 @@
         t.ejected_until = 50
     cold = set(pool.order[5:15])
     pool.refill(0, lambda t: 0.25 if t in cold else 1.0)
-    assert pool.ejected() == 5 and len(pool.members) == 28 and pool.reach == 33
+    assert pool.ejected() == 5 and len(pool.members) == 28 and pool.nominal_size == 33
     pool.refill(50, lambda t: 1.0)
     assert pool.members == pool.order[:20] and pool.sharing_gateways() == 40
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from kestrelbend.gateway.decisions import CustomerState
-from kestrelbend.gateway.interface import RepeatEffect, Invocation, Result, TokenScope, State
-from kestrelbend.gateway.keys import stable_key
+from kestrelbend.gateway.interface import RepeatEffect, Invocation, Result, TokenScope, EndpointState
+from kestrelbend.gateway.keys import stable_hash
 
 from .helpers import MS, Front
 
-STATES = [State.READY, State.READY, State.DRAINING, State.GONE]
+STATES = [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
 RESULTS = [r for r in Result if r is not Result.VOID]
 
 
@@ -27,7 +27,7 @@
         """What is left of this gateway's part, replayed unit by unit from its first moment."""
         plan, n = self.plan, self.spread
         pace = 1e6 * n / plan.limit_rate
-        turn = self.front.inst.settings["gateway"] * (5**0.5 - 1) / 2 + stable_key("c") / 2**63
+        turn = self.front.inst.settings["gateway"] * (5**0.5 - 1) / 2 + stable_hash("c") / 2**63
         burst = max(1, plan.limit_burst - max(0, min(4, n - 1) - plan.limit_slack))
         keeps = int(burst / plan.limit_rate * 1e6)
 
@@ -43,9 +43,9 @@
     def allowed(self, inv, target):
         s, op, now = self.front.inst.settings, inv.op, self.front.now
         ran = [d for d in inv.deliveries if d.result is None or not d.result.never_ran]
-        if inv.done or now >= inv.until or len(inv.deliveries) >= s["most_deliveries"]:
+        if inv.done or now >= inv.deadline or len(inv.deliveries) >= s["most_deliveries"]:
             return False
-        if target.state is not State.READY:
+        if target.state is not EndpointState.READY:
             return False
         if not s["second_copies"] and any(d.result is None for d in inv.deliveries):
             return False
@@ -89,7 +89,7 @@
     spread = draw(st.sampled_from([1, 2, 3, 1000]))
     model = Model(front, front.inst.settings["plans"][0], spread)
     invs, answered, store = {}, set(), {}
-    states = dict.fromkeys(range(1, 5), State.READY)
+    states = dict.fromkeys(range(1, 5), EndpointState.READY)
     front.roster(*states.items())
     front.now += draw(st.integers(0, 9000)) * MS
 
@@ -98,7 +98,7 @@
         for line in lines:
             if line[0] in ("deny", "lose"):
                 inv = invs[int(line[2])]
-                assert line[2] not in answered and front.now <= inv.until
+                assert line[2] not in answered and front.now <= inv.deadline
                 answered.add(line[2])
                 ran = [d for d in inv.deliveries if d.result is None or not d.result.never_ran]
                 if line[0] == "deny" and ran:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kestrelbend.gateway.interface import Result, State
+from kestrelbend.gateway.interface import Result, EndpointState
 from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, platform_news
 from kestrelbend.gateway.net.events import UsagePeriodDue
 from kestrelbend.gateway.net.news import NewsPeer
@@ -176,7 +176,7 @@
 
 def test_the_module_goes_by_news_where_the_counter_is_crowded():
     f = Front(contracts__0__storeSize=2, instances=40, contracts__0__refill=1)
-    f.roster((1, State.READY))
+    f.roster((1, EndpointState.READY))
     f.gateway.counter.call_fraction, f.gateway.context.usage = (
         0.1,
         MeteredUsageExchange(40, 0, PLANS, 60, f.now),
