--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -40,7 +40,7 @@
         self._exchange = exchange
         self._now = now
         self._may_acknowledge = may_acknowledge
-        self._published_number = 0  # the registry's number that subscribers were brought to
+        self._published_change = 0  # the registry's number that subscribers were brought to
         self._reported: set[str] = set()  # who reported here since the other control nodes were notified
         self._majority_states: dict[str, int] = {}  # of backends that leave, as a majority holds them
 
@@ -57,7 +57,7 @@
         now = self._now()
         for backend in backends:
             self._registry.merge(backend, now)
-        if self._registry.urgent_number > self._published_number:
+        if self._registry.urgent_change_number > self._published_change:
             self._publish(self._take_changes())
 
     def publish_pending_changes(self) -> None:
@@ -76,7 +76,7 @@
             is_full = outcome.code is RejectionCode.REGISTRY_FULL
             return ReportOutcome.UNAVAILABLE if is_full else ReportOutcome.MALFORMED
         self._reported.add(outcome.identity)
-        nothing_urgent = self._registry.urgent_number <= self._published_number
+        nothing_urgent = self._registry.urgent_change_number <= self._published_change
         if nothing_urgent and outcome.state == BackendState.READY:
             return ReportOutcome.ACCEPTED
         changes = self._take_changes()
@@ -123,6 +123,6 @@
 
     def _take_changes(self) -> list[Backend]:
         """What has changed in the registry since this was last called."""
-        changes = self._registry.changes_since(self._published_number)
-        self._published_number = changes.number
+        changes = self._registry.changes_since(self._published_change)
+        self._published_change = changes.change_number
         return list(changes.backends)
--- a/kestrelbend/tier/discovery/__init__.py
+++ b/kestrelbend/tier/discovery/__init__.py
@@ -1,9 +1,13 @@
-"""The backends that exist, by their own heartbeats.
+"""Backend discovery: which backends exist, according to the heartbeats that they send.
 
-messages, order           what is known of a backend, and which of two reports is newer
-report                    reading a backend's heartbeat, or rejecting it
-registry                  at a control node: all backends; with live_addresses and tombstones
-exchange, subscriber      from a registry to the other control nodes and to gateways
-view                      at a gateway: the ready backends, merged from several control nodes
-freshness                 which backends are unresponsive; update_continuity: for how long updates came
+messages                  the state of a backend, and the messages that carry it
+order                     which of two reports on a backend is newer
+report                    validation of a backend's heartbeat
+registry                  all backends that a control node knows
+live_addresses            index of the registry's live backends by address
+tombstones                departed backends that are still remembered
+exchange, subscriber      publishing of registry changes to other control nodes and to gateways
+view                      a gateway's list of ready backends, merged from several control nodes
+freshness                 detection of unresponsive backends
+update_continuity         how long a gateway has received updates without a gap
 """
--- a/kestrelbend/tier/discovery/exchange.py
+++ b/kestrelbend/tier/discovery/exchange.py
@@ -1,7 +1,7 @@
-"""How a control node's registry reaches the other control nodes and the gateways.
+"""Publishes a control node's backend registry to the other control nodes and to the gateways.
 
-Invariant: what was sent on a connection arrives on it in order, or the connection ends and the next one
-begins with a complete update; so whoever is in contact again has every earlier update.
+Invariant: messages sent on a connection arrive in order, or the connection ends and its successor begins with
+a complete update.  A receiver that reconnects therefore has every earlier update.
 """
 
 from __future__ import annotations
@@ -15,60 +15,60 @@
 from .messages import Backend, BackendAck, BackendUpdate
 from .subscriber import Subscriber
 
-ACK_WAIT_S = 0.6
-UNNUMBERED = 0  # the number of updates between control nodes, which are acknowledged one by one
+ACK_TIMEOUT_S = 0.6
+UNNUMBERED = 0  # number of an update between control nodes, whose acknowledgements are matched by request
 
 
 @attrs.frozen
 class SentUpdate:
-    """The last update that a subscriber was sent, by its number."""
+    """The number of the last update sent to a subscriber."""
 
     subscriber: Subscriber
     number: int
 
 
 class BackendExchange:
-    """Publishes what the registry learns.
+    """Sends registry changes to the subscribed gateways and to the other control nodes.
 
-    `everything` gives all that the registry holds, `peers` the connections to the other control nodes.
+    `all_backends` returns the registry's content, `peers` the connections to the other control nodes.
     """
 
     def __init__(
         self,
         sender: str,
-        everything: Callable[[], Iterable[Backend]],
+        all_backends: Callable[[], Iterable[Backend]],
         peers: Callable[[], Sequence[PeerConnection]],
     ) -> None:
         self._sender = sender
-        self._everything = everything
+        self._all_backends = all_backends
         self._peers = peers
         self._subscribers: dict[PeerConnection, Subscriber] = {}
 
     # Gateways
 
     def subscribe(self, connection: PeerConnection, complete: bool = True) -> None:
-        """Begins a gateway's stream with all that is known, or with the backends that leave or departed.
+        """Starts a gateway's stream with all backends, or only with those that are draining or departed.
 
-        The numbers on a connection go on where its gateway changes from one to the other.
+        A gateway that switches between the two on one connection keeps its sequence of update numbers.
         """
         subscriber = self._subscribers.setdefault(connection, Subscriber(connection, self._sender))
-        subscriber.complete = complete
-        subscriber.send(self._everything(), complete)
+        subscriber.receives_all = complete
+        subscriber.send(self._all_backends(), complete)
 
     def connection_lost(self, connection: PeerConnection) -> None:
-        """A connection ended."""
+        """Removes the subscription of a connection that ended, if it had one."""
         subscriber = self._subscribers.pop(connection, None)
         if subscriber is not None:
             subscriber.close()
 
     def record_ack(self, connection: PeerConnection, ack: BackendAck) -> None:
-        """A gateway acknowledges."""
+        """Records a gateway's acknowledgement."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
             subscriber.record_ack(ack)
 
     def notify_gateways(self, backends: list[Backend]) -> list[SentUpdate]:
-        """Streams changes to the gateways that are subscribed here."""
+        """Sends changes to the gateways that are subscribed here."""
         if not backends:
             return []
         return [
@@ -79,7 +79,7 @@
     # The other control nodes
 
     def notify_peers(self, backends: list[Backend]) -> None:
-        """Sends changes to the other control nodes without waiting for them."""
+        """Sends changes to the other control nodes without waiting for acknowledgements."""
         if not backends:
             return
         update = self._peer_update(backends)
@@ -87,21 +87,21 @@
             connection.send(update)
 
     async def notify_all(self, backends: list[Backend]) -> set[str]:
-        """Sends changes to everybody and waits until they are acknowledged, or `ACK_WAIT_S` long.
+        """Sends changes to gateways and control nodes; waits up to `ACK_TIMEOUT_S` for acknowledgements.
 
-        The internal addresses of the control nodes that acknowledged, without this one's.
+        Returns the internal addresses of the other control nodes that acknowledged.
         """
         acks = [sent.subscriber.ack_future(sent.number) for sent in self.notify_gateways(backends)]
-        return await self._request_peers(backends, set(), ACK_WAIT_S, acks)
+        return await self._request_peers(backends, set(), ACK_TIMEOUT_S, acks)
 
     async def notify_remaining_peers(
         self, backends: list[Backend], holders: set[str], within: float
     ) -> set[str]:
-        """Sends changes to the control nodes that have not acknowledged them; all that have then.
+        """Sends changes to the control nodes that are not yet in `holders`, those that acknowledged them.
 
-        It waits `within` seconds at the most.
+        Waits at most `within` seconds and returns `holders` with the nodes that acknowledged now.
         """
-        timeout = min(within, ACK_WAIT_S)
+        timeout = min(within, ACK_TIMEOUT_S)
         return holders | await self._request_peers(backends, holders, timeout, [])
 
     async def _request_peers(
@@ -111,7 +111,7 @@
         timeout: float,
         acks: list[asyncio.Future[None]],
     ) -> set[str]:
-        """The addresses of the peers that acknowledged in time; `acks` of gateways are waited for besides."""
+        """Waits for the gateways' `acks` and the peers; returns the addresses of peers that acknowledged."""
         update = self._peer_update(backends)
         requests = {
             connection: asyncio.ensure_future(connection.request(update, timeout))
@@ -120,8 +120,8 @@
         }
         if not acks and not requests:
             return set()
-        done, late = await asyncio.wait([*acks, *requests.values()], timeout=timeout)
-        for future in late:
+        done, unfinished = await asyncio.wait([*acks, *requests.values()], timeout=timeout)
+        for future in unfinished:
             future.cancel()
         acknowledged = [
             connection
@@ -130,17 +130,17 @@
         ]
         for connection in requests:
             if connection not in acknowledged:
-                connection.send(update)  # a request may be withdrawn unsent; this stays on its connection
+                connection.send(update)  # a cancelled request may never have been sent; this message will be
         return {connection.address for connection in acknowledged}
 
     def send_complete(self, connection: PeerConnection) -> None:
-        """A control node has connected: it gets all of the registry."""
-        connection.send(self._peer_update(self._everything(), complete=True))
+        """Sends the whole registry to a control node that has connected."""
+        connection.send(self._peer_update(self._all_backends(), complete=True))
 
     def _peer_update(self, backends: Iterable[Backend], complete: bool = False) -> BackendUpdate:
         return BackendUpdate(self._sender, UNNUMBERED, complete, tuple(backends))
 
     @staticmethod
     def reply_ack(connection: PeerConnection, sequence: int, update: BackendUpdate) -> None:
-        """Replies to another control node's update."""
+        """Acknowledges another control node's update."""
         connection.reply(sequence, BackendAck(update.sender, update.number))
--- a/kestrelbend/tier/discovery/messages.py
+++ b/kestrelbend/tier/discovery/messages.py
@@ -1,6 +1,6 @@
-"""What is known of one backend, and how control nodes and gateways notify each other of it.
+"""State of a backend, and the messages by which control nodes and gateways exchange it.
 
-Fields travel by their position (see `protocol.wire_names`): new ones are added at the end alone.
+Fields are encoded by position (see `protocol.wire_names`), so new fields are added only at the end.
 """
 
 from __future__ import annotations
@@ -11,42 +11,42 @@
 
 
 class BackendState(enum.IntEnum):
-    """A backend's state by its own reports; a later state never goes back (see `order`)."""
+    """A backend's state; by its own reports it only moves forward (see `order`)."""
 
-    READY = 0  # takes requests
-    DRAINING = 1  # ends what it has, and takes nothing new
-    DEPARTED = 2  # has ended, or is presumed to have
+    READY = 0  # accepts requests
+    DRAINING = 1  # completes its open requests and accepts no new ones
+    DEPARTED = 2  # has ended, or is presumed to have ended
 
 
 @attrs.frozen
 class Backend:
-    """One incarnation of a backend.  (`state`, `sequence`) tells which of two reports is newer."""
+    """One incarnation of a backend; `state` and `sequence` decide which of two reports is newer (`order`)."""
 
     identity: str
     service: str
     address: str  # "ip:port"
     zone: str
-    software: str  # version, or ""
-    slots: int  # requests that it takes at once
+    software: str  # software version, or ""
+    slots: int  # requests that it processes concurrently
     state: int  # a `BackendState`
-    warming_up_ms: int  # that its slow start still takes; 0 once it is warm
-    sequence: int  # rises with each of its reports
-    models: str = ""  # the report's Models, as JSON
+    warming_up_ms: int  # remaining time of its slow start; 0 once it is warm
+    sequence: int  # rises with each of its own reports
+    models: str = ""  # the list `Models` of its report, as JSON
 
 
 @attrs.frozen
 class BackendUpdate:
-    """Backends that changed, streamed; a `complete` one replaces all that the sender sent before."""
+    """Backends that changed; a `complete` update holds all and replaces the earlier ones of its sender."""
 
     sender: str
-    number: int  # rises by one on a connection; acknowledged by it
+    number: int  # rises by one with each update on a connection; acknowledgements refer to it
     complete: bool
     backends: tuple[Backend, ...]
 
 
 @attrs.frozen
 class BackendAck:
-    """The receiver holds all of the sender's updates up to `number`."""
+    """Confirms that the receiver holds all updates of `sender` up to `number`."""
 
     sender: str
     number: int
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -1,8 +1,8 @@
-"""Reading a backend's heartbeat: from a JSON object of any content to a `Backend` or a rejection.
+"""Validates a backend's heartbeat: turns untrusted JSON into a `Backend` or a rejection.
 
-Invariant: every field of a `Backend` made here is within the bounds below, so that it fits its field on the
-wire and a registry of many backends stays bounded.  Hazard: a sequence of `DEPARTURE_SEQUENCE` or more would
-stand for the report of an end that was never made.
+Invariant: every field of a `Backend` created here is within the bounds below, so that it fits its field on
+the wire and the memory of a large registry is bounded.  Hazard: a heartbeat whose sequence is
+`DEPARTURE_SEQUENCE` or more would be taken for a report that the backend has ended.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 
 
 class RejectionCode(enum.StrEnum):
-    """Why a heartbeat is rejected, in one word for counting."""
+    """Why a heartbeat is rejected, as a label for counters."""
 
     IDENTITY = "identity"
     FORM = "form"
     MODELS = "models"
-    REGISTRY_FULL = "full"  # says nothing about the report
+    REGISTRY_FULL = "full"  # independent of the report's content
 
 
 @attrs.frozen
 class HeartbeatRejected:
-    """A heartbeat that isn't accepted; `reason` says what is wrong with it."""
+    """A heartbeat that was not accepted, and a description of the reason."""
 
     code: RejectionCode
     reason: str
 
 
 def is_name(value: Any) -> bool:
-    """A non-empty text that is short enough to be a name."""
+    """Whether the value is non-empty text of at most `MAX_NAME_LENGTH` characters."""
     return is_text(value) and len(value) <= MAX_NAME_LENGTH
 
 
@@ -73,7 +73,7 @@
     return isinstance(value, list)
 
 
-REPORT = schema.Schema(
+REPORT_SCHEMA = schema.Schema(
     ObjectSchema(
         required={
             "Upstream": is_name,
@@ -89,13 +89,13 @@
 
 
 def read_report(identity: str, report: object) -> Backend | HeartbeatRejected:
-    """The backend that a heartbeat describes; unknown fields are ignored."""
+    """Returns the backend that a heartbeat describes; unknown fields are ignored."""
     if not is_name(identity):
-        return HeartbeatRejected(RejectionCode.IDENTITY, "the id is no short text")
+        return HeartbeatRejected(RejectionCode.IDENTITY, "id is not a valid name")
     try:
-        fields = REPORT.validate(report)
+        fields = REPORT_SCHEMA.validate(report)
     except schema.SchemaError as error:
-        return HeartbeatRejected(RejectionCode.FORM, f"the report: {error.code}")
+        return HeartbeatRejected(RejectionCode.FORM, f"invalid report: {error.code}")
     models = _models_text(fields.get("Models"))
     if models is None:
         return HeartbeatRejected(RejectionCode.MODELS, "Models is too large")
@@ -114,7 +114,7 @@
 
 
 def _models_text(models: list[Any] | None) -> str | None:
-    """The list as JSON, "" if there is none, None if it is too long or no JSON."""
+    """Returns the list as JSON, "" without a list, None if it is too long or cannot be encoded."""
     if models is None:
         return ""
     try:
--- a/kestrelbend/tier/discovery/subscriber.py
+++ b/kestrelbend/tier/discovery/subscriber.py
@@ -1,7 +1,8 @@
-"""One gateway's stream of backends, on one connection of a control node.
+"""One gateway's stream of backend updates, on its connection to a control node.
 
-Invariant: the numbers on a connection rise by one with each update, also where the gateway changes between
-all changes and those of backends that leave; an acknowledgement of a number covers all before it.
+Invariant: update numbers on a connection rise by one with each update, even when the gateway switches between
+receiving all changes and only those of draining and departed backends.  An acknowledgement of a number covers
+all earlier numbers.
 """
 
 from __future__ import annotations
@@ -17,40 +18,40 @@
 
 @attrs.frozen
 class _AckWaiter:
-    """Somebody waits until everything up to `number` is acknowledged."""
+    """A future that is done once all updates up to `number` are acknowledged."""
 
     number: int
     future: asyncio.Future[None]
 
     def finish(self) -> None:
-        """Ends the waiting, where that has not happened yet."""
+        """Completes the future, unless it is done already."""
         if not self.future.done():
             self.future.set_result(None)
 
 
 class Subscriber:
-    """A gateway's stream of backends, on one connection: all changes, or only of backends that leave."""
+    """Sends a gateway all changes, or only those of draining and departed backends."""
 
     def __init__(self, connection: PeerConnection, sender: str) -> None:
         self.connection = connection
-        self.complete = False  # whether it gets all changes
+        self.receives_all = False  # otherwise only draining and departed backends
         self._sender = sender
         self._sent_number = 0
         self._acknowledged_number = 0
         self._waiters: list[_AckWaiter] = []
 
     def send(self, backends: Iterable[Backend], complete: bool) -> int:
-        """Streams one update, if there is anything in it for this gateway; the number of the last one."""
-        wanted = tuple(
-            backend for backend in backends if self.complete or backend.state != BackendState.READY
+        """Sends an update unless it is empty for this gateway; returns the number of the last update sent."""
+        selected = tuple(
+            backend for backend in backends if self.receives_all or backend.state != BackendState.READY
         )
-        if wanted or complete:
+        if selected or complete:
             self._sent_number += 1
-            self.connection.send(BackendUpdate(self._sender, self._sent_number, complete, wanted))
+            self.connection.send(BackendUpdate(self._sender, self._sent_number, complete, selected))
         return self._sent_number
 
     def record_ack(self, ack: BackendAck) -> None:
-        """The gateway has everything up to a number."""
+        """Records that the gateway has all updates up to a number."""
         self._acknowledged_number = max(self._acknowledged_number, ack.number)
         for waiter in self._waiters:
             if waiter.number <= self._acknowledged_number:
@@ -58,7 +59,7 @@
         self._waiters = [waiter for waiter in self._waiters if not waiter.future.done()]
 
     def ack_future(self, number: int) -> asyncio.Future[None]:
-        """Done once the update is acknowledged or the connection has ended."""
+        """Returns a future that is done once the update is acknowledged or the connection has ended."""
         waiter = _AckWaiter(number, asyncio.get_running_loop().create_future())
         if number <= self._acknowledged_number or self.connection.closed:
             waiter.finish()
@@ -67,7 +68,7 @@
         return waiter.future
 
     def close(self) -> None:
-        """The connection ended: nobody waits for it any longer."""
+        """Completes all pending futures, as the connection has ended."""
         for waiter in self._waiters:
             waiter.finish()
         self._waiters.clear()
--- a/kestrelbend/tier/discovery/update_continuity.py
+++ b/kestrelbend/tier/discovery/update_continuity.py
@@ -1,7 +1,7 @@
-"""For how long a gateway has had updates from control nodes without a long gap.
+"""Measures how long a gateway has received updates from control nodes without a long gap.
 
-Invariant: a gateway presumes a backend departed only if updates came in throughout the time in which it heard
-nothing of the backend.  A gateway that stood still, or was cut off, begins anew.
+Invariant: a gateway presumes a backend departed only if it received updates throughout the time in which the
+backend was unresponsive.  After the gateway's process was suspended or cut off, the measurement restarts.
 """
 
 from __future__ import annotations
@@ -10,20 +10,23 @@
 
 
 class UpdateContinuity:
-    """The span since the last long gap, on the caller's steady clock (seconds)."""
+    """Time since the last long gap, in seconds of the caller's monotonic clock."""
 
     def __init__(self) -> None:
         self._updated_at = NEVER
-        self._called_at = NEVER
-        self._broken_at = NEVER
+        self._checked_at = NEVER
+        self._last_gap_at = NEVER
 
-    def updated(self, now: float) -> None:
-        """An update came."""
+    def record_update(self, now: float) -> None:
+        """Records that an update was received."""
         self._updated_at = now
 
-    def unbroken(self, now: float, max_gap: float) -> float:
-        """Seconds since the last gap longer than `max_gap`, be it of the updates or of the calls of this."""
-        if now - self._updated_at > max_gap or now - self._called_at > max_gap:
-            self._broken_at = now
-        self._called_at = now
-        return now - self._broken_at
+    def unbroken_s(self, now: float, max_gap: float) -> float:
+        """Returns the seconds since the last gap longer than `max_gap`.
+
+        A gap is one between updates, or one between calls of this method: the process was suspended then.
+        """
+        if now - self._updated_at > max_gap or now - self._checked_at > max_gap:
+            self._last_gap_at = now
+        self._checked_at = now
+        return now - self._last_gap_at
--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -9,7 +9,7 @@
 from kestrelbend.tier.configuration.ports import ReportOutcome
 from kestrelbend.tier.control.backend_reports import REPLY_TIMEOUT_S, BackendReports
 from kestrelbend.tier.discovery import registry as registry_module
-from kestrelbend.tier.discovery.exchange import ACK_WAIT_S, BackendExchange
+from kestrelbend.tier.discovery.exchange import ACK_TIMEOUT_S, BackendExchange
 from kestrelbend.tier.discovery.messages import BackendAck, BackendState, BackendUpdate
 from kestrelbend.tier.discovery.registry import COUNTERS_STREAM_INTERVAL_S, BackendRegistry
 from kestrelbend.tier.discovery.report import read_report
@@ -150,7 +150,7 @@
             self.far.delay = None
             outcome, took = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertTrue(took <= ACK_WAIT_S + 0.01, took)
+            self.assertTrue(took <= ACK_TIMEOUT_S + 0.01, took)
 
         self.play(story)
 
@@ -221,7 +221,7 @@
             self.exchange.subscribe(gateway)
             outcome, took = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertAlmostEqual(ACK_WAIT_S, took, 3)
+            self.assertAlmostEqual(ACK_TIMEOUT_S, took, 3)
             self.assertEqual(BackendState.DRAINING, gateway.updates[-1].backends[0].state)
 
         self.play(story)
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -67,7 +67,7 @@
         for identity in ("", "x" * 300, "a\nb", None):
             self.assertIsInstance(registry.heartbeat(identity, report(4), 0.0), HeartbeatRejected)
             self.assertIsInstance(registry.leave(identity, 0.0), HeartbeatRejected)
-        self.assertEqual(((), 0), (registry.all(), registry.number))
+        self.assertEqual(((), 0), (registry.all(), registry.change_number))
 
     @hypothesis.settings(REPEATABLE, max_examples=300)
     @hypothesis.given(strategies.data())
@@ -108,10 +108,10 @@
 
     def test_given_late_and_doubled_reports_then_nothing_changes(self):
         self.registry.heartbeat("i-1", report(5), 0.0)
-        number = self.registry.number
+        number = self.registry.change_number
         for sequence in (5, 4, 1):
             self.registry.heartbeat("i-1", report(sequence, Slots=9), 9.0)
-        self.assertEqual((number, 4), (self.registry.number, self.registry.get("i-1").slots))
+        self.assertEqual((number, 4), (self.registry.change_number, self.registry.get("i-1").slots))
 
     def test_given_a_backend_that_drains_then_it_is_never_ready_again(self):
         self.registry.heartbeat("i-1", report(5), 0.0)
@@ -163,13 +163,13 @@
     def test_given_changes_of_counters_only_then_they_are_streamed_seldom(self):
         self.registry.heartbeat("i-1", report(1, ColdLeftMs=900), 0.0)
         self.registry.heartbeat("i-1", report(2, ColdLeftMs=100), COUNTERS_STREAM_INTERVAL_S / 2)
-        self.assertEqual(1, self.registry.number)
+        self.assertEqual(1, self.registry.change_number)
         self.registry.heartbeat("i-1", report(3, ColdLeftMs=0), COUNTERS_STREAM_INTERVAL_S / 2)
-        self.assertEqual(2, self.registry.number)
+        self.assertEqual(2, self.registry.change_number)
         self.registry.heartbeat("i-1", report(4), COUNTERS_STREAM_INTERVAL_S)
-        self.assertEqual(2, self.registry.number)
+        self.assertEqual(2, self.registry.change_number)
         self.registry.heartbeat("i-1", report(5), COUNTERS_STREAM_INTERVAL_S * 2)
-        self.assertEqual(3, self.registry.number)
+        self.assertEqual(3, self.registry.change_number)
 
     def test_given_a_number_then_exactly_the_later_changes_are_streamed_each_once(self):
         for index in range(4):
@@ -177,7 +177,7 @@
         self.registry.heartbeat("i-1", report(2, "draining", address="10.0.0.1:80"), 0.0)
         changes = self.registry.changes_since(2)
         self.assertEqual(["i-2", "i-3", "i-1"], [backend.identity for backend in changes.backends])
-        self.assertEqual((), self.registry.changes_since(changes.number).backends)
+        self.assertEqual((), self.registry.changes_since(changes.change_number).backends)
 
     def test_given_the_same_reports_in_any_order_then_registries_agree(self):
         reports = [self.backend(sequence, READY) for sequence in range(1, 6)]
