--- a/kestrelbend/tier/fleet/mutations/contact.py
+++ b/kestrelbend/tier/fleet/mutations/contact.py
@@ -115,8 +115,8 @@
 @guard("read-majority", "replication.read_index:PendingReads.take_ready", "reads that no majority confirmed")
 def take_all(reads: PendingReads, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
     """Answers all pending reads at once."""
-    ready = list(reads._waiting)
-    reads._waiting.clear()
+    ready = list(reads._pending)
+    reads._pending.clear()
     return ready
 
 
--- a/kestrelbend/tier/replication/durable.py
+++ b/kestrelbend/tier/replication/durable.py
@@ -1,8 +1,8 @@
-"""How the records of a replica's disk, in their order, give the state that it begins with.
+"""Replays the records of a replica's disk, in order, to the state with which the replica starts.
 
 Invariant: after any prefix of the records, the state is one that the replica itself was in, so an
 entry that it has acknowledged is found again.
-Hazard: entries behind a snapshot that they don't follow; see `entries_after`.
+Hazard: entries after a snapshot with which they are inconsistent; see `entries_after`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def apply_record(state: DurableState, record: DurableRecord) -> None:
-    """Brings `state` from before the write of `record` to after it."""
+    """Applies one record to `state`."""
     state.term = record.term
     state.voted_for = record.voted_for
     if record.snapshot is not None:
@@ -25,9 +25,9 @@
 
 
 def entries_after(state: DurableState, snapshot: Snapshot) -> list[Entry]:
-    """The entries that follow `snapshot`: none where the entry at its index was another one.
+    """The entries that follow `snapshot`; none if the log held another entry at the snapshot's index.
 
-    Entries behind another one's place were never committed; to keep them would let the replica vote
+    Entries after another entry at that index were never committed; if they were kept, the replica would vote
     by a log that it doesn't hold.
     """
     offset = snapshot.index - state.snapshot.index
--- a/kestrelbend/tier/replication/effects.py
+++ b/kestrelbend/tier/replication/effects.py
@@ -1,8 +1,8 @@
-"""What a replica wants done outside: messages, writes, commands to apply, reads that may be answered.
+"""What a replica asks its host to do: send messages, write records, apply commands, answer reads.
 
-Invariant: messages that depend on a write are not here before that write was reported as done, so a
-carrier may send at once.
-Hazard: applying before restoring, or dropping either: both belong to one sequence of states.
+Invariant: a message that depends on a write is added only after that write was reported as complete, so
+the host may send all messages at once.
+Hazard: applying `applied` before `restore`, or dropping either: both belong to one sequence of states.
 """
 
 from __future__ import annotations
@@ -23,5 +23,5 @@
     restore: Snapshot | None = None
     applied: list[Entry] = attrs.field(factory=list)
     confirmed_reads: list[int] = attrs.field(factory=list)
-    failed_reads: list[int] = attrs.field(factory=list)  # their leadership ended first
+    failed_reads: list[int] = attrs.field(factory=list)  # the leadership ended before they were confirmed
     leadership_changed: bool = False
--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -1,14 +1,14 @@
-"""Elections: when a replica campaigns, whom it votes for, and how it counts its votes.
+"""Leader election: when a replica campaigns, for whom it votes, and how it counts its votes.
 
-Raft's elections with pre-vote (Ongaro 2014, sections 3.4 and 9.6).  The voters' order takes the place of
-chance: the earlier a voter stands in the group, the sooner it campaigns.
+Raft's elections with pre-vote (Ongaro 2014, sections 3.4 and 9.6).  Instead of a random timeout, the order of
+the voters decides: the earlier a voter stands in the group, the sooner it campaigns.
 
-Whoever is asked votes, also a replica that its own log doesn't name yet (4.2.2): the entry that names it
-may be the very one that waits for its vote.  A candidate counts the votes of its own group alone.
+A replica votes for any candidate that asks, even if its own log doesn't name the replica as a voter yet
+(4.2.2): the entry that adds it may be waiting for its vote.  A candidate counts only votes of its own group.
 
-Invariant: a vote leaves, and a replica's own vote counts, only once it is on its disk.
-Hazard: a replica that was cut off and comes back with a higher term would end a good leadership; its
-pre-vote is refused by voters that still hear the leader.
+Invariant: a vote is sent, and a replica's vote for itself counts, only once it is durable.
+Hazard: a replica that was partitioned and comes back with a higher term would depose a healthy leader; its
+pre-vote is rejected by voters that still have contact with the leader.
 """
 
 from __future__ import annotations
@@ -44,10 +44,10 @@
 
 
 class Election:
-    """One replica's part in elections while it doesn't lead.
+    """A replica's part in elections while it is not the leader.
 
-    `last_contact_at` is when a leader last spoke.  A candidacy stays open while a new pre-vote runs, so that
-    votes which slow disks delay still count.
+    `last_contact_at` is when a leader's message last arrived.  A candidacy stays open while a new pre-vote
+    runs, so that votes delayed by slow disks still count.
     """
 
     def __init__(self, state: ReplicaState, now: float) -> None:
@@ -61,24 +61,24 @@
         self._pre_vote_backoff_until = NEVER
         self._vote_pending = False
 
-    def leader_contacted(self, now: float) -> None:
-        """A leader spoke: no candidacy of this replica goes on."""
+    def record_leader_contact(self, now: float) -> None:
+        """Records a message of a leader, which ends any campaign of this replica."""
         self.last_contact_at = now
         self._pre_vote_backoff_until = NEVER
         self.restart_timeout(now)
 
     def restart_timeout(self, now: float) -> None:
-        """Ends any campaign and counts the time without a leader from now."""
+        """Ends any campaign and restarts the time without a leader."""
         self._no_leader_since = now
         self.end_campaigns()
 
     def end_campaigns(self) -> None:
-        """Ends any campaign of this replica; due once its term is over."""
+        """Ends any campaign of this replica; called when its term is over."""
         self._pre_vote = None
         self._candidacy = None
 
     def is_due(self, now: float) -> bool:
-        """Whether this replica should run a pre-vote now."""
+        """Whether this replica should start a pre-vote now."""
         state = self._state
         if not state.is_voter or self._vote_pending or state.disk_stalls(now):
             return False
@@ -100,7 +100,7 @@
             self.become_candidate()
 
     def become_candidate(self) -> None:
-        """Enters the next term, votes for itself and asks the others for their votes."""
+        """Enters the next term, votes for this replica and requests the votes of the others."""
         state = self._state
         state.raise_term(state.term + 1)
         state.vote_for(state.identity)
@@ -111,8 +111,8 @@
         for voter in state.other_voters():
             state.send_after_write(voter, request)
 
-    def answer(self, request: RequestVote, now: float, is_leader: bool) -> None:
-        """Answers a candidate; an earnest request's newer term has been entered before."""
+    def answer_vote_request(self, request: RequestVote, now: float, is_leader: bool) -> None:
+        """Answers a candidate; the newer term of a request that is no pre-vote has already been entered."""
         state = self._state
         if request.pre_vote:
             granted = not is_leader and self._grants_pre_vote(request, now)
@@ -127,8 +127,8 @@
         else:
             state.send(request.sender, reply)
 
-    def count(self, reply: VoteReply) -> bool:
-        """Counts a granted vote; True where it makes this replica the leader."""
+    def count_vote(self, reply: VoteReply) -> bool:
+        """Counts a granted vote; returns True if it makes this replica the leader."""
         campaign = self._pre_vote if reply.pre_vote else self._candidacy
         if campaign is None or reply.term != campaign.term:
             return False
@@ -141,7 +141,9 @@
         return True
 
     def handle_completed_writes(self, now: float) -> bool:
-        """Writes were done; True where this replica's own vote is now on its disk and makes it the leader."""
+        """Handles completed writes; returns True if the replica's own vote is durable now and makes it the
+        leader.
+        """
         if not self._vote_pending or not self._state.hard_state_durable:
             return False
         self._vote_pending = False
--- a/kestrelbend/tier/replication/entry_sender.py
+++ b/kestrelbend/tier/replication/entry_sender.py
@@ -1,11 +1,12 @@
-"""What a leader sends its followers and when: heartbeats, entries, snapshots, a new commit index.
+"""Decides what a leader sends its followers and when: heartbeats, entries, snapshots, a new commit index.
 
-Log replication (Ongaro 2014, section 3.5) with pipelined entries (10.2.1): entries leave before the
-leader's own disk holds them.
+Log replication (Ongaro 2014, section 3.5) with pipelined entries (10.2.1): entries are sent before they are
+durable at the leader.
 
-Invariant: a message's `previous_index` names an entry that the follower can hold when the message comes,
-also where smaller messages overtake larger ones on their way.
-Hazard: entries sent again and again to a follower that is slow, not lost; see `Progress.is_overtaken`.
+Invariant: a message's `previous_index` names an entry that the follower can hold when the message arrives,
+even if smaller messages overtake larger ones.
+Hazard: entries that are sent again and again to a follower that is slow but has lost nothing; see
+`Progress.is_overtaken`.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from .snapshot_transfer import SnapshotSender, chunk_message
 from .state import ReplicaState
 
-ENTRY_BYTES = 64  # what an entry costs beside its data, about
+ENTRY_BYTES = 64  # approximate size of an entry without its data
 
 
 class EntrySender:
-    """The sending side of one leadership, begun at `elected_at` seconds of the steady clock."""
+    """The sending side of one leadership, which began at `elected_at` seconds of the monotonic clock."""
 
     def __init__(
         self, state: ReplicaState, rounds: HeartbeatRounds, elected_at: float, announces_commits: bool
@@ -29,12 +30,12 @@
         self._timing = state.timing
         self._rounds = rounds
         self._elected_at = elected_at
-        self._announces_commits = announces_commits  # at once, not with the next entries or round
+        self._announces_commits = announces_commits  # at once instead of with the next entries or round
 
     def send_due(self, followers: dict[ReplicaId, Progress], now: float) -> None:
         """Sends each follower all that is due.
 
-        A follower that has not replied for a while gets heartbeats alone, until it does.
+        A follower that has not replied for a while receives only heartbeats until it replies.
         """
         for identity, progress in followers.items():
             if progress.sent_round < self._rounds.current:
@@ -46,7 +47,7 @@
                 self._send_append(identity, progress, (), now)
 
     def _lacks_commit(self, progress: Progress, now: float) -> bool:
-        """Whether the follower could commit more than it was sent."""
+        """Whether the follower could commit more than the commit index it was sent."""
         return progress.sent_commit_index < min(self._state.commit_index, self._previous_index(progress, now))
 
     def _send_entries(self, identity: ReplicaId, progress: Progress, now: float) -> None:
@@ -74,7 +75,7 @@
             state.send(identity, message)
 
     def _previous_index(self, progress: Progress, now: float) -> int:
-        """The entry that a message follows: the last one sent, unless that may come after the message."""
+        """The entry that a message follows: the last one sent, unless that may arrive after the message."""
         index = progress.next_index - 1
         if progress.is_overtaken(now, self._timing):
             index = min(index, progress.match_index)
@@ -86,7 +87,7 @@
         state = self._state
         previous = self._previous_index(progress, now)
         previous_term = self._log.term_at(previous)
-        assert previous_term is not None, "entries after one that the log doesn't hold"
+        assert previous_term is not None, "the previous index is not in the log"
         progress.sent_round = self._rounds.current
         progress.sent_commit_index = min(state.commit_index, previous + len(entries))
         message = AppendEntries(
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -1,10 +1,10 @@
-"""The following side of replication: entries and snapshots from a leader into the log.
+"""The follower's side of replication: stores entries and snapshots of the leader in the log.
 
 Source: Ongaro 2014, sections 3.5 (log matching) and 5.1 (snapshots in place of entries).
 
-Invariant: an acknowledged index is on this replica's disk and equal to the leader's log up to there.
-Hazard: entries of an older leader that a late message would put back; what is committed here, or held
-with the same term, is never replaced.
+Invariant: the log up to an acknowledged index is durable here and equal to the leader's log.
+Hazard: a late message that would restore entries of an older leader; entries that are committed, or that
+the log holds with the same term, are never replaced.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FollowerState:
-    """What a replica knows of the leader of one term: `_verified_index` is how far their logs agree."""
+    """A replica's state as a follower of one term's leader; their logs agree up to `_verified_index`."""
 
     def __init__(self, state: ReplicaState, leader: ReplicaId) -> None:
         self.leader = leader
@@ -22,19 +22,19 @@
         self._log = state.log
         self._verified_index = 0
         self._round = 0
-        self._last_reply: tuple[int, int] | None = None  # its round and its match index
+        self._last_reply: tuple[int, int] | None = None  # round and match index
         self._reply_pending = False
 
     def append(self, message: AppendEntries) -> None:
-        """Takes the entries in and answers, once they are on the disk.
+        """Stores the entries and replies once they are durable.
 
-        A heartbeat is answered without waiting for the disk, by what the disk holds already.
+        A heartbeat is answered without waiting for the disk, with the index that is already durable.
         """
         if not self._log_matches(message):
             self._reject(message)
             return
         self._store_entries(message)
-        self._verify(message.previous_index + len(message.entries), message.round)
+        self._record_verified(message.previous_index + len(message.entries), message.round)
         self._state.commit_to(min(message.commit_index, self._verified_index))
         if message.entries:
             self._accept_when_durable()
@@ -42,9 +42,9 @@
             self._accept()
 
     def receive_chunk(self, message: SnapshotChunk) -> None:
-        """Takes a chunk in and replies how much is here; a complete snapshot is installed.
+        """Stores a chunk and replies with the number of bytes received; installs a complete snapshot.
 
-        An installed one is acknowledged as entries are, once it is on the disk.
+        An installed snapshot is acknowledged like entries, once it is durable.
         """
         state = self._state
         if message.snapshot.index <= state.commit_index:
@@ -61,12 +61,12 @@
             self._acknowledge_snapshot(message)
 
     def _acknowledge_snapshot(self, message: SnapshotChunk) -> None:
-        """All up to the snapshot's index is here, by this snapshot or by committed entries."""
-        self._verify(message.snapshot.index, message.round)
+        """Acknowledges the log up to the snapshot's index, which this snapshot or committed entries cover."""
+        self._record_verified(message.snapshot.index, message.round)
         self._accept_when_durable()
 
     def handle_completed_writes(self) -> None:
-        """Answers as far as the disk has come, where an answer waits for it."""
+        """Sends the pending reply for what is durable now, if there is one."""
         if self._reply_pending and (self._round, self._match_index) != self._last_reply:
             self._reply_pending = self._match_index < self._verified_index
             self._accept()
@@ -75,18 +75,18 @@
     def _match_index(self) -> int:
         return min(self._log.durable_index, self._verified_index)
 
-    def _verify(self, index: int, round_number: int) -> None:
+    def _record_verified(self, index: int, round_number: int) -> None:
         self._verified_index = max(self._verified_index, index)
         self._round = max(self._round, round_number)
 
     def _log_matches(self, message: AppendEntries) -> bool:
-        """Whether this log holds the entry that the message's entries follow."""
+        """Whether this log holds the entry that precedes the message's entries."""
         if message.previous_index <= self._state.commit_index:
             return True
         return self._log.term_at(message.previous_index) == message.previous_term
 
     def _store_entries(self, message: AppendEntries) -> None:
-        """Takes the entries from the first one on that differs from what is here."""
+        """Replaces the log from the first entry on that differs from it."""
         for position, entry in enumerate(message.entries):
             if entry.index <= self._state.commit_index or self._log.term_at(entry.index) == entry.term:
                 continue
@@ -104,7 +104,9 @@
         self._reply(True, self._match_index, self._round)
 
     def _reject(self, message: AppendEntries) -> None:
-        """Tells the leader where to go on: before the term of the entry that differs, or at the log's end."""
+        """Rejects the message with the index to continue after: before the conflicting term, or the log's
+        end.
+        """
         hint = min(message.previous_index - 1, self._log.last_index)
         if self._log.term_at(message.previous_index) is not None:
             hint = self._log.first_index_of_term_at(message.previous_index) - 1
--- a/kestrelbend/tier/replication/host.py
+++ b/kestrelbend/tier/replication/host.py
@@ -1,9 +1,9 @@
-"""The replicas of one process: where they meet the connections, the disk and their state machines.
+"""The replicas of one process, connected to its network connections, its journal and their state machines.
 
-The replicas are pure.  Invariant: effects are carried out in one order: writes are handed to the journal,
-then messages leave, then commands are applied and callers answered.
+The replicas do no I/O.  Invariant: effects are processed in one order: writes are passed to the journal,
+then messages are sent, then commands are applied and callers answered.
 Hazard: a call into a replica whose effects nobody drains; every method here that may change a replica
-ends with `_carry_out`, except `propose`, whose caller ends a batch of proposals by `flush`.
+ends with `_process_effects`, except `propose`, whose caller ends a batch of proposals with `flush`.
 """
 
 from __future__ import annotations
@@ -55,32 +55,32 @@
         self._disk = ReplicaDisk(identity, journal, encode)
         self._hosted: dict[ShardId, HostedReplica] = {}
 
-    # What is here
+    # State
 
     def load(self, records: list[DurableRecord]) -> None:
-        """Replays the disk's records, oldest first; replicas are opened from it afterwards."""
+        """Replays the disk's records, oldest first; replicas opened afterwards start from them."""
         self._disk.load(records)
 
     def stored_shards(self) -> list[ShardId]:
-        """Shards that the disk holds a replica of."""
+        """The shards of which the disk holds a replica."""
         return self._disk.shards()
 
     def shards(self) -> list[ShardId]:
-        """Shards with a replica here."""
+        """The shards with an open replica."""
         return list(self._hosted)
 
     def replica(self, shard: ShardId) -> Replica | None:
-        """The replica of a shard, if there is one here."""
+        """The open replica of a shard, or None."""
         hosted = self._hosted.get(shard)
         return None if hosted is None else hosted.replica
 
     def state_machine(self, shard: ShardId) -> StateMachine | None:
-        """The state machine of a shard, if there is one here."""
+        """The state machine of a shard's open replica, or None."""
         hosted = self._hosted.get(shard)
         return None if hosted is None else hosted.state_machine
 
     def open(self, shard: ShardId, founders: tuple[ReplicaId, ...], now: float) -> Replica:
-        """The replica of a shard, begun from the disk where it isn't here yet."""
+        """Returns the replica of a shard, opening it from the disk if it isn't open yet."""
         hosted = self._hosted.get(shard)
         if hosted is not None:
             return hosted.replica
@@ -96,13 +96,13 @@
         )
         hosted = HostedReplica(replica, self._create_state_machine(shard))
         self._hosted[shard] = hosted
-        self._carry_out(hosted)
+        self._process_effects(hosted)
         return replica
 
-    # What happens
+    # Events
 
     def receive(self, message: ReplicaMessage, now: float) -> None:
-        """A message from another replica; a leader's message begins a replica where none is here."""
+        """Handles a message from another replica; a leader's message may open a replica of its shard."""
         hosted = self._hosted.get(message.shard)
         if hosted is None:
             if not isinstance(message, AppendEntries | SnapshotChunk) or not self._may_host(message.shard):
@@ -110,56 +110,56 @@
             self.open(message.shard, (), now)
             hosted = self._hosted[message.shard]
         hosted.replica.receive(message, now)
-        self._carry_out(hosted)
+        self._process_effects(hosted)
 
     def handle_reconnection(self, replica: ReplicaId) -> None:
-        """A new connection to another replica's process stands."""
+        """A new connection to another replica's process is open: earlier messages may be lost."""
         for hosted in self._hosted.values():
             hosted.replica.handle_reconnection(replica)
-            self._carry_out(hosted)
+            self._process_effects(hosted)
 
     def tick(self, now: float) -> None:
-        """Time went on; called about every 20 ms."""
+        """Does what is due at this time; called about every 20 ms."""
         for hosted in list(self._hosted.values()):
             hosted.replica.tick(now)
-            self._carry_out(hosted)
+            self._process_effects(hosted)
         self._advance_snapshot()
-        self._disk.checkpoint_when_large(self._hosted.values())
+        self._disk.checkpoint_if_due(self._hosted.values())
 
     def complete_writes(self, tickets: list[int], now: float) -> None:
-        """The journal has made these records durable."""
-        touched: dict[int, HostedReplica] = {}
+        """The journal has made the records with these tickets durable."""
+        affected: dict[int, HostedReplica] = {}
         for journal_ticket in tickets:
             write = self._disk.end_write(journal_ticket)
             write.hosted.replica.complete_write(write.ticket, now)
-            touched[id(write.hosted)] = write.hosted
-        for hosted in touched.values():
-            self._carry_out(hosted)
+            affected[id(write.hosted)] = write.hosted
+        for hosted in affected.values():
+            self._process_effects(hosted)
 
-    # What is asked
+    # Requests
 
     def propose(self, shard: ShardId, command: bytes, outcome: OutcomeCallback, now: float) -> bool:
-        """Proposes a command; `outcome` gets the state machine's, None where it may or may not count."""
+        """Proposes a command; `outcome` gets the state machine's, or None if the result is unknown."""
         hosted = self._hosted.get(shard)
         return hosted is not None and hosted.propose(command, outcome, now)
 
     def confirm_read(self, shard: ShardId, outcome: Callable[[bool], None], now: float) -> bool:
-        """Calls back with True once the state here is the newest there is; False where that can't be said."""
+        """Calls back with True once the state here is confirmed as current, False if that is impossible."""
         hosted = self._hosted.get(shard)
         if hosted is None or not hosted.confirm_read(outcome, now):
             return False
-        self._carry_out(hosted)
+        self._process_effects(hosted)
         return True
 
     def flush(self, shard: ShardId) -> None:
-        """Sends and writes what proposals have left to do; several proposals share one write."""
+        """Processes the effects of proposals; several proposals share one write."""
         hosted = self._hosted.get(shard)
         if hosted is not None:
-            self._carry_out(hosted)
+            self._process_effects(hosted)
 
-    # What comes of it
+    # Effects
 
-    def _carry_out(self, hosted: HostedReplica) -> None:
+    def _process_effects(self, hosted: HostedReplica) -> None:
         effects = hosted.replica.drain_effects()
         for ticket, record in effects.writes:
             self._disk.write(hosted, ticket, record)
@@ -170,9 +170,9 @@
             self._on_applied(hosted.replica.shard)
 
     def _advance_snapshot(self) -> None:
-        """Some steps of one snapshot; the others wait for it."""
+        """Runs some steps of one pending snapshot; others wait for it to complete."""
         for hosted in self._hosted.values():
             if hosted.is_taking_snapshot:
                 if hosted.advance_snapshot():
-                    self._carry_out(hosted)
+                    self._process_effects(hosted)
                 return
--- a/kestrelbend/tier/replication/hosted.py
+++ b/kestrelbend/tier/replication/hosted.py
@@ -1,8 +1,8 @@
-"""A replica and its state machine: commands applied, proposers answered, snapshots made in steps.
+"""A replica with its state machine: applies commands, answers proposers, takes snapshots in steps.
 
 Invariants: the state machine has applied exactly the committed entries up to the replica's
-`applied_index`, in their order; each proposal and each read is answered once.
-Hazard: a proposal's index that another leader's entry takes: the outcome counts only where the entry
+`applied_index`, in order; each proposal and each read is answered once.
+Hazard: an entry of another leader at the index of a proposal: the outcome counts only if the entry
 has the term in which the command was proposed.
 """
 
@@ -17,8 +17,8 @@
 from .messages import Entry, EntryKind
 from .replica import Replica
 
-COMPACT_ENTRIES = 2000  # between two snapshots, unless the entries are large
-COMPACT_BYTES = 16 << 20  # of commands, from which on a snapshot is due
+COMPACT_ENTRIES = 2000  # entries between two snapshots, unless the entries are large
+COMPACT_BYTES = 16 << 20  # bytes of commands after which a snapshot is due
 SNAPSHOT_STEPS_PER_TICK = 4
 
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class PendingSnapshot:
-    """A snapshot under way, of the state after the entry `index`."""
+    """A pending snapshot of the state after the entry `index`."""
 
     index: int
     image: SnapshotImage
@@ -47,10 +47,10 @@
     _proposals: dict[int, PendingProposal] = attrs.field(factory=dict, init=False)  # by index
     _reads: dict[int, Callable[[bool], None]] = attrs.field(factory=dict, init=False)  # by ticket
     _snapshot: PendingSnapshot | None = attrs.field(default=None, init=False)
-    _applied_bytes: int = attrs.field(default=0, init=False)  # since the last snapshot was begun
+    _applied_bytes: int = attrs.field(default=0, init=False)  # since the last snapshot began
 
     def propose(self, command: bytes, outcome: OutcomeCallback, now: float) -> bool:
-        """Proposes a command; False where this replica can't take it."""
+        """Proposes a command; returns False if this replica can't accept it."""
         index = self.replica.propose(command, now)
         if index is None:
             return False
@@ -58,7 +58,7 @@
         return True
 
     def confirm_read(self, outcome: Callable[[bool], None], now: float) -> bool:
-        """Begins a read by index; False where this replica can't confirm one."""
+        """Begins a read index operation; returns False if this replica can't confirm one."""
         ticket = self.replica.confirm_read(now)
         if ticket is None:
             return False
@@ -66,7 +66,7 @@
         return True
 
     def apply_effects(self, effects: Effects) -> None:
-        """Brings the state machine to the commit index and answers who waited for it."""
+        """Applies committed entries to the state machine and answers the proposals and reads that waited."""
         if effects.restore is not None:
             self._snapshot = None
             self._applied_bytes = 0
@@ -103,7 +103,7 @@
     def _begin_snapshot_when_due(self, entry: Entry) -> None:
         """Begins a snapshot after the entry, at the same indexes on all replicas unless entries are large.
 
-        Replicas with the same snapshots can go on with each other's transfers.
+        Replicas that took the same snapshot can continue each other's transfers.
         """
         self._applied_bytes += len(entry.data)
         due = entry.index % COMPACT_ENTRIES == 0 or self._applied_bytes >= COMPACT_BYTES
@@ -113,11 +113,11 @@
 
     @property
     def is_taking_snapshot(self) -> bool:
-        """Whether a snapshot is under way."""
+        """Whether a snapshot is pending."""
         return self._snapshot is not None
 
     def advance_snapshot(self) -> bool:
-        """Some steps of the snapshot under way; whether it is complete now and the log compacted by it."""
+        """Runs some steps of the pending snapshot; returns True if it completed and the log was compacted."""
         pending = self._snapshot
         if pending is None:
             return False
--- a/kestrelbend/tier/replication/interfaces.py
+++ b/kestrelbend/tier/replication/interfaces.py
@@ -1,7 +1,7 @@
-"""What a host of replicas needs of others: state machines, their snapshots, and the process's disk.
+"""What a host of replicas needs from other packages: state machines, snapshots, the process's journal.
 
 Hazard: a state machine whose `apply` depends on anything but its state and the command: its replicas
-would differ without anybody noticing.
+would diverge undetected.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 
 
 class SnapshotImage(Protocol):
-    """A state machine's state at one moment, on its way to bytes."""
+    """A state machine's state at one point in time, serialized in steps."""
 
     def advance(self) -> bytes | None:
-        """A step of a few milliseconds; the complete state with the last one."""
+        """Runs one step of a few milliseconds; returns the complete state with the last step."""
 
 
 class StateMachine(Protocol):
-    """What a shard's committed commands are applied to."""
+    """The state machine to which a shard's committed commands are applied."""
 
     def apply(self, command: bytes) -> object:
-        """Applies one command; deterministic.  The outcome goes to the proposer, if it is here."""
+        """Applies one command; deterministic.  The outcome goes to the proposer, if it is in this process."""
 
     def begin_snapshot(self) -> SnapshotImage:
-        """The state as it is now, to be saved in steps while commands go on being applied."""
+        """Captures the present state, to be serialized in steps while further commands are applied."""
 
     def snapshot(self) -> bytes:
-        """The complete state at once."""
+        """Returns the complete state at once."""
 
     def restore(self, state: bytes) -> None:
-        """Replaces the state by a snapshot's."""
+        """Replaces the state with that of a snapshot."""
 
 
 class Journal(Protocol):
-    """The process's disk, see `storage.journal`."""
+    """The process's journal on its disk, see `storage.journal`."""
 
     @property
     def wants_checkpoint(self) -> bool:
         """Whether the records have grown so large that a checkpoint should replace them."""
 
     def append(self, ticket: int, record: Record) -> None:
-        """Takes a record to be written; its ticket comes back once it is durable."""
+        """Queues a record to be written; its ticket is reported once the record is durable."""
 
     def checkpoint(self, records: list[Record]) -> None:
-        """Replaces all records so far by these."""
+        """Replaces all records so far with these."""
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -1,12 +1,12 @@
-"""What a replica holds only while it leads the shard: its followers, its rounds, its waiting reads.
+"""The state of a leader: its followers, heartbeat rounds and pending reads.
 
 Commitment by a majority's disks (Ongaro 2014, sections 3.5 and 3.6.2), check-quorum (6.2), and reads that
 a heartbeat round confirms (6.4).
 
-Invariant: nothing counts as stored by a follower but what a reply of this term has acknowledged, and
-nothing as confirmed but by a round that began after it was asked for.
-Hazard: entries of older terms that a majority holds and that a later leader may still replace; they are
-committed only along with one of this term.
+Invariant: a follower counts as storing only what its replies of this term have acknowledged, and a read
+counts as confirmed only by a round that began after the read was requested.
+Hazard: entries of older terms that a majority stores may still be replaced by a later leader; they are
+committed only together with an entry of this term.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @attrs.define
 class CommitPoint:
-    """The commit index at a moment, in seconds of the steady clock."""
+    """The commit index at a time, in seconds of the monotonic clock."""
 
     at: float
     commit_index: int
@@ -35,7 +35,7 @@
 class LeaderState:
     """The leader's side of replication in one term.
 
-    Invariant: nothing counts as stored by a follower but what a reply of this term has acknowledged.
+    Invariant: a follower counts as storing only what its replies of this term have acknowledged.
     """
 
     def __init__(self, state: ReplicaState, now: float, announces_commits: bool) -> None:
@@ -50,16 +50,16 @@
         self._reads = PendingReads()
         self._round_started_at = NEVER
         self._round_requested = False
-        self._commit_history: deque[CommitPoint] = deque()  # one a round
+        self._commit_history: deque[CommitPoint] = deque()  # one for each round
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        """Adds an entry of this term; its index."""
+        """Appends an entry of this term and returns its index."""
         index = self._log.last_index + 1
         self._log.append(Entry(index, self._state.term, kind, data))
         return index
 
     def set_followers(self, identities: Iterable[ReplicaId]) -> None:
-        """Replicates to exactly these replicas from here on."""
+        """Sets the replicas that receive the log from now on."""
         wanted = dict.fromkeys(identity for identity in identities if identity != self._state.identity)
         for identity in [known for known in self.followers if known not in wanted]:
             del self.followers[identity]
@@ -68,7 +68,7 @@
                 self.followers[identity] = Progress(next_index=self._log.last_index + 1)
 
     def begin_round(self, now: float) -> None:
-        """Begins a heartbeat round; its messages go out with the next `send_due`."""
+        """Begins a heartbeat round; its messages are sent by the next `send_due`."""
         self._rounds.start(now)
         self._commit_history.append(CommitPoint(now, self._state.commit_index))
         self._trim_commit_history(now - self._timing.election_timeout)
@@ -76,52 +76,56 @@
         self._round_requested = False
 
     def begin_due_round(self, now: float) -> None:
-        """Begins a round where the last one is a heartbeat interval old."""
+        """Begins a round if the last one is a heartbeat interval old."""
         if now - self._round_started_at >= self._timing.heartbeat:
             self.begin_round(now)
 
     def confirm_read(self, ticket: int) -> None:
-        """Adds a read of what is committed now, or of this term's first entry where that is later."""
+        """Adds a local read of what is committed now, or of this term's first entry if that is later."""
         self._add_read(ticket, LOCAL)
         self._round_requested = True
 
     def confirm_for_follower(self, follower: ReplicaId, ticket: int) -> None:
-        """Adds a follower's read; it waits for the next heartbeat round, which costs no message more."""
+        """Adds a follower's read; it waits for the next heartbeat round, so that it costs no additional
+        messages.
+        """
         self._add_read(ticket, follower)
 
     def _add_read(self, ticket: int, requester: ReplicaId) -> None:
         self._reads.add(PendingRead(ticket, self._rounds.current + 1, self._read_index(), requester))
 
     def _read_index(self) -> int:
-        """What a read must see: all that is committed now; a new leader learns that by its first entry."""
+        """The index a read must see: all that is committed, which a new leader knows only from its first
+        entry on.
+        """
         return max(self._state.commit_index, self.first_index_of_term)
 
     def pending_local_reads(self) -> list[int]:
-        """The tickets of this replica's own reads that wait for their confirmation."""
+        """The tickets of this replica's own reads that wait for confirmation."""
         return self._reads.local_tickets()
 
     def confirmed_reads(self) -> list[PendingRead]:
-        """The reads that may be answered now."""
+        """Removes and returns the reads that may be answered now."""
         if not self._reads:
             return []
         return self._reads.take_ready(self._majority_round(), self._state.commit_index)
 
     @property
     def confirmed_at(self) -> float:
-        """When the latest round began that a majority has acknowledged; NEVER where none has."""
+        """The start time of the latest round that a majority has acknowledged, or NEVER."""
         return self._rounds.started_at(self._majority_round())
 
     def _majority_round(self) -> int:
         return self._quorum_value(self._acknowledged_round)
 
     def receive_append_reply(self, reply: AppendReply, now: float) -> None:
-        """Takes in a follower's reply of this term."""
+        """Handles a follower's reply of this term."""
         progress = self._record_contact(reply)
         if progress is None:
             return
         if reply.accepted:
             progress.record_match(min(reply.match_index, self._log.last_index), now)
-        self._end_needless_transfer(progress, reply)
+        self._end_unneeded_transfer(progress, reply)
         if reply.accepted or progress.transfer is not None:
             return
         if reply.round >= progress.fallback_round:
@@ -129,7 +133,7 @@
             progress.fall_back(reply.match_index, self._rounds.current)
 
     def receive_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """Takes in how much a follower has of the snapshot that is under way to it."""
+        """Handles a follower's reply about the snapshot in transit to it."""
         progress = self._record_contact(reply)
         if progress is None or progress.transfer is None:
             return
@@ -140,7 +144,7 @@
             progress.transfer = None
 
     def resend(self, identity: ReplicaId) -> None:
-        """What is under way to this replica may be lost with its connection."""
+        """Treats what is in flight to this replica as lost with its connection."""
         progress = self.followers.get(identity)
         if progress is not None:
             progress.resend()
@@ -156,7 +160,7 @@
         return min((index for index in needed if index >= self._log.base_index), default=self._log.last_index)
 
     def _record_contact(self, reply: AppendReply | SnapshotReply) -> Progress | None:
-        """Notes that a follower confirmed the leadership in the reply's round."""
+        """Records that a follower confirmed the leadership in the reply's round."""
         progress = self.followers.get(reply.sender)
         if progress is None or reply.round > self._rounds.current:
             return None
@@ -164,8 +168,11 @@
         progress.acknowledged_round = max(progress.acknowledged_round, reply.round)
         return progress
 
-    def _end_needless_transfer(self, progress: Progress, reply: AppendReply) -> None:
-        """Ends a transfer to a follower that holds what the log goes on from, or has committed as much."""
+    def _end_unneeded_transfer(self, progress: Progress, reply: AppendReply) -> None:
+        """Ends a snapshot transfer that the follower no longer needs.
+
+        That is so once its log reaches the base of this log, or it has committed up to the snapshot's index.
+        """
         transfer = progress.transfer
         if transfer is None:
             return
@@ -173,9 +180,10 @@
             progress.transfer = None
 
     def advance_commit(self) -> bool:
-        """Commits what a majority's disks hold, once that reaches into this term; whether any was.
+        """Commits what is durable at a majority, if that includes an entry of this term; whether any entry
+        was.
 
-        An older term's entries are committed only along with one of this term (Ongaro 2014, 3.6.2).
+        Entries of older terms are committed only together with one of this term (Ongaro 2014, 3.6.2).
         """
         index = self._quorum_value(self._match_index)
         if index <= self._state.commit_index or index < self.first_index_of_term:
@@ -189,7 +197,7 @@
         return self._state.commit_index >= self.first_index_of_term
 
     def is_live(self, identity: ReplicaId, now: float) -> bool:
-        """Whether the replica acknowledged a round begun within the election timeout."""
+        """Whether the replica acknowledged a round that began within the election timeout."""
         if identity == self._state.identity:
             return True
         progress = self.followers.get(identity)
@@ -204,7 +212,7 @@
     def is_caught_up(self, identity: ReplicaId, now: float) -> bool:
         """Whether the replica's disk holds all that was committed an election timeout ago.
 
-        What it lacks it gets sooner than a leader could be replaced (the last round of Ongaro 2014, 4.2.1).
+        It receives the rest sooner than a leader could be replaced (the last round of Ongaro 2014, 4.2.1).
         A replica that holds all that is committed now is caught up however young the leadership is.
         """
         return self._match_index(identity) >= self._committed_before(now - self._timing.election_timeout)
@@ -214,19 +222,19 @@
         return self._match_index(identity) >= index
 
     def _committed_before(self, moment: float) -> int:
-        """The newest commit index noted at `moment` or before; the present one where none was."""
+        """The newest commit index recorded at `moment` or before, or the present one if there is none."""
         self._trim_commit_history(moment)
         if not self._commit_history or self._commit_history[0].at > moment:
             return self._state.commit_index
         return max(self.first_index_of_term, self._commit_history[0].commit_index)
 
     def _trim_commit_history(self, moment: float) -> None:
-        """Keeps the newest milestone of `moment` or before, and all later ones."""
+        """Keeps the newest commit point of `moment` or before, and all later ones."""
         while len(self._commit_history) > 1 and self._commit_history[1].at <= moment:
             self._commit_history.popleft()
 
     def send_due(self, now: float) -> None:
-        """Sends the followers all that is due, a round for waiting reads first."""
+        """Sends the followers all that is due, after beginning a round if reads wait for one."""
         if self._round_requested:
             self.begin_round(now)
         self._sender.send_due(self.followers, now)
--- a/kestrelbend/tier/replication/leadership_transfer.py
+++ b/kestrelbend/tier/replication/leadership_transfer.py
@@ -1,8 +1,8 @@
 """Leadership transfer to another voter (Ongaro 2014, section 3.10).
 
 Invariant: the receiver is asked to campaign only once its disk holds the leader's complete log, and the
-leader takes no proposals in the meantime.
-Hazard: a transfer that nobody takes up would stop the shard; it ends after `Timing.transfer_timeout`.
+leader accepts no proposals in the meantime.
+Hazard: a transfer that no voter completes would block the shard; it ends after `Timing.transfer_timeout`.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 @attrs.define
 class LeadershipTransfer:
-    """A transfer under way, to one of `candidates`; it ends with the leadership, or by its time-out."""
+    """A pending transfer to one of `candidates`; it ends with the leadership or by its timeout."""
 
     began_at: float
     candidates: tuple[ReplicaId, ...]
     _requested_at: float = NEVER
 
     def has_timed_out(self, now: float, state: ReplicaState) -> bool:
-        """Whether the leadership should have gone over by now."""
+        """Whether the transfer has taken longer than its timeout."""
         return now - self.began_at > state.timing.transfer_timeout
 
     def advance(self, state: ReplicaState, leader: LeaderState, now: float) -> None:
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -1,10 +1,10 @@
-"""A replica's log: the entries that it holds, those on its disk, and the voters that they name.
+"""A replica's log: its entries, which of them are durable, and the voters that they name.
 
-Invariant: `durable_index` never counts an entry that the disk doesn't hold as the log does; an entry
-that is replaced is taken out of every write still under way.
+Invariant: `durable_index` never covers an entry that differs on the disk; when entries are replaced,
+pending writes no longer count for them.
 
 Source: Ongaro 2014, sections 3.5 (the log), 4.1 (the newest group counts at once) and 5 (compaction).
-Hazard: a write that ends after its entries were replaced; see `_cap_durable`.
+Hazard: a write that completes after its entries were replaced; see `_cap_durable`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @attrs.define
 class PendingWrite:
-    """A write under way: once done, the disk holds the log up to `last_index`."""
+    """A pending write; once complete, the disk holds the log up to `last_index`."""
 
     ticket: int
     last_index: int
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class NumberedGroup:
-    """The voters from the entry `index` on, and the number of the placement that they are a step towards."""
+    """The voters from the entry `index` on, and the number of the placement towards which they are a step."""
 
     index: int
     voters: Voters
@@ -34,7 +34,9 @@
 
 
 class ReplicaLog:
-    """Entries `base_index + 1` to `last_index`; all before are in `snapshot`, which may reach further."""
+    """Holds the entries `base_index + 1` to `last_index`; earlier entries are covered by `snapshot`, which
+    may also cover some of those held.
+    """
 
     def __init__(self, durable: DurableState) -> None:
         self.snapshot = durable.snapshot
@@ -50,7 +52,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the newest entry, or of the snapshot where no entry follows it."""
+        """The index of the newest entry, or of the snapshot if no entry follows it."""
         return self.base_index + len(self.entries)
 
     @property
@@ -60,7 +62,7 @@
 
     @property
     def voters(self) -> Voters:
-        """The voters that the newest GROUP entry names, committed or not (Ongaro 2014, section 4.1)."""
+        """The voters named by the newest GROUP entry, committed or not (Ongaro 2014, section 4.1)."""
         return self._newest_group.voters
 
     @property
@@ -70,11 +72,11 @@
 
     @property
     def placement_number(self) -> int:
-        """The number of the placement that `voters` are a step towards; it never falls along a log."""
+        """The number of the placement towards which `voters` are a step; it never decreases along a log."""
         return self._newest_group.placement_number
 
     def group_at(self, index: int) -> NumberedGroup:
-        """The group as of the version `index`."""
+        """The group as of the entry `index`."""
         group = self._snapshot_group
         for later in self._groups:
             if later.index <= index:
@@ -82,7 +84,7 @@
         return group
 
     def voters_at(self, index: int) -> Voters:
-        """The voters as of the version `index`."""
+        """The voters as of the entry `index`."""
         return self.group_at(index).voters
 
     @property
@@ -95,7 +97,7 @@
         return NumberedGroup(snapshot.index, snapshot.voters, snapshot.placement_number)
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at `index`, or None where the log holds none."""
+        """The term of the entry at `index`, or None if the log doesn't hold it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -103,18 +105,20 @@
         return None
 
     def first_index_of_term_at(self, index: int) -> int:
-        """The first entry here of the run of entries that share the term of the one at `index`."""
+        """The first held index in the run of entries that share the term of the one at `index`."""
         term = self.term_at(index)
         while index > self.base_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def between(self, first: int, last: int) -> list[Entry]:
-        """The entries `first` to `last`, all of which the log holds."""
+    def entries_between(self, first: int, last: int) -> list[Entry]:
+        """The entries `first` to `last`, inclusive, all of which the log holds."""
         return self.entries[first - self.base_index - 1 : last - self.base_index]
 
     def batch(self, first: int, max_bytes: int, entry_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, one at least, up to `max_bytes` by data and `entry_bytes` each."""
+        """Entries from `first` on, at least one, up to `max_bytes`; an entry counts as its data and
+        `entry_bytes`.
+        """
         chosen: list[Entry] = []
         size = 0
         for position in range(first - self.base_index - 1, len(self.entries)):
@@ -126,13 +130,13 @@
         return tuple(chosen)
 
     def append(self, entry: Entry) -> None:
-        """Adds the entry that follows the last one."""
-        assert entry.index == self.last_index + 1, "an entry out of order"
+        """Appends the entry that follows the last one."""
+        assert entry.index == self.last_index + 1, "the entry's index does not follow the last one"
         self.entries.append(entry)
         self._record_groups([entry])
 
     def replace_from(self, entries: list[Entry]) -> None:
-        """Puts `entries` in place of everything from the first of them on."""
+        """Replaces everything from the index of the first of `entries` on with `entries`."""
         first = entries[0].index
         del self.entries[first - self.base_index - 1 :]
         self._groups = [group for group in self._groups if group.index < first]
@@ -142,34 +146,34 @@
         self._record_groups(entries)
 
     def bootstrap(self, voters: Voters) -> None:
-        """Begins the shard's first log, with the voters that it is founded by."""
+        """Starts the shard's first log, with its initial voters."""
         self.snapshot = Snapshot(voters=voters)
         self._snapshot_unwritten = True
 
     def compact(self, index: int, state: bytes, timing: Timing, needed_after: int) -> None:
-        """Takes a snapshot at the applied `index`; keeps a tail before it for slow followers.
+        """Replaces the entries up to the applied `index` with a snapshot, except a tail for slow followers.
 
-        Entries after `needed_after` are kept as well, as far as they are not too many bytes.  Nothing is
-        written for it: the disk keeps the snapshot that it has and the entries since, which give the same
-        state, until the journal's next checkpoint.  Entries that no write carries yet are kept for theirs.
+        Entries after `needed_after` are kept too, up to `retained_bytes`.  The snapshot itself is not
+        written: until the journal's next checkpoint the disk keeps its older snapshot and all entries since,
+        which give the same state.  Entries that no write has carried yet are kept until one does.
         """
         term = self.term_at(index)
-        assert term is not None, "a snapshot of an entry that the log doesn't hold"
+        assert term is not None, "the snapshot's index is not in the log"
         group = self.group_at(index)
         self.snapshot = Snapshot(index, term, group.voters, state, group.placement_number)
         self._groups = [later for later in self._groups if later.index > index]
-        if self._snapshot_unwritten:  # the next write carries this snapshot in place of an installed one
+        if self._snapshot_unwritten:  # the next write carries this snapshot instead of the installed one
             self._unwritten_from = max(self._unwritten_from, index + 1)
-        tail_base = max(index - timing.tail_entries, self._base_within(index, timing.tail_bytes))
-        needed_base = max(needed_after, self._base_within(index, timing.retained_bytes))
+        tail_base = max(index - timing.tail_entries, self._lowest_base_within(index, timing.tail_bytes))
+        needed_base = max(needed_after, self._lowest_base_within(index, timing.retained_bytes))
         new_base = max(self.base_index, min(tail_base, needed_base, self._unwritten_from - 1))
         new_term = self.term_at(new_base)
-        assert new_term is not None, "a base that the log doesn't hold"
+        assert new_term is not None, "the new base index is not in the log"
         del self.entries[: new_base - self.base_index]
         self.base_index, self.base_term = new_base, new_term
 
-    def _base_within(self, index: int, max_bytes: int) -> int:
-        """The lowest base from which the entries up to `index` are no more bytes than these."""
+    def _lowest_base_within(self, index: int, max_bytes: int) -> int:
+        """The lowest base index for which the entries up to `index` hold at most `max_bytes` of data."""
         left = max_bytes
         base = index
         while base > self.base_index:
@@ -180,7 +184,7 @@
         return base
 
     def install_snapshot(self, snapshot: Snapshot, commit_index: int) -> None:
-        """Takes over the leader's snapshot, which reaches beyond `commit_index`."""
+        """Installs the leader's snapshot, whose index is higher than `commit_index`."""
         if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.base_index :]
             self._groups = [group for group in self._groups if group.index > snapshot.index]
@@ -195,12 +199,12 @@
         self._unwritten_from = max(self._unwritten_from, snapshot.index + 1)
 
     def has_unwritten(self) -> bool:
-        """Whether anything is here that no write carries yet."""
+        """Whether the log holds changes that no write has carried yet."""
         return self._snapshot_unwritten or self._unwritten_from <= self.last_index
 
     def begin_write(self, ticket: int) -> tuple[tuple[Entry, ...], Snapshot | None]:
-        """What the write `ticket` carries: all that no earlier one does."""
-        entries = tuple(self.between(self._unwritten_from, self.last_index))
+        """Returns what the write `ticket` carries: all changes that no earlier write carries."""
+        entries = tuple(self.entries_between(self._unwritten_from, self.last_index))
         snapshot = self.snapshot if self._snapshot_unwritten else None
         self._unwritten_from = self.last_index + 1
         self._snapshot_unwritten = False
@@ -208,7 +212,7 @@
         return entries, snapshot
 
     def end_write(self, ticket: int) -> None:
-        """Counts the write `ticket`, and all before it, as on the disk."""
+        """Marks the write `ticket`, and all before it, as durable."""
         while self._pending and self._pending[0].ticket <= ticket:
             self.durable_index = max(self.durable_index, self._pending.pop(0).last_index)
 
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -1,9 +1,10 @@
-"""What replicas of a shard say to each other, what they write, and what they hold.
+"""The messages between replicas of a shard, the records that they write, and the state that they store.
 
 The messages are Raft's (Ongaro 2014: AppendEntries 3.5, RequestVote 3.4, InstallSnapshot 5.1, TimeoutNow
-3.10).  Each has the name on the wire that `protocol.wire_names` gives it.
+3.10).  `protocol.wire_names` gives the name of each on the wire.
 
-Invariant: fields keep their order, and new ones come last with a default: a field travels by its position.
+Invariant: fields keep their order, and new fields are added at the end with a default, because a field is
+identified on the wire by its position.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 import attrs
 
 ShardId = str
-ReplicaId = str  # "<node address>#<disk identity>": an emptied disk is another replica
+ReplicaId = str  # "<node address>#<disk identity>": after its disk was erased, a node is another replica
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of a shard's log holds."""
+    """The content of a log entry."""
 
-    COMMAND = 0  # for the shard's state machine
-    GROUP = 1  # the voters from here on, as `group.encode_group` encodes them
-    EMPTY = 2  # the first entry of a term
+    COMMAND = 0  # a command for the shard's state machine
+    GROUP = 1  # the voters from this entry on, as encoded by `group.encode_group`
+    EMPTY = 2  # no data; the first entry of a term
 
 
 @attrs.frozen
 class Entry:
-    """One version of a shard: `index` counts versions from 1."""
+    """An entry of a shard's log; indexes start at 1."""
 
     index: int
     term: int
@@ -36,7 +37,9 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state machine's state after the version `index`, the voters then and their placement's number."""
+    """The state machine's state after the entry `index`, with the voters and the placement number at that
+    entry.
+    """
 
     index: int = 0
     term: int = 0
@@ -47,7 +50,9 @@
 
 @attrs.frozen
 class RequestVote:
-    """A candidate asks to lead the shard for a term; `pre_vote` asks without any effect (pre-vote)."""
+    """A candidate's request for a vote in `term`; with `pre_vote`, granting it has no effect on the voter's
+    state.
+    """
 
     shard: ShardId
     sender: ReplicaId
@@ -59,7 +64,7 @@
 
 @attrs.frozen
 class VoteReply:
-    """The answer to `RequestVote`; `term` is the voter's own, or the one asked about where granted."""
+    """The reply to `RequestVote`; `term` is the requested term where granted, else the voter's own term."""
 
     shard: ShardId
     sender: ReplicaId
@@ -70,7 +75,9 @@
 
 @attrs.frozen
 class AppendEntries:
-    """The leader's entries after `previous_index`, its commit index, and a heartbeat when empty."""
+    """Entries that follow `previous_index`, and the leader's commit index; a heartbeat where `entries` is
+    empty.
+    """
 
     shard: ShardId
     sender: ReplicaId
@@ -79,12 +86,14 @@
     previous_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    round: int  # rises with each heartbeat; echoed by replies to confirm the leadership
+    round: int  # increases with each heartbeat round; replies repeat it to confirm the leadership
 
 
 @attrs.frozen
 class AppendReply:
-    """`match_index`: on the replica's disk where accepted, else where the leader should go on."""
+    """`match_index`: durable at the follower where accepted, else the index after which the leader should
+    continue.
+    """
 
     shard: ShardId
     sender: ReplicaId
@@ -96,10 +105,10 @@
 
 @attrs.frozen
 class SnapshotChunk:
-    """Part of a snapshot in place of entries that the leader no longer keeps; answered by `SnapshotReply`.
+    """A part of a snapshot, sent in place of entries that the leader no longer holds.
 
-    `snapshot` is without its state; `size` and `digest` are those of the complete state.  A replica that
-    needs no more of it, and one that has installed it, answers by `AppendReply`.
+    `snapshot` has an empty `state`; `size` and `digest` are those of the complete state.  The reply is a
+    `SnapshotReply`, or an `AppendReply` where the follower doesn't need the snapshot or has installed it.
     """
 
     shard: ShardId
@@ -115,7 +124,7 @@
 
 @attrs.frozen
 class SnapshotReply:
-    """The first `received` bytes of the snapshot with this digest are at the sender, not yet on its disk."""
+    """The sender holds the first `received` bytes of the snapshot with this digest, not yet durable."""
 
     shard: ShardId
     sender: ReplicaId
@@ -127,7 +136,7 @@
 
 @attrs.frozen
 class TransferLeadership:
-    """The leader, about to leave, asks the receiver to become a candidate at once."""
+    """The leader, which is about to give up its leadership, asks the receiver to campaign at once."""
 
     shard: ShardId
     sender: ReplicaId
@@ -136,7 +145,7 @@
 
 @attrs.frozen
 class ReadIndexRequest:
-    """A follower asks its leader up to where the shard is committed; `ticket` comes back with the answer."""
+    """A follower asks the leader for the shard's commit index; the reply repeats `ticket`."""
 
     shard: ShardId
     sender: ReplicaId
@@ -146,7 +155,7 @@
 
 @attrs.frozen
 class ReadIndexReply:
-    """`index` was committed when the request came, by a leader that a majority confirmed after that."""
+    """`index` was committed when the request arrived, and a majority has confirmed the leader since then."""
 
     shard: ShardId
     sender: ReplicaId
@@ -170,10 +179,10 @@
 
 @attrs.frozen
 class DurableRecord:
-    """One write of a replica; a disk's records, replayed in order, give `DurableState`.
+    """One write of a replica; replaying all records of a disk in order gives `DurableState`.
 
     `entries` replace everything from `entries[0].index` on.  A `snapshot` replaces everything up to its
-    index.  `term` and `voted_for` hold always.
+    index.  Every record holds the current `term` and `voted_for`.
     """
 
     shard: ShardId
@@ -186,7 +195,7 @@
 
 @attrs.define
 class DurableState:
-    """What a replica begins with: all of it is on its disk."""
+    """The durable state with which a replica starts."""
 
     term: int = 0
     voted_for: ReplicaId = ""
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -1,13 +1,13 @@
-"""Where a shard should live: the voters and learners wished for, and the leader's steps towards them.
+"""The target placement of a shard (its voters and learners), and the leader's steps towards it.
 
-Single-server changes (Ongaro 2014, section 4.1), with learners that catch up first (4.2.1).
+Single-server membership changes (Ongaro 2014, section 4.1), with learners that catch up first (4.2.1).
 
-Invariant: one change of the group is under way at most, and none before this term has committed an
-entry; while a leadership transfer runs, the group stands still.  No step is taken towards a placement
-with a lower number than the log has seen, and none towards a target that the leader of another term
-decided by itself.  The target comes from the directory (`roles.local_shards.LocalShards.follow`); who decides
-it: `membership.placement`, `control.shard_placer`.
-Hazard: a placement that arrives late, from a control process that has been replaced: see `may_follow`.
+Invariant: at most one change of the group is pending, and none before this term has committed an entry;
+during a leadership transfer the group doesn't change.  No step is taken towards a placement with a lower
+number than that of the log's newest group, and none towards a target that the leader of another term decided
+by itself.  The target comes from the directory (`roles.local_shards.LocalShards.follow`) and is decided by
+`membership.placement` and `control.shard_placer`.
+Hazard: a late placement of a control process that has been replaced: see `is_valid_target`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Target:
-    """The voters wished for: by the placement `number`, or by the leader of the one term named."""
+    """The target voters, decided by the placement `number` or by the leader of the term `term`."""
 
     voters: Voters = ()
     number: int = 0
@@ -31,80 +31,82 @@
 
 
 class Placement:
-    """The target and the learners outlive a leadership; a transfer doesn't."""
+    """The target and the learners are kept when a leadership ends; a leadership transfer is not."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._target = Target()
         self.learners: Voters = ()
         self._state = state
         self._transfer: LeadershipTransfer | None = None
-        self._leaving: set[ReplicaId] = set()
-        self._departed: dict[ReplicaId, float] = {}
+        self._being_removed: set[ReplicaId] = set()
+        self._removed_until: dict[ReplicaId, float] = {}
 
     def set_target(self, target: Target) -> None:
-        """Takes a target in place of the last one, unless that was a later one."""
+        """Replaces the target, unless the present one has a higher number."""
         if target.number >= self._target.number:
             self._target = target
 
     @property
     def target(self) -> Voters:
-        """The voters to move towards; empty where nothing that may be followed is known."""
+        """The voters towards which the group is changed; empty if no valid target is known."""
         return self._target.voters if self.is_valid_target(self._target) else ()
 
     def is_valid_target(self, target: Target) -> bool:
-        """Whether the group may take steps towards a target: the fence against late placements."""
+        """Whether the group may take steps towards a target; rejects late placements."""
         if target.term is not None and target.term != self._state.term:
             return False
         return target.number >= self._state.log.placement_number
 
     @property
     def is_transferring(self) -> bool:
-        """Whether the leadership is being handed over."""
+        """Whether a leadership transfer is pending."""
         return self._transfer is not None
 
     def reset(self) -> None:
-        """The leadership is over, and any leadership transfer with it."""
+        """Ends any leadership transfer, because the leadership has ended."""
         self._transfer = None
-        self._leaving = set()
-        self._departed = {}
+        self._being_removed = set()
+        self._removed_until = {}
 
     def update_followers(self, leader: LeaderState, now: float) -> None:
-        """Replicates to the group, to those who are to join, and for a while to who left.
+        """Replicates to the group, to replicas that are to join it, and for a while to removed voters.
 
-        Who leaves gets the entry that says so only once that is committed: one that held it earlier would
-        neither campaign any more nor vote for the others, whose logs are shorter.
+        A voter that is being removed receives the entry that removes it only once that is committed: if it
+        held the entry earlier, it would neither campaign nor vote for the others, whose logs are shorter.
         """
         state = self._state
         committed = state.log.voters_at(state.commit_index)
-        leaving = set(committed) - set(state.voters)
-        until = now + state.timing.departure_grace
-        self._departed.update((gone, until) for gone in self._leaving - leaving)
-        self._leaving = leaving
-        wanted = (*state.voters, *self.target, *self.learners, *self._departed)
-        leader.set_followers(identity for identity in wanted if identity not in leaving)
+        being_removed = set(committed) - set(state.voters)
+        deadline = now + state.timing.removed_voter_grace
+        self._removed_until.update((removed, deadline) for removed in self._being_removed - being_removed)
+        self._being_removed = being_removed
+        wanted = (*state.voters, *self.target, *self.learners, *self._removed_until)
+        leader.set_followers(identity for identity in wanted if identity not in being_removed)
 
     def begin_transfer(self, leader: LeaderState, candidates: Voters, now: float) -> None:
-        """Begins a leadership transfer to one of the candidates, unless one runs."""
+        """Begins a leadership transfer to one of the candidates, unless one is pending."""
         if self._transfer is None and candidates:
             self._transfer = LeadershipTransfer(now, candidates)
             self._transfer.advance(self._state, leader, now)
 
     def tick(self, leader: LeaderState, now: float) -> bool:
-        """Goes on with what is under way; whether this replica may go on leading.
+        """Advances the pending transfer or group change; returns whether this replica may remain the leader.
 
-        A leadership transfer that failed is given up, and the leadership with it only where the disk stalls.
+        After a failed leadership transfer, the replica gives up the leadership only if its disk is stalled.
         """
-        stalls = self._state.disk_stalls(now)
-        if stalls:
+        is_disk_stalled = self._state.disk_stalls(now)
+        if is_disk_stalled:
             self.begin_transfer(leader, self._state.other_voters(), now)
-        if any(until < now for until in self._departed.values()):
-            self._departed = {gone: until for gone, until in self._departed.items() if until >= now}
+        if any(deadline < now for deadline in self._removed_until.values()):
+            self._removed_until = {
+                removed: deadline for removed, deadline in self._removed_until.items() if deadline >= now
+            }
             self.update_followers(leader, now)
         if self._transfer is None:
             self.propose_next_group(leader, now)
         elif not self._transfer.has_timed_out(now, self._state):
             self._transfer.advance(self._state, leader, now)
-        elif stalls:
+        elif is_disk_stalled:
             return False
         else:
             self._transfer = None
@@ -126,7 +128,7 @@
             self.begin_transfer(leader, self.target, now)
 
     def _next_group(self, leader: LeaderState, now: float) -> Voters | None:
-        """The next group; the same one anew where only its placement's number has to be noted."""
+        """The next group; the present one again if only the number of its placement has changed."""
 
         def is_live(identity: ReplicaId) -> bool:
             return leader.is_live(identity, now)
@@ -136,13 +138,13 @@
 
         state = self._state
         group = next_group(state.voters, self.target, state.identity, is_live, is_caught_up)
-        is_there = state.voters == self.target and self._target.number > state.log.placement_number
-        if is_there and has_quorum(state.voters, is_live):
+        is_reached = state.voters == self.target and self._target.number > state.log.placement_number
+        if is_reached and has_quorum(state.voters, is_live):
             return state.voters
         return group
 
     def is_stable(self, leader: LeaderState, now: float) -> bool:
-        """Whether no change is under way and every live voter, a majority, holds what is committed."""
+        """Whether no change is pending and the live voters, a majority, hold all that is committed."""
         state = self._state
         if not leader.has_committed or state.commit_index < state.log.group_index:
             return False
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -1,8 +1,9 @@
-"""What the leader knows of one follower, and when each heartbeat round began.
+"""The leader's view of one follower, and the start times of heartbeat rounds.
 
-Invariant: a reply speaks for the moment at which its round began, never for the moment it came, so
-replies that lay in a socket while the process stood still prove nothing about now.
-Hazard: a refusal that answers an earlier message, taken for one of the last: see `fallback_round`.
+Invariant: a reply counts from the time its round began, not from its arrival, so that replies that waited
+in a socket while the process was paused say nothing about the present.
+Hazard: a rejection of an earlier message that is taken for a rejection of a later one: see
+`fallback_round`.
 """
 
 from __future__ import annotations
@@ -28,22 +29,23 @@
 
 @attrs.define
 class Progress:
-    """One follower: `match_index` is on its disk, `next_index` is the first not yet sent.
+    """The state of one follower: `match_index` is durable there, `next_index` is the first index not sent
+    yet.
 
-    `transfer` is the snapshot under way to it, in place of the entries up to its index.
+    `transfer` is the snapshot in transit to it, in place of the entries up to the snapshot's index.
     """
 
     next_index: int
     match_index: int = 0
-    last_contact_at: float = NEVER  # when the latest acknowledged round began
+    last_contact_at: float = NEVER  # the start time of the latest acknowledged round
     acknowledged_round: int = 0
     sent_round: int = 0
     sent_commit_index: int = 0
-    fallback_round: int = 0  # refusals of earlier rounds count no more
+    fallback_round: int = 0  # rejections of earlier rounds are ignored
     transfer: SnapshotSender | None = None
     outstanding: deque[Outstanding] = attrs.field(factory=deque)
     outstanding_bytes: int = 0
-    advanced_at: float = NEVER  # when what is under way last came forward
+    advanced_at: float = NEVER  # when entries in flight were last acknowledged, or first sent
 
     @property
     def needed_after(self) -> int:
@@ -53,7 +55,7 @@
         return (self.outstanding[0].first_index if self.outstanding else self.next_index) - 1
 
     def record_sent(self, last_index: int, size: int, now: float) -> None:
-        """Entries up to `last_index`, of `size` bytes together, are under way."""
+        """Records that entries up to `last_index`, of `size` bytes in total, were sent."""
         if not self.outstanding:
             self.advanced_at = now
         self.outstanding.append(Outstanding(self.next_index, last_index, size))
@@ -61,7 +63,7 @@
         self.next_index = last_index + 1
 
     def record_match(self, index: int, now: float) -> None:
-        """The follower's disk holds the log up to `index`."""
+        """Records that the follower's disk holds the log up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         while self.outstanding and self.outstanding[0].last_index <= self.match_index:
@@ -69,16 +71,16 @@
             self.advanced_at = now
 
     def fall_back(self, hint: int, round_number: int) -> None:
-        """The follower lacks what came before: begin again after `hint`.
+        """Continues after `hint`, as the follower's log lacks the entry that precedes those sent.
 
-        Refusals of rounds before `round_number` answer what was sent earlier and count no more.
+        Rejections of rounds before `round_number` answer earlier messages and are ignored.
         """
         self.next_index = max(self.match_index + 1, min(self.next_index, hint + 1))
         self.fallback_round = round_number
         self._clear_outstanding()
 
     def resend(self) -> None:
-        """What is under way is lost: begin again after what the follower has acknowledged."""
+        """Treats everything in flight as lost: continues after what the follower has acknowledged."""
         if self.outstanding:
             self.next_index = max(self.match_index + 1, self.outstanding[0].first_index)
             self._clear_outstanding()
@@ -86,15 +88,16 @@
             self.transfer.resume()
 
     def is_overtaken(self, now: float, timing: Timing) -> bool:
-        """Whether what is under way is so large that a smaller message may come before it.
+        """Whether what is in flight is so large that a smaller message may arrive before it.
 
-        Links let small messages pass large ones.  What was sent after a large message would be refused if it
-        came first, and the large one sent again.  One that is under way for too long counts as lost.
+        Connections let small messages pass large ones.  A follower would reject what arrives before the large
+        message it refers to, and the large message would be sent again.  A message that takes too long counts
+        as lost.
         """
         if not any(sent.size > timing.overtaken_bytes for sent in self.outstanding):
             return False
-        longest = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_rate
-        return now - self.advanced_at <= longest
+        max_wait = timing.snapshot_retry + self.outstanding_bytes / timing.overtaken_rate
+        return now - self.advanced_at <= max_wait
 
     def _clear_outstanding(self) -> None:
         self.outstanding.clear()
@@ -102,7 +105,7 @@
 
 
 class HeartbeatRounds:
-    """Heartbeat rounds, numbered upwards, and when the recent ones began."""
+    """The number of the current heartbeat round, and the start times of recent rounds."""
 
     KEPT = 256
 
@@ -111,13 +114,13 @@
         self._started_at: deque[float] = deque(maxlen=self.KEPT)
 
     def start(self, now: float) -> int:
-        """Begins a round and gives its number."""
+        """Starts a round and returns its number."""
         self.current += 1
         self._started_at.append(now)
         return self.current
 
     def started_at(self, number: int) -> float:
-        """When the round began; NEVER for one forgotten or not begun."""
+        """When the round began; NEVER if it is too old or has not begun."""
         age = self.current - number
         if number <= 0 or age < 0 or age >= len(self._started_at):
             return NEVER
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -1,13 +1,14 @@
-"""Reads by index (Ongaro 2014, section 6.4), at the leader and at followers that ask it.
+"""Read index (Ongaro 2014, section 6.4), at the leader and at followers that request it.
 
-The leader notes what is committed when a question comes, and answers once a majority has acknowledged a round
-begun after it.  A follower that has applied that much is as new as the shard was when it asked.
+The leader records its commit index when a request arrives, and replies once a majority has acknowledged a
+round begun after that.  A follower that has applied entries up to that index is as new as the shard was at
+the time of its request.
 
-Invariants: an answer counts from the moment its question was asked, by the asker's own steady clock, never
-from the moment it came; an answer counts only for a question that this process asked in this incarnation,
-of the leader that it follows in the present term.
-Hazard: a leader that was replaced and doesn't know it yet; it answers nothing until a majority has
-acknowledged a round begun after the question.
+Invariants: a reply counts from the time of its request, by the requester's own monotonic clock, never from
+its arrival; a reply counts only for a request that this process sent in this incarnation, to the leader that
+it follows in the present term.
+Hazard: a leader that was replaced and doesn't know it yet; it replies only once a majority has acknowledged a
+round begun after the request.
 """
 
 from __future__ import annotations
@@ -19,14 +20,16 @@
 from .messages import ReplicaId
 from .progress import NEVER
 
-LOCAL = ""  # stands for the leader itself among those who ask
-MAX_PENDING_PER_FOLLOWER = 8  # questions of one follower; more are dropped, as it asks again
-MAX_REMEMBERED_REQUESTS = 16  # questions and answers that a follower keeps; older ones prove nothing of use
+LOCAL = ""  # the requester of the leader's own reads
+MAX_PENDING_PER_FOLLOWER = 8  # requests of one follower; more are dropped, as the follower repeats them
+MAX_REMEMBERED_REQUESTS = (
+    16  # requests and replies that a follower keeps; older ones are too old to be of use
+)
 
 
 @attrs.frozen
 class PendingRead:
-    """A question that may be answered once `round` has a majority and `index` is committed."""
+    """A request that may be answered once a majority has acknowledged `round` and `index` is committed."""
 
     ticket: int
     round: int
@@ -35,51 +38,51 @@
 
 
 class PendingReads:
-    """The leader's side: questions in the order in which they came."""
+    """The leader's side: pending requests in the order of their arrival."""
 
     def __init__(self) -> None:
-        self._waiting: deque[PendingRead] = deque()
+        self._pending: deque[PendingRead] = deque()
 
     def add(self, read: PendingRead) -> None:
-        """Adds a question; its round and index are at least those of the one before."""
+        """Adds a request; its round and index are at least those of the request before."""
         if read.requester != LOCAL and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
             return
-        self._waiting.append(read)
+        self._pending.append(read)
 
     def local_tickets(self) -> list[int]:
-        """The tickets of the leader's own questions that wait."""
-        return [read.ticket for read in self._waiting if read.requester == LOCAL]
+        """The tickets of the leader's own pending requests."""
+        return [read.ticket for read in self._pending if read.requester == LOCAL]
 
     def take_ready(self, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
-        """Takes out the questions that may be answered now."""
+        """Removes and returns the requests that may be answered now."""
         ready = []
-        while self._waiting:
-            first = self._waiting[0]
+        while self._pending:
+            first = self._pending[0]
             if first.round > acknowledged_round or first.index > commit_index:
                 break
-            ready.append(self._waiting.popleft())
+            ready.append(self._pending.popleft())
         return ready
 
     def __bool__(self) -> bool:
-        return bool(self._waiting)
+        return bool(self._pending)
 
     def _count(self, requester: ReplicaId) -> int:
-        return sum(1 for read in self._waiting if read.requester == requester)
+        return sum(1 for read in self._pending if read.requester == requester)
 
 
 @attrs.frozen
 class ReadIndexAnswer:
-    """A leader's answer: all up to `index` was committed when it was asked, at `requested_at` seconds."""
+    """A leader's answer: all entries up to `index` were committed at the time of the request."""
 
     requested_at: float
     index: int
 
 
 class FollowerReads:
-    """The follower's side: its questions to one leader in one term, and what their answers prove.
+    """The follower's side: its requests to one leader in one term, and what the replies confirm.
 
-    Tickets begin at `first_ticket`, which rises with each incarnation of the process, so that no answer
-    to an earlier one counts in this one.
+    Tickets begin at `first_ticket`, which increases with each incarnation of the process, so that a reply
+    to an earlier incarnation never counts.
     """
 
     def __init__(self, first_ticket: int, interval: float) -> None:
@@ -91,11 +94,11 @@
         self._answers: deque[ReadIndexAnswer] = deque(maxlen=MAX_REMEMBERED_REQUESTS)
 
     def is_due(self, now: float) -> bool:
-        """Whether another question should be asked."""
+        """Whether another request should be sent."""
         return now - self._last_requested_at >= self._interval
 
     def begin_request(self, now: float) -> int:
-        """Notes a question asked now; its ticket."""
+        """Records a request sent now and returns its ticket."""
         ticket = self._next_ticket
         self._next_ticket += 1
         self._last_requested_at = now
@@ -105,7 +108,7 @@
         return ticket
 
     def record_answer(self, ticket: int, index: int) -> None:
-        """The leader, confirmed after the question, had committed up to `index` when it came."""
+        """Records that the leader, confirmed after the request, had committed up to `index` by then."""
         requested_at = self._requested_at.pop(ticket, None)
         if requested_at is None:
             return
@@ -113,12 +116,12 @@
         self._answers.append(ReadIndexAnswer(requested_at, index))
 
     def current_at(self, applied_index: int) -> float:
-        """When the newest question was asked whose index is applied; NEVER where there is none."""
+        """The time of the latest request whose index is applied, or NEVER."""
         applied = (answer.requested_at for answer in self._answers if answer.index <= applied_index)
         return max(applied, default=NEVER)
 
     def reset(self) -> None:
-        """The leader or the term has changed: what was asked and answered counts no more."""
+        """Discards requests and replies, because the leader or the term has changed."""
         self.confirmed_at = NEVER
         self._last_requested_at = NEVER
         self._requested_at.clear()
--- a/kestrelbend/tier/replication/replica.py
+++ b/kestrelbend/tier/replication/replica.py
@@ -1,11 +1,11 @@
-"""One replica of a shard: messages, ticks and finished writes in; messages, writes and commands out.
+"""One replica of a shard: takes in messages, ticks and completed writes; returns effects.
 
-The package's documentation names the sources and each departure from them.
+The package's doc comment names the sources and the deviations from them.
 
-Invariants: one leader in a term; a committed entry is in the log of every later leader; `applied`
-entries come once each and in their order, on top of the last `restore`.
-Hazard: effects that are left undrained; the carrier calls `drain_effects` after each call that may have
-changed anything, and carries them out in their order.
+Invariants: one leader per term; a committed entry is in the log of every later leader; `applied`
+entries are handed out once each and in order, on top of the last `restore`.
+Hazard: effects that are not drained; the host calls `drain_effects` after each call that may have
+changed the replica, and carries the effects out in order.
 """
 
 from __future__ import annotations
@@ -38,10 +38,11 @@
 
 
 class Replica:
-    """What a carrier sees of one replica; it joins it to the network, the disk and the state machine.
+    """The interface of one replica to its host, which connects it to the network, disk and state machine.
 
-    Times are seconds of the carrier's steady clock.  `first_ticket` rises with each incarnation of the
-    process, see `read_index`.  `announces_commits`: as the leader, it sends a new commit index at once.
+    Times are seconds of the host's monotonic clock.  `founders` are the initial voters of the shard.
+    `first_ticket` increases with each incarnation of the process, see `read_index`.  `announces_commits`:
+    as the leader, the replica sends a new commit index at once.
     """
 
     def __init__(
@@ -70,11 +71,11 @@
         if identity in founders and durable == DurableState():
             self._state.log.bootstrap(founders)
 
-    # What it is
+    # State
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads the shard's group in its present term."""
+        """Whether this replica is the shard's leader in its present term."""
         return self._roles.leader_state is not None
 
     @property
@@ -92,49 +93,49 @@
 
     @property
     def voters(self) -> Voters:
-        """The group as of the newest entry here, committed or not, in the order of leadership."""
+        """The group as of the newest entry in the log, committed or not, in the order of the voters."""
         return self._state.voters
 
     @property
     def committed_voters(self) -> Voters:
-        """The group as of the newest entry that is known to be committed here."""
+        """The group as of the newest entry that is known here to be committed."""
         return self._state.log.voters_at(self._state.commit_index)
 
     @property
     def committed_placement_number(self) -> int:
-        """The number of the placement that the committed group is a step towards."""
+        """The number of the placement towards which the committed group is a step."""
         return self._state.log.group_at(self._state.commit_index).placement_number
 
     @property
     def placement_number(self) -> int:
-        """The same for the newest group here, committed or not."""
+        """The number of the placement towards which the newest group is a step, committed or not."""
         return self._state.log.placement_number
 
     def is_stable(self, now: float) -> bool:
-        """As the leader: no change is under way, and every live voter's disk holds what is committed."""
+        """As the leader: whether no group change is pending and live voters hold all that is committed."""
         leader_state = self._roles.leader_state
         return leader_state is not None and self._placement.is_stable(leader_state, now)
 
     @property
     def commit_index(self) -> int:
-        """The highest index that is known to be committed here."""
+        """The highest index that is known here to be committed."""
         return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """Committed entries are handed out at once, so this is the commit index."""
+        """Equals the commit index, as committed entries are handed out at once."""
         return self._state.commit_index
 
     @property
     def last_contact(self) -> float:
-        """When the replica last heard from a leader."""
+        """When the replica last received a message of a leader."""
         return self._roles.election.last_contact_at
 
     @property
     def confirmed_at(self) -> float:
-        """When this replica asked last whether its leader, itself or another, is confirmed, and it was.
+        """The time of this replica's latest request that confirmed the leadership of its leader, or its own.
 
-        By this process's own clock; NEVER where the present leader was not confirmed yet.
+        By this process's own clock; NEVER if the present leader has not been confirmed yet.
         """
         if self._roles.leader_state is not None:
             return self._roles.leader_state.confirmed_at
@@ -142,23 +143,23 @@
 
     @property
     def current_at(self) -> float:
-        """As `confirmed_at`, of the last request of which all that was committed then is applied here."""
+        """As `confirmed_at`, for the latest request for which all that was committed then is applied here."""
         leader_state = self._roles.leader_state
         if leader_state is None:
             return self._reads.current_at(self.applied_index)
         return leader_state.confirmed_at if leader_state.has_committed else NEVER
 
     def is_in_contact(self, now: float) -> bool:
-        """Whether the replica heard from a majority, or from its leader, within the election timeout."""
+        """Whether there was contact with a majority, or with the leader, within the election timeout."""
         roles = self._roles
         if roles.leader_state is not None:
             return roles.leader_state.has_quorum_contact(now)
         return roles.follower_state is not None and now - self.last_contact <= self._timing.election_timeout
 
-    # What happens to it
+    # Events
 
     def receive(self, message: ReplicaMessage, now: float) -> None:
-        """Takes in a message of another replica; one for another shard is dropped."""
+        """Handles a message of another replica; drops it if it is for another shard."""
         if message.shard != self.shard or message.sender == self.identity:
             return
         self._advance_clock(now)
@@ -184,25 +185,25 @@
                 roles.receive_read_reply(message)
 
     def tick(self, now: float) -> None:
-        """Does what is due by the clock; called about every 20 ms."""
+        """Does what is due at this time; called about every 20 ms."""
         self._advance_clock(now)
         self._roles.tick(now)
 
     def complete_write(self, ticket: int, now: float) -> None:
-        """The write `ticket` is on the disk, and so are all before it."""
+        """Handles that the write `ticket`, and all before it, are durable."""
         self._advance_clock(now)
         self._state.complete_write(ticket)
         self._roles.handle_completed_writes(now)
 
     def handle_reconnection(self, identity: ReplicaId) -> None:
-        """A new connection to a replica's process stands: what was sent over older ones may be lost."""
+        """A new connection to a replica's process is open: messages on earlier connections may be lost."""
         if self._roles.leader_state is not None:
             self._roles.leader_state.resend(identity)
 
-    # What is asked of it
+    # Requests
 
     def propose(self, command: bytes, now: float) -> int | None:
-        """Appends a command; its index, or None where this replica can't take it as the leader."""
+        """Appends a command; returns its index, or None if this replica can't accept it as the leader."""
         self._advance_clock(now)
         leader_state = self._roles.leader_state
         if leader_state is None or self._placement.is_transferring:
@@ -212,10 +213,11 @@
         return leader_state.append(EntryKind.COMMAND, command)
 
     def confirm_read(self, now: float) -> int | None:
-        """Begins a read by index (Ongaro 2014, section 6.4): its ticket, or None where this is no leader.
+        """Begins a read index operation (Ongaro 2014, section 6.4); returns its ticket, or None at a non-
+        leader.
 
         The ticket is among `confirmed_reads` once it is certain that no later leader had committed
-        anything before this call, and among `failed_reads` where that can't be known any more.
+        anything before this call, and among `failed_reads` if that can no longer be established.
         """
         self._advance_clock(now)
         leader_state = self._roles.leader_state
@@ -227,31 +229,33 @@
         return ticket
 
     def enable_read_index_polling(self) -> None:
-        """Asks the leader again and again from now on; without it a follower is never confirmed."""
+        """Requests the read index of the leader periodically from now on; a follower is never confirmed
+        otherwise.
+        """
         self._roles.polls_read_index = True
 
     def set_learners(self, identities: tuple[ReplicaId, ...]) -> None:
-        """The replicas that get all entries without a vote, while this one leads."""
+        """Sets the replicas that receive all entries without a vote while this one is the leader."""
         self._placement.learners = tuple(identities)
         self._update_followers()
 
     def set_target(self, voters: tuple[ReplicaId, ...], number: int = 0, term: int | None = None) -> None:
-        """The voters wished for, in the order of leadership; moved towards while this one leads.
+        """Sets the target group, in the order of its voters; the leader changes the group towards it.
 
-        A target with a lower number than the last one, or than the group's, is not followed.  One with a
-        term was decided by this replica itself, as that term's leader, and counts in no other.
+        A target with a lower number than the previous target or the group is ignored.  A target with a term
+        was decided by this replica itself as the leader of that term, and is valid in that term only.
         """
         self._placement.set_target(Target(tuple(voters), number, term))
         self._update_followers()
 
     def transfer_leadership(self, now: float) -> None:
-        """Hands the leadership over, where this replica has it; leads on where nobody can take it."""
+        """Transfers the leadership, if this replica has it; it remains leader if no voter can take over."""
         self._advance_clock(now)
         if self._roles.leader_state is not None:
             self._placement.begin_transfer(self._roles.leader_state, self._state.other_voters(), now)
 
     def compact(self, index: int, state: bytes) -> None:
-        """Takes the state machine's state after the applied entry `index` in place of the entries."""
+        """Replaces the log up to the applied entry `index` with the state machine's state after it."""
         log = self._state.log
         if log.snapshot.index < index <= self.applied_index:
             leader_state = self._roles.leader_state
@@ -259,13 +263,13 @@
             log.compact(index, state, self._timing, needed)
 
     def durable_record(self) -> DurableRecord:
-        """All that a disk must hold of this replica, in one record."""
+        """Returns one record with everything that the disk must hold of this replica."""
         log = self._state.log
-        entries = log.between(log.snapshot.index + 1, log.last_index)
+        entries = log.entries_between(log.snapshot.index + 1, log.last_index)
         return self._state.record(tuple(entries), log.snapshot)
 
     def drain_effects(self) -> Effects:
-        """What is to be done outside since the last call; it is handed out once."""
+        """Returns the effects since the last call, each once."""
         leader_state = self._roles.leader_state
         if leader_state is not None:
             leader_state.send_due(self._now)
@@ -280,9 +284,11 @@
             self._placement.update_followers(self._roles.leader_state, self._now)
 
     def _advance_clock(self, now: float) -> None:
-        """Notes the time; a process that stood still believes nothing of what it knew before."""
-        stood_still = now - self._now > self._timing.election_timeout
+        """Advances the clock; after a pause of the process, the replica discards its view of the other
+        replicas.
+        """
+        was_paused = now - self._now > self._timing.election_timeout
         self._now = now
-        if stood_still:
+        if was_paused:
             self._state.disk.restart_stall_clock(now)
-            self._roles.restart_after_standstill(now)
+            self._roles.restart_after_pause(now)
--- a/kestrelbend/tier/replication/replica_disk.py
+++ b/kestrelbend/tier/replication/replica_disk.py
@@ -1,7 +1,7 @@
-"""The replicas' part of the process's disk: records read back at the start, writes, checkpoints.
+"""Stores the replicas of a process in its journal: replays records at the start, writes, checkpoints.
 
 Invariant: a write is reported to its replica only once the journal has made it durable; a checkpoint
-holds every replica of the disk, opened in this process or not.
+holds every replica of the disk, whether it is open in this process or not.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from .interfaces import Journal
 from .messages import DurableRecord, DurableState, ReplicaId, ShardId
 
-DEFERRED_RECORD_BYTES = 256 * 1024  # from which on a record is encoded by the journal's thread
+DEFERRED_RECORD_BYTES = 256 * 1024  # records of this size and more are encoded by the journal's thread
 
 
 @attrs.define
 class PendingWrite:
-    """A record on its way to the disk, and the replica's own ticket for it."""
+    """A record that is being written, and the replica's own ticket for it."""
 
     hosted: HostedReplica
     ticket: int
 
 
 class ReplicaDisk:
-    """What the journal holds of the replicas with one identity."""
+    """The journal's records of the replicas with one identity."""
 
     def __init__(
         self, identity: ReplicaId, journal: Journal, encode: Callable[[DurableRecord], bytes]
@@ -42,36 +42,36 @@
         self._next_ticket = 1
 
     def load(self, records: list[DurableRecord]) -> None:
-        """Replays the journal's records, oldest first; other identities' records are left out."""
+        """Replays the journal's records, oldest first; records of other identities are skipped."""
         for record in records:
             if record.replica == self._identity:
                 state = self._states.setdefault(record.shard, DurableState())
                 apply_record(state, record)
 
     def shards(self) -> list[ShardId]:
-        """Shards that the disk held a replica of when the process began."""
+        """The shards of which the disk held a replica when the process started."""
         return list(self._states)
 
     def state(self, shard: ShardId) -> DurableState:
-        """What the disk held of a shard's replica when the process began."""
+        """What the disk held of a shard's replica when the process started."""
         return self._states.get(shard) or DurableState()
 
     def write(self, hosted: HostedReplica, ticket: int, record: DurableRecord) -> None:
-        """Hands a record to the journal; `ticket` is the replica's own."""
+        """Passes a record to the journal; `ticket` is the replica's own."""
         journal_ticket = self._next_ticket
         self._next_ticket += 1
         self._writes[journal_ticket] = PendingWrite(hosted, ticket)
         self._journal.append(journal_ticket, self._journal_record(record))
 
     def end_write(self, journal_ticket: int) -> PendingWrite:
-        """The write that the journal has made durable; each is ended once."""
+        """Removes and returns the write that the journal has made durable; called once for each write."""
         return self._writes.pop(journal_ticket)
 
-    def checkpoint_when_large(self, hosted: Iterable[HostedReplica]) -> None:
-        """Replaces all records by one a replica, where the journal has grown large."""
+    def checkpoint_if_due(self, hosted: Iterable[HostedReplica]) -> None:
+        """Replaces all records with one for each replica if the journal asks for a checkpoint."""
         if not self._journal.wants_checkpoint:
             return
-        records = [one.replica.durable_record() for one in hosted]
+        records = [each.replica.durable_record() for each in hosted]
         open_shards = {record.shard for record in records}
         for shard, state in self._states.items():
             if shard not in open_shards:
@@ -79,7 +79,7 @@
         self._journal.checkpoint([self._journal_record(record) for record in records])
 
     def _journal_record(self, record: DurableRecord) -> Record:
-        """The record's bytes, or the means to make them where there are many."""
+        """The encoded record, or a deferred one that the journal's thread encodes if it is large."""
         size = sum(len(entry.data) for entry in record.entries)
         if record.snapshot is not None:
             size += len(record.snapshot.state)
@@ -89,5 +89,5 @@
 
 
 def complete_record(shard: ShardId, replica: ReplicaId, state: DurableState) -> DurableRecord:
-    """All that the disk holds of a replica that is not open, in one record."""
+    """One record with all that the disk holds of a replica that is not open."""
     return DurableRecord(shard, replica, state.term, state.voted_for, tuple(state.entries), state.snapshot)
--- a/kestrelbend/tier/replication/snapshot_transfer.py
+++ b/kestrelbend/tier/replication/snapshot_transfer.py
@@ -1,13 +1,13 @@
-"""A snapshot on its way from a leader to a follower, in chunks.  Pure (Ongaro 2014, section 5.1).
+"""Transfers a snapshot from a leader to a follower in chunks (Ongaro 2014, section 5.1); does no I/O.
 
-The sender keeps one snapshot until the follower has all of it, also where a newer one is made meanwhile, so
-that a transfer ends however fast the shard goes on.  A chunk that was lost is sent again from the offset that
-the follower names; what the follower has is never sent again, by this leader or by the next one, as long as
-the snapshot is the same.
+The sender keeps one snapshot until the follower has received all of it, even if a newer one is taken
+meanwhile, so that a transfer ends however busy the shard is.  A lost chunk is sent again from the offset that
+the follower names; bytes that the follower has received are never sent again, by this leader or the next one,
+as long as the snapshot is the same.
 
-Invariant: a follower installs only bytes whose digest is the one that the leader gave with each chunk.
-Chunks of two snapshots are told apart by index, term, voters, size and digest, so they never mix.
-Hazard: late chunks of an older snapshot that begin a transfer anew; see `SnapshotReceiver._is_outdated`.
+Invariant: a follower installs only bytes whose digest equals the one that the leader sent with each chunk.
+Chunks of two snapshots are told apart by index, term, voters, size and digest, so they are never mixed.
+Hazard: late chunks of an older snapshot that restart a transfer; see `SnapshotReceiver._is_outdated`.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 from .timing import Timing
 
 DIGEST_BYTES = 16
-MAX_SNAPSHOT_BYTES = 1 << 30  # a chunk of a larger one is not taken
-SMOOTHING = 0.25  # the weight of the newest round trip
-TIMEOUT_ROUND_TRIPS = 4.0  # without progress, until what is under way counts as lost
-MAX_BACKOFF_DOUBLINGS = 32  # a follower may stay stuck for as long as its machine is frozen
+MAX_SNAPSHOT_BYTES = 1 << 30  # chunks of a larger snapshot are ignored
+SMOOTHING = 0.25  # weight of the latest round trip in the moving average
+TIMEOUT_ROUND_TRIPS = 4.0  # without progress, until what is in flight counts as lost
+MAX_BACKOFF_DOUBLINGS = 32  # bounds the exponent: a follower whose machine is frozen may not reply for hours
 
 
 def digest_of(state: bytes) -> bytes:
-    """What tells a snapshot's bytes from any others."""
+    """The digest that identifies a snapshot's bytes."""
     return hashlib.blake2b(state, digest_size=DIGEST_BYTES).digest()
 
 
 @attrs.frozen
 class Chunk:
-    """A part of a snapshot's state that is to be sent."""
+    """A part of a snapshot's state to be sent."""
 
     offset: int
     data: bytes
 
 
 class SnapshotSender:
-    """One snapshot on its way to one follower.
+    """The transfer of one snapshot to one follower.
 
-    `received` is what the follower has of it, by its replies.  At most `snapshot_window` bytes beyond that
-    are under way.  Where nothing comes of them for several round trips, they are sent again.
+    `received` is how many bytes the follower has, by its replies.  At most `snapshot_window` bytes beyond
+    that are in flight.  If none of them is acknowledged for several round trips, they are sent again.
     """
 
     def __init__(self, snapshot: Snapshot, timing: Timing, now: float) -> None:
@@ -62,7 +62,7 @@
         self._advanced_at = now
         self._round_trip = 0.0
         self._retries = 0
-        self._sent_at: deque[tuple[int, float]] = deque()  # the end of each chunk under way
+        self._sent_at: deque[tuple[int, float]] = deque()  # (end offset, time) of each chunk in flight
 
     def due_chunks(self, now: float) -> Iterator[Chunk]:
         """The chunks to be sent now."""
@@ -77,16 +77,16 @@
             yield self._next_chunk(now)
 
     def resume(self) -> None:
-        """What is under way is lost: goes on at what the follower has."""
+        """Treats what is in flight as lost: continues after the bytes that the follower has."""
         self._next_offset = self.received
         self._started = False
         self._sent_at.clear()
 
     def receive_reply(self, reply: SnapshotReply, now: float) -> None:
-        """Takes in how far the follower is.
+        """Handles a follower's reply about the bytes it has received.
 
-        A follower that has less than before has lost it, unless the reply is an old one: only a reply to a
-        chunk of a later round than the last one that showed progress takes the transfer back.
+        A follower that has fewer bytes than before has lost them, unless the reply is an old one: only a
+        reply to a chunk of a later round than the last one that showed progress moves the transfer back.
         """
         if reply.digest != self.digest or not 0 <= reply.received <= self.size:
             return
@@ -126,19 +126,19 @@
         self._round_trip = round_trip
 
     def _timeout(self) -> float:
-        """How long the bytes under way may take, by the pace of those before them."""
+        """How long the bytes in flight may take, by the round trips before them."""
         timing = self._timing
         if not self._round_trip:
             return timing.snapshot_retry
-        usual = TIMEOUT_ROUND_TRIPS * self._round_trip
-        backed_off = usual * float(1 << min(self._retries, MAX_BACKOFF_DOUBLINGS))
-        longest = max(usual, timing.snapshot_retry)
-        return min(max(backed_off, timing.reply_timeout), longest)
+        expected = TIMEOUT_ROUND_TRIPS * self._round_trip
+        backed_off = expected * float(1 << min(self._retries, MAX_BACKOFF_DOUBLINGS))
+        max_timeout = max(expected, timing.snapshot_retry)
+        return min(max(backed_off, timing.reply_timeout), max_timeout)
 
 
 @attrs.frozen
 class SnapshotIdentity:
-    """Which snapshot the chunks are of, and in which term the last of them came."""
+    """Identifies the snapshot to which chunks belong."""
 
     metadata: Snapshot
     size: int
@@ -146,7 +146,7 @@
 
 
 class HashedBytes:
-    """Bytes that come one part after the other, and their digest so far."""
+    """Bytes that arrive in parts, and the hash of those so far."""
 
     def __init__(self, state: bytes = b"") -> None:
         self.state = bytearray()
@@ -167,7 +167,7 @@
 
 
 class SnapshotReceiver:
-    """What a replica has of a snapshot that is not complete yet; it lasts beyond the leader that sent it."""
+    """The received part of an incomplete snapshot; it is kept when the leader changes."""
 
     def __init__(self) -> None:
         self._incoming: SnapshotIdentity | None = None
@@ -175,14 +175,14 @@
         self._bytes = HashedBytes()
 
     def receive(self, chunk: SnapshotChunk) -> Snapshot | None:
-        """Adds a chunk that follows what is here; the snapshot once it is complete and has its digest."""
+        """Adds a chunk that follows the received part; returns the snapshot once it is complete and valid."""
         if not 0 <= chunk.size <= MAX_SNAPSHOT_BYTES or self._is_outdated(chunk):
             return None
         self._start_if_different(chunk)
         self._term = chunk.term
-        have = len(self._bytes.state)
-        if chunk.offset <= have:
-            self._bytes.add(chunk.data[have - chunk.offset :])
+        received_length = len(self._bytes.state)
+        if chunk.offset <= received_length:
+            self._bytes.add(chunk.data[received_length - chunk.offset :])
         if len(self._bytes.state) < chunk.size:
             return None
         complete = self._bytes
@@ -192,21 +192,21 @@
         return attrs.evolve(chunk.snapshot, state=bytes(complete.state))
 
     def received(self, chunk: SnapshotChunk) -> int:
-        """How many bytes of the chunk's snapshot are here."""
+        """How many bytes of the chunk's snapshot have been received."""
         return len(self._bytes.state) if self._incoming == _identity_of(chunk) else 0
 
     def discard(self) -> None:
-        """Lets go of what is here."""
+        """Discards the received part."""
         self._incoming = None
         self._bytes = HashedBytes()
 
     def discard_up_to(self, index: int) -> None:
-        """Lets go of a snapshot that reaches no further than this index."""
+        """Discards the received part if its snapshot's index is at most `index`."""
         if self._incoming is not None and self._incoming.metadata.index <= index:
             self.discard()
 
     def _is_outdated(self, chunk: SnapshotChunk) -> bool:
-        """Whether the leader has gone on to a newer snapshot since it sent this chunk."""
+        """Whether the leader has started on a newer snapshot since it sent this chunk."""
         incoming = self._incoming
         return (
             incoming is not None
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -1,15 +1,16 @@
-"""What every role of a replica shares: its term, its vote, its log, its disk and its effects.
+"""The state that all roles of a replica share: its term, vote, log, pending writes and effects.
 
-Raft's persistent state (Ongaro 2014, figure 3.1): the term, the vote and the log; the commit index and what
-is under way are not stored.
+Raft's persistent state (Ongaro 2014, figure 3.1) is the term, the vote and the log; the commit index and
+pending writes are not stored.
 
-Invariant: the term never falls, and at most one vote is given in a term.
-Hazard: a message that leaves before the write it rests on; `send_after_write` is for those.
+Invariant: the term never decreases, and at most one vote is given in a term.
+Hazard: a message that is sent before the write on which it depends; such messages go through
+`send_after_write`.
 """
 
 from __future__ import annotations
 
-from .disk import DiskGate
+from .disk import WriteTracker
 from .effects import Effects
 from .group import Voters
 from .log import ReplicaLog
@@ -19,7 +20,7 @@
 
 
 class ReplicaState:
-    """Changed by the roles; `begin_write` gathers all changes since the last write into one record."""
+    """The shared state; `begin_write` collects all changes since the last write into one record."""
 
     def __init__(self, shard: ShardId, identity: ReplicaId, durable: DurableState, timing: Timing) -> None:
         self.shard = shard
@@ -29,7 +30,7 @@
         self.voted_for = durable.voted_for
         self.commit_index = durable.snapshot.index
         self.log = ReplicaLog(durable)
-        self.disk = DiskGate()
+        self.disk = WriteTracker()
         self.effects = Effects()
         self.snapshot_receiver = SnapshotReceiver()
         self._after_write: list[tuple[ReplicaId, ReplicaMessage]] = []
@@ -38,12 +39,12 @@
 
     @property
     def hard_state_durable(self) -> bool:
-        """Whether the present term and vote are on the disk."""
+        """Whether the present term and vote are durable."""
         return not self._hard_state_changed and self._hard_state_ticket <= self.disk.completed
 
     @property
     def voters(self) -> Voters:
-        """The voters that the newest entry names, committed or not."""
+        """The voters named by the newest GROUP entry, committed or not."""
         return self.log.voters
 
     @property
@@ -52,44 +53,44 @@
         return self.identity in self.log.voters
 
     def other_voters(self) -> Voters:
-        """The voters but for this replica."""
+        """The voters except this replica."""
         return tuple(voter for voter in self.log.voters if voter != self.identity)
 
     def disk_stalls(self, now: float) -> bool:
-        """Whether a write takes so long that this replica should not lead."""
+        """Whether a write has been pending for so long that this replica should not lead."""
         return self.disk.is_stalled(now, self.timing.disk_stall)
 
     def send(self, receiver: ReplicaId, message: ReplicaMessage) -> None:
-        """Sends what depends on no write."""
+        """Sends a message that depends on no write."""
         self.effects.sends.append((receiver, message))
 
     def send_after_write(self, receiver: ReplicaId, message: ReplicaMessage) -> None:
-        """Sends once all changes up to now are on the disk."""
+        """Sends a message once all changes up to now are durable."""
         self._after_write.append((receiver, message))
 
     def raise_term(self, term: int) -> None:
-        """Enters `term`, with no vote given in it, if it is newer."""
+        """Enters `term` without a vote in it, if it is newer."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
             self._hard_state_changed = True
 
     def vote_for(self, candidate: ReplicaId) -> None:
-        """Gives the vote of the present term."""
+        """Votes for the candidate in the present term."""
         assert self.voted_for in ("", candidate), "two votes in one term"
         if self.voted_for != candidate:
             self.voted_for = candidate
             self._hard_state_changed = True
 
     def commit_to(self, index: int) -> None:
-        """Hands out the entries up to `index` to be applied, where it is ahead."""
+        """Raises the commit index to `index` and hands out the newly committed entries to be applied."""
         if index > self.commit_index:
-            self.effects.applied.extend(self.log.between(self.commit_index + 1, index))
+            self.effects.applied.extend(self.log.entries_between(self.commit_index + 1, index))
             self.commit_index = index
             self.snapshot_receiver.discard_up_to(index)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Takes over a leader's snapshot, where it is ahead of what is committed here."""
+        """Installs a leader's snapshot if it is ahead of the commit index."""
         if snapshot.index > self.commit_index:
             self.log.install_snapshot(snapshot, self.commit_index)
             self.commit_index = snapshot.index
@@ -98,7 +99,9 @@
             self.effects.applied.clear()
 
     def begin_write(self, now: float) -> None:
-        """Issues a write of all that has changed, if anything has, and lets go of what waits for none."""
+        """Issues one write of all changes, if there are any, and sends the messages that need no further
+        write.
+        """
         if self._hard_state_changed or self.log.has_unwritten():
             ticket = self.disk.issue(now)
             entries, snapshot = self.log.begin_write(ticket)
@@ -112,7 +115,7 @@
         self.effects.sends.extend(self.disk.release_ready())
 
     def complete_write(self, ticket: int) -> None:
-        """The write `ticket`, and all before it, is on the disk."""
+        """The write `ticket`, and all before it, are durable."""
         self.disk.complete(ticket)
         self.log.end_write(ticket)
 
@@ -121,6 +124,6 @@
         return DurableRecord(self.shard, self.identity, self.term, self.voted_for, entries, snapshot)
 
     def drain_effects(self) -> Effects:
-        """Drains the effects."""
+        """Returns the collected effects and starts an empty collection."""
         effects, self.effects = self.effects, Effects()
         return effects
