--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -223,7 +223,7 @@
         found = search_orders(name, 0 if name in LONG_SCRIPTS else MODEL_FAULTS)
     else:
         found = search(SCRIPTS[name], MODEL_FAULTS, MOST_STATES)
-    outcome = "broken" if found.broken else "whole" if found.complete else "cut"
+    outcome = "broken" if found.violation else "whole" if found.complete else "cut"
     counted = f"{found.states} states longest {found.longest} {outcome} {','.join(found.group) or '-'}"
     return f"{counted} {steps.hexdigest()}"
 
--- a/kestrelbend/command/lab_model.py
+++ b/kestrelbend/command/lab_model.py
@@ -15,7 +15,7 @@
 from .verb import Verb
 
 if TYPE_CHECKING:
-    from kestrelbend.tier.model.search import Found
+    from kestrelbend.tier.model.search import SearchResult
 
 
 @attrs.frozen
@@ -29,12 +29,12 @@
     count: int
 
 
-def _search(part: _Part) -> Found:
+def _search(part: _Part) -> SearchResult:
     from kestrelbend.tier.model.orders import search_orders
     from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
-    from kestrelbend.tier.model.search import Share, search
+    from kestrelbend.tier.model.search import Partition, search
 
-    share = Share(part.index, part.count)
+    share = Partition(part.index, part.count)
     if part.script in ORDER_SCRIPTS:
         return search_orders(part.script, part.faults, share)
     return search(SCRIPTS[part.script], part.faults, part.max_states, share)
@@ -67,7 +67,7 @@
     def handle(self) -> int:
         """Search from each script; exit code 1 where a rule was broken."""
         from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
-        from kestrelbend.tier.model.search import merge
+        from kestrelbend.tier.model.search import merge_results
 
         known = [*SCRIPTS, *ORDER_SCRIPTS]
         depth = self.whole_option("depth", least=0)
@@ -80,13 +80,13 @@
         parts = {name: _parts(name, depth, max_states, -(-jobs // len(names))) for name in names}
         with self.guard_taken_out(), multiprocessing.get_context("fork").Pool(jobs) as pool:
             running = {name: [pool.apply_async(_search, (part,)) for part in parts[name]] for name in names}
-            return self._tell(merge([one.get() for one in running[name]]) for name in names)
+            return self._tell(merge_results([one.get() for one in running[name]]) for name in names)
 
-    def _tell(self, searches: Iterable[Found]) -> int:
+    def _tell(self, searches: Iterable[SearchResult]) -> int:
         states = broken = 0
         for found in searches:
             states += found.states
-            broken += bool(found.broken)
+            broken += bool(found.violation)
             self.say(found.summary())
         self.say(f"{states} states; {broken} scripts broke a rule")
         return FAILED if broken else DONE
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -8,7 +8,7 @@
 from ...configuration.stores import Emptied
 from ...membership.placement import initial_budget_placements
 from ...replication.group import has_quorum, remove_voter
-from ...storage.identity import FIRST_IDENTITY
+from ...storage.identity import BOOTSTRAP_IDENTITY
 from ...storage.identity import _write_identity as _write_any_identity
 from ..guards import guard, guard_property
 
@@ -80,7 +80,7 @@
 @guard("emptied-identity", "storage.identity:_write_identity", "votes and entries forgotten by a voter")
 def write_first_identity(disk: Disk, data_dir: str, identity: str) -> None:
     """Gives an emptied disk the identity that the first one had."""
-    _write_any_identity(disk, data_dir, FIRST_IDENTITY)
+    _write_any_identity(disk, data_dir, BOOTSTRAP_IDENTITY)
 
 
 @guard("later-wish", "replication.placement:Placement.set_target", "a group led by an old word")
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -30,7 +30,7 @@
 from .node import Node
 from .rules import require
 from .scripts import ORDER_SCRIPTS
-from .search import WHOLE, Found, Share
+from .search import FULL_SEARCH, Partition, SearchResult
 from .world import Script, Step, World
 
 BASE = 1  # the version that the racing orders are made on
@@ -244,25 +244,25 @@
     longest: int = 0
 
 
-def search_orders(name: str, faults: int, share: Share = WHOLE) -> Found:
+def search_orders(name: str, faults: int, partition: Partition = FULL_SEARCH) -> SearchResult:
     """All runs of a script of orders with up to `faults` faults, each at any step; or a share of them."""
     begun = time.perf_counter()
     counted = RunCounters()
-    broken, steps = asyncio.run(_search(ORDER_SCRIPTS[name], faults, counted, share))
-    return Found(
+    violation, steps = asyncio.run(_search(ORDER_SCRIPTS[name], faults, counted, partition))
+    return SearchResult(
         script=name,
         faults=faults,
         states=counted.steps,
         longest=counted.longest,
         seconds=time.perf_counter() - begun,
-        complete=not broken,
-        broken=broken,
+        complete=not violation,
+        violation=violation,
         steps=steps,
     )
 
 
 async def _search(
-    script: Script, faults: int, counted: RunCounters, share: Share
+    script: Script, faults: int, counted: RunCounters, partition: Partition
 ) -> tuple[str, tuple[Step, ...]]:
     waiting: list[tuple[tuple[int, Step], ...]] = [()]
     while waiting:
@@ -276,8 +276,8 @@
             world.end()
         if len(chosen) < faults:
             after = chosen[-1][0] if chosen else -1
-            later = [(*chosen, (at, step)) for at, step in alternatives if at > after]
-            waiting += later if chosen else [run for number, run in enumerate(later) if share.holds(number)]
+            runs = [(*chosen, (at, step)) for at, step in alternatives if at > after]
+            waiting += runs if chosen else [run for number, run in enumerate(runs) if partition.holds(number)]
     return "", ()
 
 
--- a/kestrelbend/tier/model/search.py
+++ b/kestrelbend/tier/model/search.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Found:
+class SearchResult:
     """What a search came to: `broken` is the first rule that a run broke, by which steps."""
 
     script: str
@@ -33,7 +33,7 @@
     longest: int
     seconds: float
     complete: bool
-    broken: str = ""
+    violation: str = ""
     steps: tuple[Step, ...] = ()
     group: Voters = ()  # at the end of the last run
 
@@ -44,10 +44,10 @@
             f"{self.script}, {self.faults} faults: {covered}, {self.states} states, "
             f"longest {self.longest} steps, {self.seconds:.1f} s"
         )
-        if not self.broken:
+        if not self.violation:
             return text
         faults = [f"{place} {' '.join(step)}" for place, step in enumerate(self.steps) if step != PROCEED]
-        return f"{text}\n    BROKEN {self.broken}\n    by {len(self.steps)} steps, of them {faults}"
+        return f"{text}\n    BROKEN {self.violation}\n    by {len(self.steps)} steps, of them {faults}"
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Share:
+class Partition:
     """Which part of a script's runs a search looks at: each `count`-th first fault, and what has none."""
 
     index: int = 0
@@ -70,14 +70,14 @@
         return number % self.count == self.index
 
 
-WHOLE = Share()
+FULL_SEARCH = Partition()
 
 
-def merge(parts: Sequence[Found]) -> Found:
+def merge_results(parts: Sequence[SearchResult]) -> SearchResult:
     """What the shares of one search came to together; the states without a fault count for each."""
-    broken = next((part for part in parts if part.broken), parts[0])
+    violation = next((part for part in parts if part.violation), parts[0])
     return attrs.evolve(
-        broken,
+        violation,
         states=sum(part.states for part in parts),
         longest=max(part.longest for part in parts),
         seconds=max(part.seconds for part in parts),
@@ -89,10 +89,10 @@
     """Visits the states with fewer faults first, so that what takes fewer of them is found first."""
 
     def __init__(
-        self, script: Script, faults: int, max_states: int | None = None, share: Share = WHOLE
+        self, script: Script, faults: int, max_states: int | None = None, partition: Partition = FULL_SEARCH
     ) -> None:
         self._script = script
-        self._share = share
+        self._share = partition
         self._first_faults = 0
         self._states = 0  # looked at, with those that turned out to be known
         self._faults = faults
@@ -103,25 +103,25 @@
         self._path: Sequence[Step] = ()
         self._group: Voters = ()
 
-    def run(self) -> Found:
+    def run(self) -> SearchResult:
         """Looks at all runs, or at as many states as are allowed."""
         begun = time.perf_counter()
-        complete, broken = True, ""
+        complete, violation = True, ""
         try:
             self._path = (("begin",),)
             self._add_state(World(self._script, self._faults), ())
             complete = self._visit_all()
         except AssertionError as fault:
-            broken = str(fault) or repr(fault)
-        return Found(
+            violation = str(fault) or repr(fault)
+        return SearchResult(
             script=self._script.name,
             faults=self._faults,
             states=self._states,
             longest=self._longest,
             seconds=time.perf_counter() - begun,
-            complete=complete and not broken,
-            broken=broken,
-            steps=tuple(self._path) if broken else (),
+            complete=complete and not violation,
+            violation=violation,
+            steps=tuple(self._path) if violation else (),
             group=self._group,
         )
 
@@ -200,6 +200,8 @@
         return True
 
 
-def search(script: Script, faults: int, max_states: int | None = None, share: Share = WHOLE) -> Found:
+def search(
+    script: Script, faults: int, max_states: int | None = None, partition: Partition = FULL_SEARCH
+) -> SearchResult:
     """Searches all runs of a script with up to `faults` faults, or a share of them."""
-    return Search(script, faults, max_states, share).run()
+    return Search(script, faults, max_states, partition).run()
--- a/kestrelbend/tier/storage/__init__.py
+++ b/kestrelbend/tier/storage/__init__.py
@@ -14,11 +14,11 @@
 """
 
 from kestrelbend.tier.storage.errors import StorageCode, StorageCorruptedError, StorageError
-from kestrelbend.tier.storage.identity import FIRST_IDENTITY, DataDirectory
+from kestrelbend.tier.storage.identity import BOOTSTRAP_IDENTITY, DataDirectory
 from kestrelbend.tier.storage.journal import DiskJournal, JournalState
 
 __all__ = [
-    "FIRST_IDENTITY",
+    "BOOTSTRAP_IDENTITY",
     "DataDirectory",
     "DiskJournal",
     "JournalState",
--- a/kestrelbend/tier/storage/checkpoint_writer.py
+++ b/kestrelbend/tier/storage/checkpoint_writer.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 
 from kestrelbend.tier.storage.disk import Disk
-from kestrelbend.tier.storage.records import Record, bytes_of
+from kestrelbend.tier.storage.records import Record, record_bytes
 from kestrelbend.tier.storage.segment import SegmentEncoder
 
 CHUNK_BYTES = 1 << 20
@@ -50,7 +50,7 @@
     def _encode_next(self) -> None:
         record = next(self._records, None)
         if record is not None:
-            self._encoder.add(bytes_of(record))
+            self._encoder.add(record_bytes(record))
             return
         self._disk.write(self.path, b"")
         self.length = self._encoder.length
--- a/kestrelbend/tier/storage/identity.py
+++ b/kestrelbend/tier/storage/identity.py
@@ -19,7 +19,7 @@
 from kestrelbend.tier.storage.errors import StorageCode, StorageCorruptedError
 from kestrelbend.tier.storage.os_disk import OsDisk
 
-FIRST_IDENTITY = "first"
+BOOTSTRAP_IDENTITY = "first"
 _IDENTITY_NAME = "identity"
 _TEMPORARY_NAME = "identity.new"
 _JOURNAL_NAME = "journal"
@@ -54,7 +54,7 @@
         created = _IDENTITY_NAME not in names
         if created:
             _check_no_journal(disk, data_dir, names)
-            identity = FIRST_IDENTITY if bootstrap else new_identity()
+            identity = BOOTSTRAP_IDENTITY if bootstrap else new_identity()
             _write_identity(disk, data_dir, identity)
         identity = _read_identity(disk, data_dir)
         journal_directory = f"{data_dir}/{_JOURNAL_NAME}"
@@ -74,7 +74,7 @@
 def _read_identity(disk: Disk, data_dir: str) -> str:
     path = f"{data_dir}/{_IDENTITY_NAME}"
     identity = disk.read(path).decode("ascii", "replace")
-    if identity != FIRST_IDENTITY and not _is_random_identity(identity):
+    if identity != BOOTSTRAP_IDENTITY and not _is_random_identity(identity):
         raise StorageCorruptedError(StorageCode.IDENTITY_DAMAGED, path)
     return identity
 
--- a/kestrelbend/tier/storage/journal.py
+++ b/kestrelbend/tier/storage/journal.py
@@ -33,7 +33,7 @@
 from kestrelbend.tier.storage.disk import Disk
 from kestrelbend.tier.storage.journal_files import JournalFiles, allocated_bytes
 from kestrelbend.tier.storage.os_disk import OsDisk
-from kestrelbend.tier.storage.records import Record, bytes_of
+from kestrelbend.tier.storage.records import Record, record_bytes
 from kestrelbend.tier.storage.segment import RECORD_OVERHEAD_BYTES
 from kestrelbend.tier.storage.write_queue import (
     PendingAppend,
@@ -214,7 +214,7 @@
         if isinstance(last, PendingCheckpoint):
             self._write_checkpoint(last)
             return
-        records = [bytes_of(pending.record) for pending in group if isinstance(pending, PendingAppend)]
+        records = [record_bytes(pending.record) for pending in group if isinstance(pending, PendingAppend)]
         reserved = self._capacity.reserved_bytes(self._files.checkpoint_bytes)
         self._check_free_space(reserved + sum(len(record) + RECORD_OVERHEAD_BYTES for record in records))
         self._files.write_segment(records)
--- a/kestrelbend/tier/storage/records.py
+++ b/kestrelbend/tier/storage/records.py
@@ -26,11 +26,11 @@
 """What a journal takes."""
 
 
-def size_of(record: Record) -> int:
+def record_size(record: Record) -> int:
     """About the length of a record in bytes."""
     return record.size if isinstance(record, DeferredRecord) else len(record)
 
 
-def bytes_of(record: Record) -> bytes:
+def record_bytes(record: Record) -> bytes:
     """The record's bytes, made now where that was deferred."""
     return record.make() if isinstance(record, DeferredRecord) else record
--- a/kestrelbend/tier/storage/write_queue.py
+++ b/kestrelbend/tier/storage/write_queue.py
@@ -12,7 +12,7 @@
 import attrs
 
 from kestrelbend.tier.storage.checkpoint_writer import CHUNK_BYTES
-from kestrelbend.tier.storage.records import Record, size_of
+from kestrelbend.tier.storage.records import Record, record_size
 
 GROUP_BYTES = 4 * 1024 * 1024
 
@@ -28,7 +28,7 @@
     @property
     def size(self) -> int:
         """About its length in bytes."""
-        return size_of(self.record)
+        return record_size(self.record)
 
 
 @attrs.frozen
@@ -40,7 +40,7 @@
     @property
     def size(self) -> int:
         """About the length of all its records in bytes."""
-        return sum(size_of(record) for record in self.records)
+        return sum(record_size(record) for record in self.records)
 
     @property
     def is_large(self) -> bool:
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -193,19 +193,19 @@
 
     def test_no_script_breaks_a_rule_with_all_guards_in_place(self):
         for name, script in SCRIPTS.items():
-            self.assertEqual("", search(script, faults=0).broken, name)
+            self.assertEqual("", search(script, faults=0).violation, name)
 
     def test_each_removal_breaks_a_rule(self):
         for guard, (script, faults) in FOUND_BY_MODEL.items():
             with without(guard):
                 found = search(SCRIPTS[script], faults)
-            self.assertNotEqual("", found.broken, f"nothing finds the removal of {guard}")
+            self.assertNotEqual("", found.violation, f"nothing finds the removal of {guard}")
 
     def test_each_removal_breaks_a_rule_of_orders(self):
         for guard, script in FOUND_BY_MODEL_OF_ORDERS.items():
             with without(guard):
                 found = search_orders(script, faults=0)
-            self.assertNotEqual("", found.broken, f"nothing finds the removal of {guard}")
+            self.assertNotEqual("", found.violation, f"nothing finds the removal of {guard}")
 
 
 class TestGuardsOfTheRest(testtools.TestCase):
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -15,7 +15,7 @@
 from kestrelbend.tier.model.scripts import ORDER_SCRIPTS, SCRIPTS
 from kestrelbend.tier.fleet import mutations  # noqa: F401  (fills the registry)
 from kestrelbend.tier.fleet.guards import without
-from kestrelbend.tier.model.search import Share, merge, search
+from kestrelbend.tier.model.search import Partition, merge_results, search
 from tests.tier.forked_pool import forked_pool
 
 DEPTH = int(os.environ.get("MODEL", "0"))
@@ -40,12 +40,12 @@
 
     def test_no_run_of_the_core_breaks_a_rule(self):
         found = self.pool.map(search_script, SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.summary() for one in found if one.broken])
+        self.assertEqual([], [one.summary() for one in found if one.violation])
         self.assertGreater(sum(one.states for one in found), 1000 * len(SCRIPTS))
 
     def test_no_run_with_orders_breaks_a_rule(self):
         found = self.pool.map(search_script_of_orders, ORDER_SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.summary() for one in found if one.broken])
+        self.assertEqual([], [one.summary() for one in found if one.violation])
 
 
 class TestScripts(testtools.TestCase):
@@ -68,24 +68,27 @@
 class TestShares(testtools.TestCase):
     def test_the_shares_of_a_search_cover_what_one_search_does(self):
         whole = search(SCRIPTS["old_replies"], 1)
-        parts = [search(SCRIPTS["old_replies"], 1, share=Share(index, 3)) for index in range(3)]
-        merged = merge(parts)
+        parts = [search(SCRIPTS["old_replies"], 1, partition=Partition(index, 3)) for index in range(3)]
+        merged = merge_results(parts)
         alone = search(SCRIPTS["old_replies"], 0).states
-        self.assertEqual((True, "", whole.longest), (merged.complete, merged.broken, merged.longest))
+        self.assertEqual((True, "", whole.longest), (merged.complete, merged.violation, merged.longest))
         self.assertGreaterEqual(merged.states - 2 * alone, whole.states)  # no state is left out
         self.assertTrue(all(alone < part.states < whole.states for part in parts))
 
     def test_the_shares_of_a_search_of_orders_play_each_run_once(self):
         whole = search_orders("orders_race", 0)
-        parts = [search_orders("orders_race", 1, Share(index, 400)) for index in (0, 1)]
-        self.assertEqual(["", ""], [part.broken for part in parts])
+        parts = [search_orders("orders_race", 1, Partition(index, 400)) for index in (0, 1)]
+        self.assertEqual(["", ""], [part.violation for part in parts])
         self.assertTrue(all(part.states > whole.states for part in parts))
         self.assertNotEqual(*(part.states for part in parts))
 
     def test_what_one_share_finds_is_told(self):
         with without("own-epoch"):
-            parts = [search(SCRIPTS["entry_of_an_older_epoch"], 1, share=Share(index, 2)) for index in (0, 1)]
-        self.assertNotEqual("", merge(parts).broken)
+            parts = [
+                search(SCRIPTS["entry_of_an_older_epoch"], 1, partition=Partition(index, 2))
+                for index in (0, 1)
+            ]
+        self.assertNotEqual("", merge_results(parts).violation)
 
 
 class TestModelVerb(testtools.TestCase):
--- a/tests/tier/test_snapshot_host.py
+++ b/tests/tier/test_snapshot_host.py
@@ -11,7 +11,7 @@
 from kestrelbend.tier.replication.host import ShardHost
 from kestrelbend.tier.replication.hosted import COMPACT_ENTRIES
 from kestrelbend.tier.replication.replica_disk import DEFERRED_RECORD_BYTES
-from kestrelbend.tier.storage.records import DeferredRecord, bytes_of
+from kestrelbend.tier.storage.records import DeferredRecord, record_bytes
 
 SHARD = "budget-0"
 PROGRAMS = 150
@@ -73,7 +73,7 @@
             create_state_machine=lambda shard: Machine(),
             may_host=lambda shard: True,
         )
-        self.host.load([decode(bytes_of(record)) for record in records])
+        self.host.load([decode(record_bytes(record)) for record in records])
         self.host.open(SHARD, ("a",), self.now)
         self.journal.records = list(records)
         self.run(40)
@@ -123,7 +123,7 @@
         process.run(1)
         self.assertLess(process.journal.most_made_at_once, DEFERRED_RECORD_BYTES)
         (record,) = process.journal.records
-        self.assertEqual(state, decode(bytes_of(record)).snapshot.state)
+        self.assertEqual(state, decode(record_bytes(record)).snapshot.state)
 
     def test_given_a_restart_from_the_disk_when_it_has_owned_again_then_the_state_is_the_same(self):
         process = self.run_until_compacted()
@@ -141,6 +141,6 @@
 
     def test_given_a_snapshot_of_its_own_when_it_is_taken_then_nothing_is_written_for_it(self):
         process = self.run_until_compacted()
-        records = [decode(bytes_of(record)) for record in process.journal.records]
+        records = [decode(record_bytes(record)) for record in process.journal.records]
         with_state = [record for record in records if record.snapshot is not None and record.snapshot.state]
         self.assertEqual([], with_state)
