--- a/kestrelbend/tier/storage/__init__.py
+++ b/kestrelbend/tier/storage/__init__.py
@@ -1,16 +1,16 @@
-"""What a process keeps on its disk: its identity, and one write-ahead log ("journal") for all its replicas.
+"""Durable storage of a process: its identity, and one write-ahead log ("journal") shared by all its replicas.
 
 The life cycle of a record:
 
     append ──> queue ──> group commit: written to segment n, synced ──> acknowledged (`on_written`)
                                                                              │ segments grow
     removed <── replaced <── checkpoint durable (renamed, directory synced) <┘
-       or read again by `load` at the next start: the newest checkpoint, then the segments from its number on
+       or replayed by `load` at the next start: the newest checkpoint, then the segments from its number on
 
-`disk` is the port to the operating system's files (`os_disk`), `segment` the format of one file,
-`journal_names` the names of the files, `journal_files` their order and durability, `checkpoint_writer` a
-checkpoint that is written in steps, `write_queue` and `capacity` which records are written when, `journal`
-the writer thread.
+Modules: `disk` is the file system interface and `os_disk` its implementation; `segment` encodes and decodes
+one file; `journal_names` builds and parses file names; `journal_files` orders the files and makes them
+durable; `checkpoint_writer` writes a checkpoint in steps; `write_queue` and `capacity` decide which records
+are written when; `journal` runs the writer thread.
 """
 
 from kestrelbend.tier.storage.errors import StorageCode, StorageCorruptedError, StorageError
--- a/kestrelbend/tier/storage/checkpoint_writer.py
+++ b/kestrelbend/tier/storage/checkpoint_writer.py
@@ -1,8 +1,8 @@
-"""A large checkpoint, written under a temporary name in short steps while segments go on being written.
+"""Writes a checkpoint under a temporary name in short steps, while segments are written in between.
 
-Invariant: the checkpoint holds the effect of all segments below its number and of none above, since its
-records are those of the moment at which the number was the next one.  Until its final name is durable,
-nothing that it replaces may be removed; a checkpoint that was begun and not ended is removed as obsolete.
+Invariant: a checkpoint holds the effect of all segments with a number below its own and of no others, since
+its records were captured when its number was the next segment's.  Until its final name is durable, nothing
+that it replaces may be removed.  An unfinished checkpoint is obsolete and is removed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class CheckpointWriter:
-    """Each `step` makes one record's bytes, or writes and syncs one chunk."""
+    """Each `step` encodes one record, or writes and syncs one chunk."""
 
     def __init__(
         self, disk: Disk, path: str, number: int, records: Iterable[Record], chunk_bytes: int = CHUNK_BYTES
@@ -29,13 +29,12 @@
         self._chunk_bytes = chunk_bytes
         self._records = iter(list(records))
         self._encoder = SegmentEncoder(number)
-        self._chunks: Iterator[bytes | memoryview] | None = None  # once all records are made
+        self._chunks: Iterator[bytes | memoryview] | None = None  # set once all records are encoded
 
     def step(self) -> bool:
-        """Whether more is to do; once it isn't, the file is complete and synced.  Raises `OSError`.
+        """Returns whether steps remain; once none do, the file is complete and synced.  Raises `OSError`.
 
-        Each chunk is synced by itself, so that no sync has the complete checkpoint to bring to the disk and
-        the syncs of segments don't wait behind it.
+        Each chunk is synced separately, since one sync of the whole file would delay the syncs of segments.
         """
         if self._chunks is None:
             self._encode_next()
@@ -54,11 +53,11 @@
             return
         self._disk.write(self.path, b"")
         self.length = self._encoder.length
-        self._chunks = _chunks(self._encoder.buffers(), self._chunk_bytes)
+        self._chunks = _split_into_chunks(self._encoder.buffers(), self._chunk_bytes)
 
 
-def _chunks(buffers: Iterable[bytes], size: int) -> Iterator[bytes | memoryview]:
-    """The buffers in their order, the small ones joined, the large ones cut."""
+def _split_into_chunks(buffers: Iterable[bytes], size: int) -> Iterator[bytes | memoryview]:
+    """Yields the buffers in order, with small ones joined and large ones split."""
     small: list[bytes] = []
     for buffer in buffers:
         if len(buffer) < size:
--- a/kestrelbend/tier/storage/errors.py
+++ b/kestrelbend/tier/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of stored state, each with a code that an operator can look up."""
+"""Errors in stored data, each with a code that an operator can look up."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class StorageCode(enum.StrEnum):
-    """What was found on the disk at the start of a process."""
+    """What a process found wrong with its data directory at startup."""
 
-    HOLE = "storage.hole"  # a segment is missing or torn though a later one is there
+    SEGMENT_GAP = "storage.hole"  # a segment is missing or torn, but a later segment has content
     CHECKPOINT_DAMAGED = "storage.checkpoint_damaged"
     IDENTITY_DAMAGED = "storage.identity_damaged"
-    IDENTITY_MISSING = "storage.identity_missing"  # segments without the identity that they belong to
+    IDENTITY_MISSING = "storage.identity_missing"  # the journal has files, but the identity file is missing
 
 
 class StorageError(Exception):
-    """What the data directory holds can't be used; `code` says why and `path` where."""
+    """The content of the data directory can't be used; `code` is the reason and `path` the file concerned."""
 
     def __init__(self, code: StorageCode, path: str) -> None:
         super().__init__(f"{code.value}: {path}")
@@ -24,9 +24,8 @@
 
 
 class StorageCorruptedError(StorageError):
-    """The disk holds what no loss of power can leave: what it acknowledged may be gone.
+    """The disk is in a state that no power failure can cause: acknowledged records may be lost.
 
-    A replica must not go on with such a disk under its identity, since it may have forgotten votes and
-    entries that it acknowledged.  Replace the disk, or empty the data directory: it then counts as another
-    replica.
+    A replica must not continue under its identity with such a disk, since it may have lost votes and entries
+    that it acknowledged.  Replace the disk or empty the data directory: the replica then has a new identity.
     """
--- a/kestrelbend/tier/storage/identity.py
+++ b/kestrelbend/tier/storage/identity.py
@@ -1,11 +1,11 @@
-"""A process's data directory: the disk's identity, and where its journal stands.
+"""A process's data directory: the identity of the disk and the path of its journal.
 
-Invariant: an identity is used only once it is durable, and an emptied disk gets another one.  So no replica
-that has forgotten its votes and entries can pass for the replica that gave them.
+Invariant: an identity is used only once it is durable, and an emptied disk gets a new one.  So a replica that
+has lost its votes and entries is never mistaken for the replica that acknowledged them.
 
-The identity is written under a temporary name, synced, renamed, and the directory is synced: the first sync
-guards against a torn identity under its final name, the second against a process that acts under an identity
-whose name a loss of power takes away.
+The identity is written to a temporary file and synced, the file is renamed, and the directory is synced.
+The first sync prevents a torn identity under the final name.  The second prevents a process from using an
+identity whose file a power failure could still remove.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from kestrelbend.tier.storage.os_disk import OsDisk
 
 BOOTSTRAP_IDENTITY = "first"
-_IDENTITY_NAME = "identity"
-_TEMPORARY_NAME = "identity.new"
-_JOURNAL_NAME = "journal"
-_IDENTITY_BYTES = 4
+_IDENTITY_FILE = "identity"
+_TEMPORARY_FILE = "identity.new"
+_JOURNAL_DIRECTORY = "journal"
+_RANDOM_IDENTITY_BYTES = 4
 
 
 @attrs.frozen
 class DataDirectory:
-    """What a process finds in its `DataDir`, or puts there at its first start (`created`)."""
+    """The content of a process's `DataDir`; `created` is set if the identity was created by this `open`."""
 
     identity: str
     journal_directory: str
@@ -40,39 +40,41 @@
         data_dir: str,
         bootstrap: bool,
         disk: Disk | None = None,
-        new_identity: Callable[[], str] = lambda: secrets.token_hex(_IDENTITY_BYTES),
+        new_identity: Callable[[], str] = lambda: secrets.token_hex(_RANDOM_IDENTITY_BYTES),
     ) -> DataDirectory:
-        """Reads the identity, or gives the disk one.
+        """Reads the identity, or creates it on an empty disk.
 
-        `bootstrap`: the complete system starts on empty disks, so the disks' identities are known ahead.
-        Raises `StorageCorruptedError`, and `OSError` where the disk does not take the identity.
+        `bootstrap`: the whole system starts on empty disks for the first time, so an empty disk gets the
+        predefined `BOOTSTRAP_IDENTITY`.
+
+        Raises `StorageCorruptedError`, or `OSError` if a disk operation fails.
         """
         disk = disk or OsDisk()
         disk.make_directory(data_dir)
         disk.sync_directory(data_dir)
         names = disk.list_directory(data_dir)
-        created = _IDENTITY_NAME not in names
+        created = _IDENTITY_FILE not in names
         if created:
             _check_no_journal(disk, data_dir, names)
             identity = BOOTSTRAP_IDENTITY if bootstrap else new_identity()
             _write_identity(disk, data_dir, identity)
         identity = _read_identity(disk, data_dir)
-        journal_directory = f"{data_dir}/{_JOURNAL_NAME}"
+        journal_directory = f"{data_dir}/{_JOURNAL_DIRECTORY}"
         disk.make_directory(journal_directory)
         disk.sync_directory(data_dir)
         return cls(identity, journal_directory, created)
 
 
 def _write_identity(disk: Disk, data_dir: str, identity: str) -> None:
-    temporary = f"{data_dir}/{_TEMPORARY_NAME}"
+    temporary = f"{data_dir}/{_TEMPORARY_FILE}"
     disk.write(temporary, identity.encode())
     disk.sync(temporary)
-    disk.rename(temporary, f"{data_dir}/{_IDENTITY_NAME}")
+    disk.rename(temporary, f"{data_dir}/{_IDENTITY_FILE}")
     disk.sync_directory(data_dir)
 
 
 def _read_identity(disk: Disk, data_dir: str) -> str:
-    path = f"{data_dir}/{_IDENTITY_NAME}"
+    path = f"{data_dir}/{_IDENTITY_FILE}"
     identity = disk.read(path).decode("ascii", "replace")
     if identity != BOOTSTRAP_IDENTITY and not _is_random_identity(identity):
         raise StorageCorruptedError(StorageCode.IDENTITY_DAMAGED, path)
@@ -80,10 +82,12 @@
 
 
 def _is_random_identity(identity: str) -> bool:
-    return len(identity) == 2 * _IDENTITY_BYTES and all(digit in "0123456789abcdef" for digit in identity)
+    return len(identity) == 2 * _RANDOM_IDENTITY_BYTES and all(
+        digit in "0123456789abcdef" for digit in identity
+    )
 
 
 def _check_no_journal(disk: Disk, data_dir: str, names: list[str]) -> None:
-    journal_directory = f"{data_dir}/{_JOURNAL_NAME}"
-    if _JOURNAL_NAME in names and disk.list_directory(journal_directory):
+    journal_directory = f"{data_dir}/{_JOURNAL_DIRECTORY}"
+    if _JOURNAL_DIRECTORY in names and disk.list_directory(journal_directory):
         raise StorageCorruptedError(StorageCode.IDENTITY_MISSING, journal_directory)
--- a/kestrelbend/tier/storage/journal.py
+++ b/kestrelbend/tier/storage/journal.py
@@ -3,21 +3,21 @@
     append, checkpoint          (any thread; returns at once)
         │ queue
     write_once                  (writer thread) one group: a segment is written and synced, or a checkpoint
-        │ durable               is written or begun; on `OSError` the group goes back to the queue, and the
-        │                       thread tries again after a backoff that grows
-    on_written(tickets)         (caller's thread, by `loop_call`)
+        │ durable               is written or begun; on `OSError` the group returns to the queue, and the
+        │                       thread retries with exponential backoff
+    on_written(tickets)         (caller's thread, through `call_in_loop`)
 
-    maintain                    (writer thread, between groups) a step of the large checkpoint under way,
-    files
-                                created ahead, obsolete files removed
+    maintain                    (writer thread, between groups) runs a step of the active large checkpoint,
+                                creates files in advance, removes obsolete files
 
-Invariant: `on_written` names a ticket only once its record is durable, and names tickets in the order in
-which they were appended.  A caller never waits for the disk.  While the disk refuses (full, failing),
-nothing is acknowledged, and `state` and `oldest_wait` let the replicas transfer their leadership.
+Invariant: `on_written` receives a ticket only once its record is durable, and receives tickets in the order
+in which they were appended.  A caller never waits for the disk.  While writes fail (disk full or failing),
+nothing is acknowledged; `state` and `oldest_wait_s` report this, so that replicas can transfer their
+leadership.
 
 A large checkpoint is written in short steps between the groups, so that records never wait for all of it.
-While the disk is full it is written at once instead, and takes the place of the records before it.  What each
-sync guards against is said in `journal_files`.
+While the disk is full it is written at once instead, and replaces the records before it.  `journal_files`
+documents what each sync guards against.
 """
 
 from __future__ import annotations
@@ -39,33 +39,33 @@
     PendingAppend,
     PendingCheckpoint,
     PendingWrite,
-    next_group,
+    next_group_length,
     oldest_append,
 )
 
-SLOW_S = 0.25
-STALLED_S = 1.0
+SLOW_AFTER_S = 0.25
+STALLED_AFTER_S = 1.0
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 8
-MAX_SEGMENTS = 4000  # until a checkpoint is wanted: each is a file to read at the next start
-_DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
+MAX_SEGMENTS = 4000  # then a checkpoint is requested, since the next start reads each segment's file
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class JournalState(enum.Enum):
-    """How the disk takes what it is given."""
+    """Whether the disk keeps up with the records appended to the journal."""
 
     OK = "ok"
-    SLOW = "slow"  # the oldest record has waited for `SLOW_S`
-    STALLED = "stalled"  # the oldest record has waited for `STALLED_S`
-    FULL = "full"  # the disk, or the journal's share of it
+    SLOW = "slow"  # the oldest record has waited for at least `SLOW_AFTER_S`
+    STALLED = "stalled"  # the oldest record has waited for at least `STALLED_AFTER_S`
+    FULL = "full"  # no space on the disk, or the journal's disk quota is used up
 
 
 class DiskJournal:
-    """One directory and one writer thread: `load`, then `start`, and `close` at the end.
+    """A journal in one directory with one writer thread: call `load`, then `start`, and finally `close`.
 
-    `capacity_bytes` is the journal's share of the disk.  `loop_call(function, *arguments)` brings a call to
-    the caller's thread, as `call_soon_threadsafe` does.  `clock` gives seconds.
+    `capacity_bytes` is the journal's disk quota.  `call_in_loop(function, *arguments)` schedules a call on
+    the caller's thread, like `call_soon_threadsafe`.  `clock` returns seconds.
     """
 
     def __init__(
@@ -73,29 +73,29 @@
         directory: str,
         capacity_bytes: int,
         on_written: Callable[[list[int]], None],
-        loop_call: Callable[..., object],
+        call_in_loop: Callable[..., object],
         disk: Disk | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._files = JournalFiles(disk or OsDisk(), directory)
         self._capacity = JournalCapacity(capacity_bytes)
         self._on_written = on_written
-        self._loop_call = loop_call
+        self._call_in_loop = call_in_loop
         self._clock = clock
-        self._changed = threading.Condition()  # guards the queue, what is in flight and `_closing`
+        self._condition = threading.Condition()  # guards `_queue`, `_in_flight` and `_closing`
         self._queue: list[PendingWrite] = []
         self._in_flight: list[PendingWrite] = []
         self._pending_checkpoints = 0
-        self._checkpoint: CheckpointWriter | None = None  # the large one under way
-        self._full = False
-        self._failures = 0
+        self._active_checkpoint: CheckpointWriter | None = None  # the large one in progress
+        self._disk_full = False
+        self._consecutive_failures = 0
         self._closing = False
         self._thread: threading.Thread | None = None
 
     def load(self) -> list[bytes]:
-        """All records in order, as one replays them; called once, before the first append.
+        """Returns all records in the order of replay; call it once, before the first append.
 
-        Raises `StorageCorruptedError`, and `OSError` where the disk can't be read.
+        Raises `StorageCorruptedError`, or `OSError` if the disk can't be read.
         """
         return self._files.load()
 
@@ -105,69 +105,71 @@
         self._thread.start()
 
     def append(self, ticket: int, record: Record) -> None:
-        """Takes a record; `on_written` names its ticket once it is durable."""
+        """Queues a record; `on_written` receives its ticket once it is durable."""
         pending = PendingAppend(ticket, record, self._clock())
-        with self._changed:
+        with self._condition:
             self._queue.append(pending)
-            self._changed.notify()
+            self._condition.notify()
 
     def checkpoint(self, records: list[Record]) -> None:
-        """Replaces all that was appended so far by these records, which must hold the effect of all of it."""
-        with self._changed:
+        """Replaces all records appended so far by `records`, which must hold the effect of all of them."""
+        with self._condition:
             self._pending_checkpoints += 1
             self._queue.append(PendingCheckpoint(records))
-            self._changed.notify()
+            self._condition.notify()
 
     @property
     def wants_checkpoint(self) -> bool:
-        """Whether the segments since the last checkpoint have grown beyond what a start should replay."""
+        """Whether a checkpoint should be written: too much to replay at a start, or the disk is full."""
         files = self._files
-        if self._pending_checkpoints or self._checkpoint is not None:
+        if self._pending_checkpoints or self._active_checkpoint is not None:
             return False
         if files.segment_count >= MAX_SEGMENTS:
             return True
-        return files.segment_bytes > self._capacity.max_segment_bytes(files.checkpoint_bytes) or self._full
+        return (
+            files.segment_bytes > self._capacity.max_segment_bytes(files.checkpoint_bytes) or self._disk_full
+        )
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything waits to be written."""
+        """Whether the queue holds any writes."""
         return bool(self._queue)
 
     @property
     def retry_backoff_s(self) -> float:
-        """The time in seconds before a group that the disk refused is written again."""
-        doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
+        """The delay in seconds before a failed group is retried."""
+        doublings = min(self._consecutive_failures, MAX_BACKOFF_DOUBLINGS)
         return min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**doublings)
 
-    def oldest_wait(self, now: float) -> float:
-        """For how long the oldest record that is not acknowledged has waited, in seconds."""
-        with self._changed:
+    def oldest_wait_s(self, now: float) -> float:
+        """Returns how long the oldest unacknowledged record has waited, in seconds."""
+        with self._condition:
             oldest = oldest_append(self._in_flight) or oldest_append(self._queue)
-        return 0.0 if oldest is None else now - oldest.since
+        return 0.0 if oldest is None else now - oldest.appended_at
 
     def state(self, now: float) -> JournalState:
-        """How the disk does; anything but OK is a reason to let other replicas own the shards."""
-        if self._full:
+        """Returns the state of the journal; unless it is OK, other replicas should own the shards."""
+        if self._disk_full:
             return JournalState.FULL
-        wait = self.oldest_wait(now)
-        if wait >= STALLED_S:
+        wait = self.oldest_wait_s(now)
+        if wait >= STALLED_AFTER_S:
             return JournalState.STALLED
-        return JournalState.SLOW if wait >= SLOW_S else JournalState.OK
+        return JournalState.SLOW if wait >= SLOW_AFTER_S else JournalState.OK
 
-    def close(self, within: float) -> bool:
-        """Writes what is pending, within a time in seconds; whether all of it was written."""
-        with self._changed:
+    def close(self, timeout_s: float) -> bool:
+        """Writes the pending records for at most `timeout_s`; returns whether all were written."""
+        with self._condition:
             self._closing = True
-            self._changed.notify()
+            self._condition.notify()
         if self._thread is not None:
-            self._thread.join(within)
-        with self._changed:
+            self._thread.join(timeout_s)
+        with self._condition:
             return not (self._queue or self._in_flight)
 
     def write_once(self) -> bool:
-        """Writes one group on the calling thread; whether anything was pending and the disk took it."""
-        with self._changed:
-            group = self._take_group()
+        """Writes one group on the calling thread; returns whether a group was pending and was written."""
+        with self._condition:
+            group = self._dequeue_group()
             self._in_flight = group
         if not group:
             return False
@@ -180,32 +182,32 @@
         return True
 
     def maintain(self) -> bool:
-        """A step of what can wait, on the calling thread; whether more is to do."""
+        """Runs one step of background work on the calling thread; returns whether more remains."""
         more = self.advance_checkpoint()
         try:
             return self._files.maintain() or more
-        except OSError:  # what could not be created or removed is tried again with the next step
+        except OSError:  # a file that could not be created or removed is retried in the next step
             return more
 
     def advance_checkpoint(self) -> bool:
-        """A step of the large checkpoint under way; whether more is to do.
+        """Runs one step of the large checkpoint in progress; returns whether more remain.
 
-        One that fails is given up: the segments are all there, and another checkpoint will be wanted.
+        A failed checkpoint is abandoned: all segments still exist, and another checkpoint will be requested.
         """
-        if self._checkpoint is None:
+        if self._active_checkpoint is None:
             return False
         try:
-            if self._checkpoint.step():
+            if self._active_checkpoint.step():
                 return True
-            self._files.end_checkpoint(self._checkpoint)
+            self._files.commit_checkpoint(self._active_checkpoint)
         except OSError as error:
-            self._full = error.errno in _DISK_FULL
-        self._checkpoint = None
+            self._disk_full = error.errno in _DISK_FULL_ERRNOS
+        self._active_checkpoint = None
         return False
 
-    def _take_group(self) -> list[PendingWrite]:
+    def _dequeue_group(self) -> list[PendingWrite]:
         queue = self._queue
-        end = next_group(queue, self._full)
+        end = next_group_length(queue, self._disk_full)
         self._queue = queue[end:]
         return queue[:end]
 
@@ -220,34 +222,34 @@
         self._files.write_segment(records)
 
     def _write_checkpoint(self, checkpoint: PendingCheckpoint) -> None:
-        """It holds the effect of the records before it, so these need no file of their own."""
-        self._checkpoint = None
+        """Writes or begins the checkpoint; the records before it in the group need no segment."""
+        self._active_checkpoint = None
         self._check_free_space(checkpoint.size + RECORD_OVERHEAD_BYTES * len(checkpoint.records))
-        if checkpoint.is_large and not self._full:
-            self._checkpoint = self._files.begin_checkpoint(checkpoint.records)
+        if checkpoint.is_large and not self._disk_full:
+            self._active_checkpoint = self._files.begin_checkpoint(checkpoint.records)
         else:
             self._files.write_checkpoint(checkpoint.records)
 
     def _check_free_space(self, length: int) -> None:
-        """Raises the error of a full disk where the journal's share has no space for so many bytes."""
+        """Raises `OSError` with `ENOSPC` if `length` bytes more would exceed the journal's disk quota."""
         used = self._files.checkpoint_bytes + self._files.segment_bytes
         if used + allocated_bytes(length) > self._capacity.capacity_bytes:
-            raise OSError(errno.ENOSPC, "the journal's share of the disk is used up")
+            raise OSError(errno.ENOSPC, "the journal's disk quota is used up")
 
     def _acknowledge(self, group: list[PendingWrite]) -> None:
-        self._full = False
-        self._failures = 0
-        with self._changed:
+        self._disk_full = False
+        self._consecutive_failures = 0
+        with self._condition:
             self._in_flight = []
             self._pending_checkpoints -= sum(isinstance(pending, PendingCheckpoint) for pending in group)
         tickets = [pending.ticket for pending in group if isinstance(pending, PendingAppend)]
         if tickets:
-            self._loop_call(self._on_written, tickets)
+            self._call_in_loop(self._on_written, tickets)
 
     def _requeue(self, group: list[PendingWrite], error: OSError) -> None:
-        self._full = error.errno in _DISK_FULL
-        self._failures += 1
-        with self._changed:
+        self._disk_full = error.errno in _DISK_FULL_ERRNOS
+        self._consecutive_failures += 1
+        with self._condition:
             self._queue = group + self._queue
             self._in_flight = []
 
@@ -259,8 +261,8 @@
             more_maintenance = self.maintain()
 
     def _wait_for_work(self, more_maintenance: bool) -> bool:
-        """Returns once there is something to do; False where the journal is closed and all is written."""
-        with self._changed:
+        """Waits for work; returns False once the journal is closing and the queue is empty."""
+        with self._condition:
             while not (self._queue or self._closing or more_maintenance):
-                self._changed.wait()
+                self._condition.wait()
             return bool(self._queue) or not self._closing
--- a/kestrelbend/tier/storage/journal_names.py
+++ b/kestrelbend/tier/storage/journal_names.py
@@ -1,8 +1,8 @@
-"""The names of a journal's files: a number of twelve digits and a suffix that says what the file is.
+"""File names of a journal: a number of twelve digits and a suffix for the kind of file.
 
-`000000000007.versions` is segment 7; `000000000007.checkpoint` replaces the segments below 7; with `.new`
-behind it, it is a checkpoint that is still being written.  The names are found on disks of earlier releases
-and stay.
+`000000000007.versions` is segment 7.  `000000000007.checkpoint` replaces the segments below 7, and
+`000000000007.checkpoint.new` is a checkpoint that is still being written.  The names must not change, since
+disks written by earlier releases use them.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 def segment_path(directory: str, number: int) -> str:
-    """Where a segment is written."""
+    """Returns the path of a segment."""
     return f"{directory}/{number:012d}{SEGMENT_SUFFIX}"
 
 
 def checkpoint_path(directory: str, number: int) -> str:
-    """Where a complete checkpoint is found; `number` is that of the first segment that it does not hold."""
+    """Returns the path of a complete checkpoint; `number` is the first segment that it does not replace."""
     return f"{directory}/{number:012d}{CHECKPOINT_SUFFIX}"
 
 
-def numbers_of(names: list[str], suffix: str) -> set[int]:
-    """The numbers of the files with this suffix."""
+def file_numbers(names: list[str], suffix: str) -> set[int]:
+    """Returns the numbers of the files with this suffix."""
     stems = (name.removesuffix(suffix) for name in names if name.endswith(suffix))
     return {int(stem) for stem in stems if stem.isdigit()}
 
 
 def is_obsolete(name: str, first: int) -> bool:
-    """Whether a file is older than segment `first`, or a checkpoint that was not ended."""
+    """Returns whether a file is older than segment `first`, or an unfinished checkpoint."""
     if name.endswith(TEMPORARY_SUFFIX):
         return True
     stem = name.partition(".")[0]
--- a/kestrelbend/tier/storage/os_disk.py
+++ b/kestrelbend/tier/storage/os_disk.py
@@ -1,4 +1,4 @@
-"""`Disk` on the operating system's files."""
+"""Implementation of `Disk` on the operating system's files."""
 
 from __future__ import annotations
 
@@ -10,62 +10,62 @@
 
 
 class OsDisk:
-    """Each operation is a few system calls; all of them release the interpreter's lock.
+    """Each operation is a few system calls, all of which release the GIL.
 
-    The operations raise `OSError` as the system gives it; see `disk.Disk` for what each promises.
+    `OSError` is passed on from the operating system; see `disk.Disk` for the contract of each operation.
     """
 
     def make_directory(self, path: str) -> None:
-        """Creates the directory and those above it."""
+        """Creates the directory and its missing parents."""
         os.makedirs(path, exist_ok=True)
 
     def list_directory(self, path: str) -> list[str]:
-        """The names in a directory, in no order."""
+        """Returns the names in a directory, in no particular order."""
         return os.listdir(path)
 
     def read(self, path: str) -> bytes:
-        """The complete content."""
+        """Returns the complete content."""
         with open(path, "rb", buffering=0) as file:
             return file.read()
 
     def create(self, path: str) -> None:
-        """Creates an empty file, or leaves the one that exists."""
-        with _opened(path, os.O_WRONLY | os.O_CREAT):
+        """Creates an empty file; leaves an existing file unchanged."""
+        with _open_descriptor(path, os.O_WRONLY | os.O_CREAT):
             pass
 
     def write(self, path: str, content: bytes) -> None:
-        """Replaces the complete content; torn by a loss of power until `sync` has returned."""
-        with _opened(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as descriptor:
+        """Replaces the complete content; a power failure may leave a torn write until `sync` has returned."""
+        with _open_descriptor(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as descriptor:
             _write_all(descriptor, content)
 
     def append(self, path: str, content: bytes | memoryview) -> None:
-        """Adds to the end; torn by a loss of power until `sync` has returned."""
-        with _opened(path, os.O_WRONLY | os.O_APPEND) as descriptor:
+        """Appends to the file; a power failure may leave a torn write until `sync` has returned."""
+        with _open_descriptor(path, os.O_WRONLY | os.O_APPEND) as descriptor:
             _write_all(descriptor, content)
 
     def sync(self, path: str) -> None:
         """Makes the file's content durable."""
-        with _opened(path, os.O_WRONLY) as descriptor:
+        with _open_descriptor(path, os.O_WRONLY) as descriptor:
             os.fsync(descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        """Gives a file another name; a loss of power may undo it until `sync_directory` has returned."""
+        """Renames a file; a power failure may undo it until `sync_directory` has returned."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
-        """Removes a file; a loss of power may undo it until `sync_directory` has returned."""
+        """Removes a file; a power failure may undo it until `sync_directory` has returned."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
 
     def sync_directory(self, path: str) -> None:
-        """Makes the directory's names durable."""
-        with _opened(path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
+        """Makes creations, renamings and removals in the directory durable."""
+        with _open_descriptor(path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
             os.fsync(descriptor)
 
 
 @contextlib.contextmanager
-def _opened(path: str, flags: int) -> Iterator[int]:
-    """A descriptor, closed at the end; a file that is created is its owner's alone."""
+def _open_descriptor(path: str, flags: int) -> Iterator[int]:
+    """Yields a file descriptor and closes it afterwards; a new file is accessible to its owner only."""
     descriptor = os.open(path, flags | os.O_CLOEXEC, _OWNER_ONLY)
     try:
         yield descriptor
@@ -74,7 +74,7 @@
 
 
 def _write_all(descriptor: int, content: bytes | memoryview) -> None:
-    """Writes all of the content; the system may take only a part at each call."""
+    """Writes all of the content; each system call may write only a part of it."""
     remaining = memoryview(content)
     while remaining:
         written = os.write(descriptor, remaining)
--- a/kestrelbend/tier/storage/records.py
+++ b/kestrelbend/tier/storage/records.py
@@ -1,7 +1,6 @@
-"""Records as a journal takes them: bytes, or the means to make them on the thread that writes them.
+"""Records that can be appended to a journal: bytes, or a function that encodes them in the writer thread.
 
-Making the bytes of a large record takes long enough to hold up the event loop, so the writer's thread makes
-them.
+Encoding a large record takes long enough to block the event loop, so the writer thread does it.
 """
 
 from __future__ import annotations
@@ -13,24 +12,24 @@
 
 @attrs.frozen(eq=False)
 class DeferredRecord:
-    """A record that is made when it is written; `make` gives the same bytes at each call.
+    """A record that is encoded when it is written; `encode` must return the same bytes at each call.
 
-    `size` is about its length in bytes, and serves to decide what is written together.
+    `size` is its approximate length in bytes, used to group the records that are written together.
     """
 
     size: int
-    make: Callable[[], bytes]
+    encode: Callable[[], bytes]
 
 
 Record = bytes | DeferredRecord
-"""What a journal takes."""
+"""A record in either form."""
 
 
 def record_size(record: Record) -> int:
-    """About the length of a record in bytes."""
+    """Returns the approximate length of a record in bytes."""
     return record.size if isinstance(record, DeferredRecord) else len(record)
 
 
 def record_bytes(record: Record) -> bytes:
-    """The record's bytes, made now where that was deferred."""
-    return record.make() if isinstance(record, DeferredRecord) else record
+    """Returns the record's bytes; encodes a deferred record."""
+    return record.encode() if isinstance(record, DeferredRecord) else record
--- a/kestrelbend/tier/storage/segment.py
+++ b/kestrelbend/tier/storage/segment.py
@@ -1,11 +1,11 @@
-"""The content of one file of the write-ahead log, a segment or a checkpoint: a header, then records.
+"""File format of the write-ahead log, used by segments and checkpoints: a header, then records.
 
-    magic (4) | number (8) | bytes of the body (4) | CRC-32 of number and body (4) | [length (4) | record]...
+    magic (4) | number (8) | body length (4) | CRC-32 of number and body (4) | [length (4) | record]...
 
-All integers are little-endian.  The number is the file's own, so no file passes for another.  Invariant: a
-file counts as complete or not at all.  So a torn file can be written anew without losing a record that
-somebody has read.  The magic is that of a "version file", as a segment was first called; its files still end
-in `.versions`.
+All integers are little-endian.  The number is the one in the file's name, so that a file under a wrong name
+is detected.  Invariant: a file is either read completely or rejected completely.  So a torn file can be
+rewritten without losing a record that was already read.  The magic stands for "version file", an earlier name
+for a segment; the file suffix `.versions` has the same origin.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from collections.abc import Iterable
 
 _MAGIC = b"kbv1"
-_HEADER = struct.Struct("<4sQII")  # magic, number, bytes of the body, checksum
+_HEADER = struct.Struct("<4sQII")  # magic, number, body length, checksum
 _LENGTH = struct.Struct("<I")
 RECORD_OVERHEAD_BYTES = _LENGTH.size
 
 
 class SegmentEncoder:
-    """A file's content, made of one record at a time; `number` is the file's own."""
+    """Encodes a file's content, one record at a time; `number` is the one in the file's name."""
 
     def __init__(self, number: int) -> None:
         self._number = number
@@ -30,7 +30,7 @@
         self._checksum = _checksum(number, b"")
 
     def add(self, record: bytes) -> None:
-        """Adds the next record."""
+        """Appends a record to the content."""
         self._add_to_body(_LENGTH.pack(len(record)))
         self._add_to_body(record)
 
@@ -40,7 +40,7 @@
         return _HEADER.size + self._body_length
 
     def buffers(self) -> list[bytes]:
-        """The content, to be written one buffer after the other."""
+        """Returns the content as buffers to be written in order."""
         header = _HEADER.pack(_MAGIC, self._number, self._body_length, self._checksum)
         return [header, *self._body]
 
@@ -51,7 +51,7 @@
 
 
 def encode_segment(number: int, records: Iterable[bytes]) -> bytes:
-    """A file's complete content."""
+    """Returns the complete content of a file."""
     encoder = SegmentEncoder(number)
     for record in records:
         encoder.add(record)
@@ -59,7 +59,7 @@
 
 
 def decode_segment(number: int, content: bytes) -> list[bytes] | None:
-    """The records of a complete file; None for one that is torn or another's."""
+    """Returns the records of a complete file; None if it is torn or has another number."""
     if len(content) < _HEADER.size:
         return None
     magic, found_number, length, checksum = _HEADER.unpack_from(content)
--- a/tests/tier/test_storage_journal.py
+++ b/tests/tier/test_storage_journal.py
@@ -48,7 +48,7 @@
             elif step == "end":
                 while self.checkpoint.step():
                     pass
-                self.files.end_checkpoint(self.checkpoint)
+                self.files.commit_checkpoint(self.checkpoint)
             else:
                 self.files.maintain()
             self.acknowledged = len(self.records)
@@ -167,7 +167,7 @@
         return self.assertRaises(StorageCorruptedError, Writer, disk).code
 
     def test_given_a_torn_segment_when_a_later_one_is_there_then_the_start_refuses(self):
-        self.assertEqual(StorageCode.HOLE, self.damage("000000000000.versions", ["append", "append"]))
+        self.assertEqual(StorageCode.SEGMENT_GAP, self.damage("000000000000.versions", ["append", "append"]))
 
     def test_given_a_damaged_checkpoint_then_the_start_refuses(self):
         code = self.damage("000000000001.checkpoint", ["append", "checkpoint"])
@@ -217,7 +217,7 @@
         self.assertFalse(self.journal.write_once())
         states = [self.journal.state(self.now + waited) for waited in (0.1, 0.3, 1.5)]
         self.assertEqual([JournalState.OK, JournalState.SLOW, JournalState.STALLED], states)
-        self.assertAlmostEqual(1.5, self.journal.oldest_wait(self.now + 1.5))
+        self.assertAlmostEqual(1.5, self.journal.oldest_wait_s(self.now + 1.5))
 
     def test_given_its_share_of_the_disk_is_used_up_when_a_checkpoint_comes_then_it_goes_on(self):
         journal = self.start(64 * 1024)
@@ -245,12 +245,12 @@
         self.journal = self.start(100 << 20)
         made = []
 
-        def make():
+        def encode():
             made.append(1)
             return b"s" * (8 << 20)
 
         self.journal.append(1, b"before")
-        self.journal.checkpoint([DeferredRecord(8 << 20, make)])
+        self.journal.checkpoint([DeferredRecord(8 << 20, encode)])
         self.journal.append(2, b"after")
         for _ in range(3):
             self.journal.write_once()
@@ -313,7 +313,7 @@
                 journal.append(ticket, b"record %d" % ticket)
             journal.checkpoint([b"state"])
             journal.append(100, b"last")
-            self.assertTrue(journal.close(within=30))
+            self.assertTrue(journal.close(timeout_s=30))
             self.assertEqual(list(range(101)), self.written)
             again = DiskJournal(directory, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
             self.assertEqual([b"state", b"last"], again.load())
