--- a/kestrelbend/tier/control/directory_stream.py
+++ b/kestrelbend/tier/control/directory_stream.py
@@ -11,7 +11,7 @@
 
 from ..configuration.shard_service import ConfigurationService
 from ..membership.messages import Directory, Member, ShardReport
-from ..membership.table import LIVE_S, MemberTable
+from ..membership.table import LIVENESS_TIMEOUT_S, MemberTable
 from ..protocol.codec import encode
 from ..protocol.peer_connection import PeerConnection
 
@@ -58,7 +58,7 @@
 
     def _list_members(self, in_contact_s: float, now: float) -> None:
         live = {member.address: member for member in self._members.members(now)}
-        kept = {} if in_contact_s > LIVE_S else self._listed
+        kept = {} if in_contact_s > LIVENESS_TIMEOUT_S else self._listed
         self._listed = {**kept, **live}
 
     def _build(self, configuration: ConfigurationService) -> Directory:
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -8,7 +8,7 @@
 
     unpublished --heartbeat--> published --`UNRESPONSIVE_S` without one--> published as unresponsive
                                   ^  |                                            |
-                    heartbeat, or |  +---`LIVE_S` without one---> departed <------+
+                    heartbeat, or |  +---`LIVENESS_TIMEOUT_S` without one---> departed <------+
                     a change in it
 
 Invariant: nothing is published of a process but what its own heartbeats to this node said, so that nothing
@@ -94,7 +94,7 @@
 
     def _changes(self, now: float) -> MemberSummary:
         """What is to be published since the last summary; it counts as published from here on."""
-        live = self._members.reporting_here(now)
+        live = self._members.direct_reporters(now)
         heartbeats = [heartbeat for heartbeat in live.values() if self._publish_if_due(heartbeat, now)]
         departed = tuple(address for address in self._published if address not in live)
         for address in departed:
@@ -117,7 +117,7 @@
         )
 
     def _unresponsive(self, now: float) -> tuple[UnresponsiveMember, ...]:
-        ages = ((address, self._members.heartbeat_age_here(address, now)) for address in self._published)
+        ages = ((address, self._members.direct_heartbeat_age(address, now)) for address in self._published)
         return tuple(
             UnresponsiveMember(address, round(age * MS_PER_S))
             for address, age in ages
--- a/kestrelbend/tier/membership/contact_period.py
+++ b/kestrelbend/tier/membership/contact_period.py
@@ -1,24 +1,24 @@
-"""For how long a process has been in contact with the owner of the configuration's shard, without a break.
+"""Measures how long a process has been in contact with the owner of the configuration shard without a break.
 
-Invariant: a process presumes another one departed only if its own contact has lasted longer than that one
-has been unresponsive.  A process that is cut off hears from nobody, so without this rule it would presume
-everybody departed, and say so once it is back.
+Invariant: a process presumes another process or a backend departed only if its own contact has lasted longer
+than the other has been unresponsive.  A process that is cut off receives nothing; without this rule it would
+presume all others departed, and publish that once it is connected again.
 """
 
 from __future__ import annotations
 
 
 class ContactPeriod:
-    """The current period of unbroken contact, as far as `observe` was called; times are local, in seconds."""
+    """The current period of unbroken contact, sampled by `observe`; times are seconds of the local clock."""
 
     def __init__(self, now: float) -> None:
-        self._began_at = now
+        self._contact_since = now
 
     def observe(self, is_in_contact: bool, now: float) -> None:
-        """Records whether the process is in contact now; without contact the period begins anew."""
+        """Records whether the process is in contact now; the period restarts while it is not."""
         if not is_in_contact:
-            self._began_at = now
+            self._contact_since = now
 
     def duration_s(self, now: float) -> float:
-        """How long the process has been in contact."""
-        return now - self._began_at
+        """Returns how long the process has been in contact, in seconds."""
+        return now - self._contact_since
--- a/kestrelbend/tier/membership/directory.py
+++ b/kestrelbend/tier/membership/directory.py
@@ -1,8 +1,9 @@
-"""What a process knows of the tier, merged from the directories of several control nodes.
+"""A process's view of the tier, merged from the directories of several control nodes.
 
-Invariant: placements come from the highest version of the configuration's shard seen in this incarnation,
-and the report kept for a shard is that of its highest epoch.  Hazard: after a restart the first directory
-may name an older placement than the one before; a shard's log fences those (`ShardPlacement.number`).
+Invariant: placements come from the highest version of the configuration shard seen in this incarnation, and
+the report kept for a shard is that of its highest epoch.  Hazard: after a restart the first directory
+received may contain older placements than the process knew before; the shard's log rejects those
+(`ShardPlacement.number`).
 """
 
 from __future__ import annotations
@@ -13,35 +14,35 @@
 
 
 class DirectoryView:
-    """The merged view; `merge` feeds it."""
+    """Members, placements and shard owners, merged from the directories received."""
 
     def __init__(self) -> None:
         self._by_sender: dict[str, Directory] = {}
         self._members: dict[str, Member] = {}  # by address
-        self.version = UNKNOWN_VERSION  # of the configuration's shard that `placements` come from
+        self.version = UNKNOWN_VERSION  # version of the configuration shard that `placements` come from
         self.placements: dict[str, ShardPlacement] = {}
         self.reports: dict[str, ShardReport] = {}
-        self.retiring: tuple[str, ...] = ()  # nodes to be emptied
+        self.retiring: tuple[str, ...] = ()  # nodes whose replicas are to be moved away
 
     def merge(self, sender: str, directory: Directory) -> None:
-        """Puts a control node's directory in place of its last one."""
+        """Replaces a control node's previous directory."""
         self._by_sender[sender] = directory
         if directory.version >= self.version:
             self.version = directory.version
-            self.placements = {placed.shard: placed for placed in directory.placements}
+            self.placements = {placement.shard: placement for placement in directory.placements}
             self.retiring = directory.retiring
         for report in directory.owners:
             self.merge_report(report)
         self._merge_members()
 
     def merge_report(self, report: ShardReport) -> None:
-        """Takes a report on a shard's owner from anybody."""
+        """Applies a report on a shard from any source, if it is at least as recent."""
         known = self.reports.get(report.shard)
         if known is None or _recency(report) >= _recency(known):
             self.reports[report.shard] = report
 
     def forget(self, sender: str) -> None:
-        """The connection to a control node ended; its last directory counts while there is no other."""
+        """Drops the directory of a control node whose connection ended, unless it is the only one."""
         if len(self._by_sender) > 1:
             self._by_sender.pop(sender, None)
             self._merge_members()
@@ -57,23 +58,23 @@
 
     @property
     def members(self) -> list[Member]:
-        """Everybody that some control node takes for live."""
+        """All processes that at least one control node lists as live."""
         return list(self._members.values())
 
     def owner_of(self, shard: str) -> str:
-        """The replica last known to own a shard, or an empty string."""
+        """Returns the replica last known to own a shard, or an empty string."""
         report = self.reports.get(shard)
         return "" if report is None else report.owner
 
     def voters_of(self, shard: str) -> tuple[str, ...]:
-        """Replicas that may own a shard, in the order of ownership."""
+        """Returns the replicas that may own a shard, in the order of preference as owner."""
         report = self.reports.get(shard)
         if report is not None and report.voters:
             return report.voters
-        placed = self.placements.get(shard)
-        return placed.voters if placed is not None else ()
+        placement = self.placements.get(shard)
+        return placement.voters if placement is not None else ()
 
 
 def _recency(report: ShardReport) -> tuple[int, bool]:
-    """Of one epoch a report that knows the owner counts more."""
+    """Sort key: within an epoch, a report that names the owner is more recent than one that does not."""
     return (report.epoch, bool(report.owner))
--- a/kestrelbend/tier/membership/messages.py
+++ b/kestrelbend/tier/membership/messages.py
@@ -1,6 +1,6 @@
-"""What processes say of themselves and of each other: heartbeats, summaries, directories, subscriptions.
+"""Messages on membership: heartbeats, summaries, directories, subscriptions, contact requests.
 
-Fields travel by their position (see `protocol.wire_names`): new ones are added at the end alone.
+Fields are encoded by position (see `protocol.wire_names`), so new fields are added only at the end.
 """
 
 from __future__ import annotations
@@ -10,34 +10,36 @@
 
 @attrs.frozen
 class ShardReport:
-    """One replica as its process sees it; carried by heartbeats."""
+    """State of one replica as seen by its process; part of heartbeats."""
 
     shard: str
     replica: str
-    epoch: int  # the number that fences the shard's owner
-    owner: str  # replica id of the owner it knows, or ""
+    epoch: int  # fencing number of the shard's owner
+    owner: str  # identity of the replica that it knows as the owner, or ""
     voters: tuple[str, ...]
     applied_index: int
     commit_index: int
-    committed_voters: tuple[str, ...] = ()  # the newest group that is known to be committed
-    placement_number: int = 0  # of the placement that this group was moved towards
-    stable: bool = False  # at the owner: no change is under way and every live voter holds what is committed
+    committed_voters: tuple[str, ...] = ()  # the newest group known to be committed
+    placement_number: int = 0  # number of the placement that this group was changed towards
+    stable: bool = (
+        False  # at the owner: no group change is under way, each live voter has all committed entries
+    )
 
     def without_indexes(self) -> ShardReport:
-        """The report without what changes with each command."""
+        """Returns the report without the indexes, which change with each command."""
         return attrs.evolve(self, applied_index=0, commit_index=0)
 
 
 @attrs.frozen
 class Member:
-    """One process of the tier.  A later `incarnation` at an address replaces the earlier one."""
+    """One process of the tier; a later `incarnation` at an address replaces an earlier one."""
 
     node: str
     role: str
-    address: str  # of the internal protocol, "ip:port"
-    control_address: str  # of the operator's API, or ""
+    address: str  # for the internal protocol, "ip:port"
+    control_address: str  # of the operator API, or ""
     zone: str
-    replica: str  # identity of its disk, or "" without one
+    replica: str  # identity of its disk, or "" if it has none
     serves_control: bool
     serves_storage: bool
     serves_front: bool
@@ -46,21 +48,21 @@
 
 @attrs.frozen
 class Heartbeat:
-    """From a process to the control nodes that it chose: it runs, which replicas it holds, what it serves by.
+    """Sent by a process to its chosen control nodes: it is running, with these replicas and configuration.
 
-    Control nodes send a `MemberSummary` to each other in place of it.
+    Control nodes send each other a `MemberSummary` instead.
     """
 
     member: Member
     sequence: int  # rises by one with each heartbeat of an incarnation
-    config_version: int  # that it serves by
+    config_version: int  # version of the configuration that it uses
     leaving: bool
     shards: tuple[ShardReport, ...]
 
 
 @attrs.frozen
 class HeartbeatAck:
-    """A control node's reply; `stable`: it has been in contact for so long that it knows who is there."""
+    """A control node's reply; `stable`: it has been in contact for long enough to know all live processes."""
 
     sequence: int  # of the heartbeat
     stable: bool
@@ -68,7 +70,7 @@
 
 @attrs.frozen
 class UnresponsiveMember:
-    """One whose heartbeats are late; `heartbeat_age_ms` since the last one."""
+    """A process whose heartbeat is late, and the time since its last one."""
 
     address: str
     heartbeat_age_ms: int
@@ -76,10 +78,10 @@
 
 @attrs.frozen
 class MemberSummary:
-    """From a control node to another: what has changed about those that report to it.
+    """Sent by a control node to another: changes among the processes that report to the sender.
 
-    A member reported on this connection earlier, and neither unresponsive nor departed, was heard just now.
-    A `complete` summary replaces all earlier ones.
+    A member of an earlier summary on this connection that is listed neither as unresponsive nor as departed
+    has just sent a heartbeat.  A `complete` summary replaces all earlier ones.
     """
 
     sender: str
@@ -91,35 +93,35 @@
 
 @attrs.frozen
 class ShardPlacement:
-    """Who should vote on a shard: decided in the configuration's shard, carried out by the shard's owner.
+    """The voters that a shard should have: decided in the configuration shard, applied by the shard's owner.
 
-    Invariant: `number` rises by one with each change of the shard's placement, so two placements of one
-    number are equal; 0 stands for those that were written before placements had numbers.
+    Invariant: `number` rises by one with each change of the shard's placement, so two placements with one
+    number are equal.  0 marks placements that were written before placements had numbers.
     """
 
     shard: str
-    founders: tuple[str, ...]  # replicas that began the shard; never changes
-    voters: tuple[str, ...]  # replicas that should hold it now, in the order of ownership
+    founders: tuple[str, ...]  # initial voters of the shard; never changes
+    voters: tuple[str, ...]  # replicas that should hold it now, in the order of preference as owner
     number: int = 0
 
 
 @attrs.frozen
 class Directory:
-    """What control nodes stream to all: where everybody is, who owns and who should hold which shard."""
+    """Streamed by control nodes to all processes: members, shard owners and shard placements."""
 
-    version: int  # of the configuration's shard: its applied index at the sender
+    version: int  # of the configuration shard: the applied index of the sender's replica
     members: tuple[Member, ...]
     placements: tuple[ShardPlacement, ...]
     owners: tuple[ShardReport, ...]
-    retiring: tuple[str, ...]  # nodes to be emptied
+    retiring: tuple[str, ...]  # nodes whose replicas are to be moved away
 
 
 @attrs.frozen
 class Subscribe:
-    """Requests a control node's streams; the last one on a connection counts.
+    """Requests a control node's streams; the latest request on a connection replaces the earlier ones.
 
-    `complete`: configuration, backends and directory.  Otherwise a gateway gets notices alone: the numbers of
-    new versions, and the backends that leave.
+    `complete` requests configuration, backends and directory.  Otherwise a gateway receives only notices: the
+    numbers of new configuration versions, and the backends that are draining or departed.
     """
 
     member: Member
@@ -129,52 +131,53 @@
 
 @attrs.frozen
 class ConfigUpdate:
-    """A committed version of the configuration; `current` says that the sender was current just now."""
+    """A committed version of the configuration; `current`: the sender's replica was current at that time."""
 
     version: int
     current: bool
-    body: bytes  # empty: a notice, be it of a version that the receiver has
+    body: bytes  # empty in a notice, which may be of a version that the receiver has already
 
 
 @attrs.frozen
 class ConfigAck:
-    """The receiver serves by this version."""
+    """Confirms that the receiver uses this version."""
 
     version: int
 
 
 @attrs.frozen
 class ConfigFetch:
-    """A gateway that serves by `version` and was notified of a newer one requests that."""
+    """Sent by a gateway that uses `version` and was notified of a newer one, to request the newer one."""
 
     version: int
 
 
 @attrs.frozen
 class ContactRequest:
-    """A gateway asks a control node or a store whether it is in contact; the reply repeats the ticket."""
+    """Sent by a gateway to ask a control node or store whether it is in contact; answered with `ticket`."""
 
     ticket: int
 
 
 @attrs.frozen
 class ContactReply:
-    """The reply to a `ContactRequest`, true at some moment after the request was sent.
+    """The reply to a `ContactRequest`; it was true at some moment after the request was sent.
 
-    It is a reply and not a stream: a gateway whose own packets are lost would go on hearing a stream.
+    Contact uses requests and replies, not a stream, because a gateway whose outgoing packets are lost would
+    continue to receive a stream.
     """
 
     ticket: int
-    in_contact: bool  # with the owner of the configuration's shard; False where there is no replica of it
-    version: int  # of the configuration, where the replica here is current; else 0
-    owned: tuple[str, ...]  # budget shards that this process owns and is in contact for
+    in_contact: bool  # with the owner of the configuration shard; False without a replica of that shard
+    version: int  # of the configuration if the replica here is current, else 0
+    owned: tuple[str, ...]  # budget shards that this process owns, with contact to a majority
 
 
 @attrs.frozen
 class Hello:
-    """The first message on each connection, both ways: who is there.
+    """The first message on each connection, in both directions: identifies the sending process.
 
-    `replica` is the identity of the process's disk; messages to replicas are sent only to the one meant.
+    `replica` is the identity of the process's disk; a message for a replica is sent only to that replica.
     """
 
     address: str
--- a/kestrelbend/tier/membership/owner_contact.py
+++ b/kestrelbend/tier/membership/owner_contact.py
@@ -1,13 +1,13 @@
-"""Contact of a replica with the owner of its shard, and freshness of what the replica has applied.
+"""Whether a replica is in contact with the owner of its shard, and whether its applied state is current.
 
-Two concerns, and every part that depends on one of them calls the function here:
+All code that depends on one of these properties calls the function here:
 
-- contact (`in_contact`): a majority has lately confirmed the owner that this replica knows;
-- freshness (`is_current`): besides, all that was committed at such a confirmation is applied here.
+- contact (`in_contact`): a majority has recently confirmed the owner that this replica knows;
+- freshness (`is_current`): in addition, all that was committed at such a confirmation is applied here.
 
-Invariant: no result here rests on what this process knew before it lost contact.  Both are counted from the
-moment at which this process sent its request, by its own steady clock, never from the moment at which a reply
-came: a reply may have waited in a socket while this process stood still.
+Invariant: no result depends on what this process knew before it lost contact.  Both properties are timed from
+the moment at which this process sent its request, by its own monotonic clock, never from the arrival of the
+reply: a reply may have waited in a socket while this process was suspended.
 
 Source: the read index of Raft (Ongaro 2014, section 6.4).
 """
@@ -16,26 +16,26 @@
 
 from typing import Protocol
 
-CONTACT_S = 0.6  # seconds for which a confirmation counts, from its request on
+CONTACT_S = 0.6  # how long a confirmation is valid, in seconds from the sending of its request
 
 
 class ConfirmedReplica(Protocol):
-    """What is read of a replica; both are local times in seconds, minus infinity where there is none."""
+    """The part of a replica used here; times are seconds of the local clock, or minus infinity."""
 
     @property
     def confirmed_at(self) -> float:
-        """When the latest request was sent by which the owner was confirmed."""
+        """When the latest request that confirmed the owner was sent."""
 
     @property
     def current_at(self) -> float:
-        """When the latest such request was sent of which all that was committed then is applied here."""
+        """When the latest such request was sent whose committed state is completely applied here."""
 
 
 def in_contact(replica: ConfirmedReplica, now: float) -> bool:
-    """Whether a majority has lately confirmed the owner that this replica knows, itself or another."""
+    """Whether a majority has recently confirmed the owner that this replica knows (possibly itself)."""
     return now - replica.confirmed_at <= CONTACT_S
 
 
 def is_current(replica: ConfirmedReplica, now: float) -> bool:
-    """Whether all that was committed at a request sent lately enough is applied here."""
+    """Whether all that was committed at a request of the last `CONTACT_S` is applied here."""
     return in_contact(replica, now) and now - replica.current_at <= CONTACT_S
--- a/kestrelbend/tier/membership/placement.py
+++ b/kestrelbend/tier/membership/placement.py
@@ -1,14 +1,15 @@
-"""Which replicas should hold a shard: pure functions of who is there.
+"""Decides which replicas should hold a shard: pure functions of the live members.
 
-A replica stays where it is while it is live or was so lately.  One is replaced when its process stayed away,
-when its node came back with an emptied disk (another identity), or when its node is to be emptied.  A spare
-of the preferred class replaces it soon, as it was added for that; another one only after a long absence.
+A replica keeps its place while it is live or was live recently.  It is replaced when its process has been
+absent for too long, when its node came back with an emptied disk (which has another identity), or when its
+node is being retired.  A spare of the preferred class replaces it soon, as it was added for that purpose; any
+other candidate only after a long absence.
 
-Invariant: a group never shrinks below what is live: where nobody can replace a lost replica, it stays a
-voter.
+Invariant: voters are removed without a replacement only from a group that is too large; a lost replica that
+no candidate can replace stays a voter.
 
-`control.shard_placer` makes orders of what is decided here, `configuration.placements` checks and keeps them,
-`replication.placement` has the steps of a shard's leader.
+`control.shard_placer` turns these decisions into orders, `configuration.placements` checks and stores the
+placements, `replication.placement` has the steps by which a shard's leader applies them.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from ..budgets.shards import shard_names
 from .messages import Member, ShardPlacement
 
-SPARE_TIMEOUT_S = 1.5  # of absence, until a spare of the preferred class replaces a replica
-LOST_TIMEOUT_S = 5.0  # and until another one does
-BUDGET_SHARD_COUNT = 6  # never changes, see `budget_shards`
-FIRST_NUMBER = 1  # of a shard's placements; see `ShardPlacement`
+SPARE_TIMEOUT_S = 1.5  # absence after which a spare of the preferred class replaces a replica
+LOST_TIMEOUT_S = 5.0  # absence after which any other candidate replaces it
+BUDGET_SHARD_COUNT = 6  # must never change, see `budget_shards`
+FIRST_NUMBER = 1  # number of a shard's first placement, see `ShardPlacement`
 CONFIGURATION_SHARD = "configuration"
-PREFERRED = 0  # the preference of a candidate that is taken first
-LESSER = 1
+PREFERRED = 0  # preference of candidates that are taken first
+FALLBACK = 1
 
-AbsenceOf = Callable[[str], float]
-"""For how many seconds a replica has been away; 0 for one that is live."""
+AbsenceLookup = Callable[[str], float]
+"""Returns for how many seconds a replica has been absent; 0 for a live one."""
 
 
 @attrs.frozen
 class Candidate:
-    """A live disk that could hold replicas; the lower `preference` is taken first."""
+    """A live disk that could hold replicas; candidates of lower `preference` are taken first."""
 
     replica: str
     address: str
@@ -44,71 +45,74 @@
 
 
 def group_size(tolerated_nodes: int) -> int:
-    """Voters of a group that bears the loss of so many."""
+    """Returns how many voters a group needs to tolerate the loss of that many nodes."""
     return 2 * tolerated_nodes + 1
 
 
 def address_of(replica: str) -> str:
-    """Where a replica's process listens."""
+    """Returns the address of a replica's process."""
     return replica.split("#", 1)[0]
 
 
 def candidates(members: Iterable[Member], retiring: Iterable[str], stores_first: bool) -> list[Candidate]:
-    """The live disks that may hold a shard's replicas, those to be taken first in front.
+    """Returns the live disks that may hold a shard's replicas, in order of preference.
 
-    `stores_first`: stores are preferred to control nodes; else control nodes alone may hold them.
+    With `stores_first` stores are preferred to control nodes; otherwise only control nodes qualify.
     """
-    emptied = set(retiring)
-    found = []
+    retiring_nodes = set(retiring)
+    eligible = []
     for member in members:
-        if not member.replica or member.node in emptied:
+        if not member.replica or member.node in retiring_nodes:
             continue
         if not stores_first and not member.serves_control:
             continue
-        preference = PREFERRED if member.serves_storage == stores_first else LESSER
-        found.append(Candidate(member.replica, member.address, member.node, member.zone, preference))
-    return sorted(found, key=lambda candidate: (candidate.preference, candidate.address))
+        preference = PREFERRED if member.serves_storage == stores_first else FALLBACK
+        eligible.append(Candidate(member.replica, member.address, member.node, member.zone, preference))
+    return sorted(eligible, key=lambda candidate: (candidate.preference, candidate.address))
 
 
 def next_voters(
     current: tuple[str, ...],
     size: int,
     available: list[Candidate],
-    absence_of: AbsenceOf,
+    absence_of: AbsenceLookup,
     retiring_replicas: Iterable[str] = (),
 ) -> tuple[str, ...]:
-    """The voters wanted from now on, in the order of ownership; `current` unless somebody must go."""
+    """Returns the voters that a shard should have, in the order of preference as owner.
+
+    These are the voters in `current`, unless some must be replaced, added or removed.
+    """
     by_replica = {candidate.replica: candidate for candidate in available}
     voters = list(current)
-    _replace_lost(voters, available, by_replica, absence_of, set(retiring_replicas))
+    _replace_absent(voters, available, by_replica, absence_of, set(retiring_replicas))
     while len(voters) < size:
-        added = _best(available, voters, by_replica, len(voters))
+        added = _best_candidate(available, voters, by_replica, len(voters))
         if added is None:
             break
         voters.append(added.replica)
     while len(voters) > size:
-        voters.remove(_superfluous(voters, by_replica))
-    _prefer(voters, available, by_replica)
+        voters.remove(_surplus_voter(voters, by_replica))
+    _upgrade_one_voter(voters, available, by_replica)
     return tuple(voters)
 
 
-def _replace_lost(
+def _replace_absent(
     voters: list[str],
     available: list[Candidate],
     by_replica: dict[str, Candidate],
-    absence_of: AbsenceOf,
+    absence_of: AbsenceLookup,
     retiring: set[str],
 ) -> None:
-    """Replaces the voters that are not available, as far as that is due and somebody can."""
+    """Replaces unavailable voters whose replacement is due and for which there is a candidate."""
     by_address = {candidate.address: candidate for candidate in available}
     for index, replica in enumerate(voters):
         if replica in by_replica:
             continue
-        reborn = by_address.get(address_of(replica))
-        if reborn is not None and reborn.replica not in voters:
-            voters[index] = reborn.replica  # the same machine with an emptied disk
+        same_machine = by_address.get(address_of(replica))
+        if same_machine is not None and same_machine.replica not in voters:
+            voters[index] = same_machine.replica  # the same machine with an emptied disk
             continue
-        substitute = _best(available, voters, by_replica, index)
+        substitute = _best_candidate(available, voters, by_replica, index)
         if substitute is None:
             continue
         timeout = SPARE_TIMEOUT_S if substitute.preference == PREFERRED else LOST_TIMEOUT_S
@@ -116,15 +120,15 @@
             voters[index] = substitute.replica
 
 
-def _superfluous(voters: list[str], by_replica: dict[str, Candidate]) -> str:
-    """The voter that a group which is too large needs least: one that is away, or else the last."""
+def _surplus_voter(voters: list[str], by_replica: dict[str, Candidate]) -> str:
+    """Returns the voter to remove from a group that is too large: an absent one, or else the last."""
     return next((voter for voter in voters if voter not in by_replica), voters[-1])
 
 
-def _best(
+def _best_candidate(
     available: list[Candidate], voters: list[str], by_replica: dict[str, Candidate], index: int
 ) -> Candidate | None:
-    """The candidate to be the voter at `index`: preferred class, a zone of its own, then by address."""
+    """Returns the best new voter at `index`: by preference, then a zone without a voter, then by address."""
     zones = {
         by_replica[replica].zone
         for other, replica in enumerate(voters)
@@ -136,8 +140,10 @@
     return min(free, key=lambda candidate: (candidate.preference, candidate.zone in zones, candidate.address))
 
 
-def _prefer(voters: list[str], available: list[Candidate], by_replica: dict[str, Candidate]) -> None:
-    """Replaces one voter of a lesser class where one of the preferred class is free."""
+def _upgrade_one_voter(
+    voters: list[str], available: list[Candidate], by_replica: dict[str, Candidate]
+) -> None:
+    """Replaces one voter of the fallback class, if a candidate of the preferred class is free."""
     free = [
         candidate
         for candidate in available
@@ -151,29 +157,33 @@
 
 
 def budget_shards() -> list[str]:
-    """The names of all budget shards.  Their number never changes: it decides where a program's total is."""
+    """Returns the names of all budget shards.
+
+    Their number must never change, because it determines which shard holds a program's total.
+    """
     return shard_names(BUDGET_SHARD_COUNT)
 
 
 def initial_budget_placements(
-    placed: Iterable[str], size: int, available: list[Candidate]
+    placed_shards: Iterable[str], size: int, available: list[Candidate]
 ) -> list[ShardPlacement]:
-    """The first placement of the budget shards not placed yet, their owners spread over the replicas.
+    """Returns initial placements of the budget shards not placed yet, with owners spread over the replicas.
 
-    None as long as there are fewer disks than a complete group has: fewer could not bear the losses.
+    Returns none while there are fewer disks than a complete group needs, as a smaller group could not
+    tolerate the required losses.
     """
     if len(available) < size:
         return []
-    known = set(placed)
-    chosen = next_voters((), size, available, _nobody_is_absent)
+    known = set(placed_shards)
+    chosen = next_voters((), size, available, _no_absence)
     placements = []
     for index, shard in enumerate(budget_shards()):
-        first = index % len(chosen)
-        voters = chosen[first:] + chosen[:first]
+        owner_index = index % len(chosen)
+        voters = chosen[owner_index:] + chosen[:owner_index]
         if shard not in known:
             placements.append(ShardPlacement(shard, voters, voters, FIRST_NUMBER))
     return placements
 
 
-def _nobody_is_absent(replica: str) -> float:
+def _no_absence(replica: str) -> float:
     return 0.0
--- a/kestrelbend/tier/membership/placement_changes.py
+++ b/kestrelbend/tier/membership/placement_changes.py
@@ -1,14 +1,14 @@
-"""Which placements of budget shards have to change now.
+"""Decides which placements of budget shards must change now.
 
-Invariant: a placement that changes gets the next number, so that two placements of one shard with one number
-are equal; one that was written before placements had numbers is written again with one.
+Invariant: a changed placement gets the next number, so two placements of one shard with one number are equal.
+A placement that was written before placements had numbers is written again with a number.
 """
 
 from __future__ import annotations
 
 from .messages import ShardPlacement
-from .placement import FIRST_NUMBER, AbsenceOf, Candidate, next_voters
-from .table import REMEMBERED_S, MemberTable
+from .placement import FIRST_NUMBER, AbsenceLookup, Candidate, next_voters
+from .table import RETENTION_S, MemberTable
 
 
 def due_placements(
@@ -18,18 +18,18 @@
     members: MemberTable,
     retiring: tuple[str, ...],
     now: float,
-    absence_of: AbsenceOf,
+    absence_of: AbsenceLookup,
 ) -> list[ShardPlacement]:
-    """The shards that should be held by others than today, with their new voters.
+    """Returns new placements for the shards whose voters should change.
 
-    `size` is that of a group, `retiring` names the nodes to be emptied; `now` is in seconds.
+    `size` is the number of voters of a group, `retiring` names the nodes being retired, `now` is in seconds.
     """
-    emptied_nodes = set(retiring)
-    remembered = members.members(now, REMEMBERED_S)
-    retiring_replicas = [member.replica for member in remembered if member.node in emptied_nodes]
+    retiring_nodes = set(retiring)
+    remembered = members.members(now, RETENTION_S)
+    retiring_replicas = [member.replica for member in remembered if member.node in retiring_nodes]
     due = []
-    for placed in placements:
-        voters = next_voters(placed.voters, size, available, absence_of, retiring_replicas)
-        if voters != placed.voters or placed.number < FIRST_NUMBER:
-            due.append(ShardPlacement(placed.shard, placed.founders, voters, placed.number + 1))
+    for placement in placements:
+        voters = next_voters(placement.voters, size, available, absence_of, retiring_replicas)
+        if voters != placement.voters or placement.number < FIRST_NUMBER:
+            due.append(ShardPlacement(placement.shard, placement.founders, voters, placement.number + 1))
     return due
--- a/kestrelbend/tier/membership/ring.py
+++ b/kestrelbend/tier/membership/ring.py
@@ -1,9 +1,9 @@
-"""Which control nodes monitor a process: the next few on a ring of hashes.
+"""Orders control nodes for a process by consistent hashing: the next nodes on a hash ring come first.
 
-Every process works out the same ring from the same addresses, so no message says who monitors whom; when a
-control node comes or goes only its neighbours on the ring change.
+Every process computes the same ring from the same addresses, so the assignment needs no messages.  When a
+control node joins or leaves, only the assignment of its neighbours on the ring changes.
 
-Invariant: the order depends on the addresses alone; a release that changed it would move every process to
+Invariant: the order depends on the addresses alone.  A release that changed it would move every process to
 other control nodes while both releases run.
 """
 
@@ -14,18 +14,18 @@
 
 DEFAULT_COUNT = 3
 RING_SIZE = 1 << 32
-SPREAD = 2654435761  # Knuth's multiplicative hash: close addresses come to stand apart
+HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash: spreads similar addresses over the ring
 
 
 def position(address: str) -> int:
-    """Where an address stands on the ring."""
-    return zlib.crc32(address.encode()) * SPREAD % RING_SIZE
+    """Returns the position of an address on the ring."""
+    return zlib.crc32(address.encode()) * HASH_MULTIPLIER % RING_SIZE
 
 
 def nearest_control_nodes(
     address: str, control_addresses: Iterable[str], count: int = DEFAULT_COUNT
 ) -> list[str]:
-    """The monitors of the process at `address`, nearest first."""
+    """Returns up to `count` control nodes for the process at `address`, nearest on the ring first."""
     own = position(address)
     others = [other for other in set(control_addresses) if other and other != address]
     others.sort(key=lambda other: ((position(other) - own) % RING_SIZE, other))
--- a/kestrelbend/tier/membership/status.py
+++ b/kestrelbend/tier/membership/status.py
@@ -1,8 +1,8 @@
-"""What a control process knows of the tier, as the operator's API returns it (`GET /api/Status`).
+"""The tier's status as a control process knows it, for the operator API (`GET /api/Status`).
 
-Invariant: everything here comes from heartbeats and applied commands that this process already holds; a
-request changes nothing and waits for nobody.  Figures of other processes are as old as their last heartbeat
-(`SilentS`, seconds).  The keys of the objects are part of the API.
+Invariant: the status is built from heartbeats and applied commands that this process already holds; a request
+changes nothing and waits for no other process.  The figures of another process are as old as its last
+heartbeat (`SilentS`, seconds).  The keys of the objects are part of the API.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from ..discovery.messages import Backend, BackendState
 from .messages import Member, ShardPlacement, ShardReport
-from .table import LIVE_S, HeartbeatAge, MemberTable
+from .table import LIVENESS_TIMEOUT_S, HeartbeatAge, MemberTable
 
 AGE_DIGITS = 2  # decimals of `SilentS`
 
@@ -23,31 +23,31 @@
 
 @attrs.frozen
 class DesiredShards:
-    """What the configuration's shard says of the others."""
+    """Placements and retiring nodes, as recorded in the configuration shard."""
 
     placements: tuple[ShardPlacement, ...]
-    retiring: tuple[str, ...]  # nodes to be emptied
+    retiring: tuple[str, ...]  # nodes whose replicas are to be moved away
 
 
 def status(
-    answering: Member,
+    responder: Member,
     in_contact: bool,
     config_version: int,
     table: MemberTable,
-    wanted: DesiredShards,
+    desired: DesiredShards,
     backends: Iterable[Backend],
     now: float,
 ) -> dict[str, Any]:
-    """The complete answer of the process `answering`; `in_contact`: with the configuration's owner."""
+    """Returns the response of the process `responder`; `in_contact`: with the configuration shard's owner."""
     ages = [attrs.evolve(age, seconds=round(age.seconds, AGE_DIGITS)) for age in table.heartbeat_ages(now)]
     return {
-        "Node": answering.node,
-        "Address": answering.address,
+        "Node": responder.node,
+        "Address": responder.address,
         "InTouch": in_contact,
         "ConfigVersion": config_version,
         "Processes": [_process(age) for age in ages],
-        "Shards": _shards(ages, table.reports(), wanted.placements),
-        "Retiring": list(wanted.retiring),
+        "Shards": _shards(ages, table.reports(), desired.placements),
+        "Retiring": list(desired.retiring),
         "Backends": _backends(backends),
     }
 
@@ -63,7 +63,7 @@
         "Replica": member.replica,
         "Incarnation": member.incarnation,
         "SilentS": age.seconds,
-        "Live": age.seconds <= LIVE_S,
+        "Live": age.seconds <= LIVENESS_TIMEOUT_S,
         "Leaving": heartbeat.leaving,
         "ConfigVersion": heartbeat.config_version,
     }
@@ -71,25 +71,25 @@
 
 def _shards(
     ages: list[HeartbeatAge],
-    best: dict[str, ShardReport],
+    latest: dict[str, ShardReport],
     placements: tuple[ShardPlacement, ...],
 ) -> list[dict[str, Any]]:
-    wanted = {placed.shard: list(placed.voters) for placed in placements}
-    names = sorted(best.keys() | wanted.keys())
-    return [_shard(name, best.get(name), wanted.get(name), ages) for name in names]
+    desired = {placement.shard: list(placement.voters) for placement in placements}
+    names = sorted(latest.keys() | desired.keys())
+    return [_shard(name, latest.get(name), desired.get(name), ages) for name in names]
 
 
 def _shard(
-    name: str, best: ShardReport | None, wanted: list[str] | None, ages: list[HeartbeatAge]
+    name: str, latest: ShardReport | None, desired: list[str] | None, ages: list[HeartbeatAge]
 ) -> dict[str, Any]:
-    """One shard by its best report; `Wanted` is None for the configuration's own, which nobody places."""
-    commit_index = best.commit_index if best else 0
+    """Returns one shard's status; `Wanted` is None for the configuration shard, which has no placement."""
+    commit_index = latest.commit_index if latest else 0
     return {
         "Shard": name,
-        "Epoch": best.epoch if best else 0,
-        "Owner": best.owner if best else "",
-        "Voters": list(best.voters) if best else [],
-        "Wanted": wanted,
+        "Epoch": latest.epoch if latest else 0,
+        "Owner": latest.owner if latest else "",
+        "Voters": list(latest.voters) if latest else [],
+        "Wanted": desired,
         "CommitIndex": commit_index,
         "Replicas": [
             _replica(report, age.seconds, commit_index)
@@ -101,19 +101,19 @@
 
 
 def _replica(report: ShardReport, age_s: float, commit_index: int) -> dict[str, Any]:
-    """`Lag`: committed commands that the replica had not applied at its last heartbeat."""
+    """Returns one replica's status; `Lag` counts committed commands not applied at its last heartbeat."""
     return {
         "Replica": report.replica,
         "Epoch": report.epoch,
         "AppliedIndex": report.applied_index,
         "Lag": max(0, commit_index - report.applied_index),
         "SilentS": age_s,
-        "Live": age_s <= LIVE_S,
+        "Live": age_s <= LIVENESS_TIMEOUT_S,
     }
 
 
 def _backends(backends: Iterable[Backend]) -> dict[str, dict[str, int]]:
-    """How many backends of each service are in each state."""
+    """Returns how many backends of each service are in each state."""
     services: dict[str, dict[str, int]] = {}
     for backend in backends:
         if backend.service:
--- a/kestrelbend/tier/membership/table.py
+++ b/kestrelbend/tier/membership/table.py
@@ -1,14 +1,14 @@
-"""Which processes are live, by heartbeats received here or relayed by other control nodes.
+"""A control node's table of processes, from heartbeats received here or relayed by other control nodes.
 
-What happens to one incarnation of a process, by the age of its latest heartbeat:
+States of one incarnation of a process, by the age of its latest heartbeat:
 
-    unknown --heartbeat--> live --`LIVE_S` without one--> unresponsive --`REMEMBERED_S`--> forgotten
+    unknown --heartbeat--> live --`LIVENESS_TIMEOUT_S`--> unresponsive --`RETENTION_S`--> forgotten
                             ^                                  |
                             +-------------heartbeat------------+
 
-Invariant: for one address only the latest incarnation is held, and of it only the latest heartbeat.
-Incarnations are numbered by the time of day, which may step: a lower number counts as later once the known
-one is unresponsive.  All times are this node's steady clock, in seconds.
+Invariant: for each address only the latest incarnation is kept, with its latest heartbeat.  Incarnations are
+numbered by the wall clock, which may step back, so a lower number replaces the known incarnation once that
+one is unresponsive.  All times are seconds of this node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 from .messages import Heartbeat, Member, ShardReport
 
-LIVE_S = 1.2  # a process without a heartbeat for longer isn't live
-REMEMBERED_S = 600.0  # a process without a heartbeat for longer is forgotten
+LIVENESS_TIMEOUT_S = 1.2  # a process is live until its latest heartbeat is older
+RETENTION_S = 600.0  # a process is forgotten once its latest heartbeat is older
 NEVER = float("-inf")
 
 
 @attrs.frozen
 class HeartbeatAge:
-    """The latest heartbeat of a process, and the seconds since it was received."""
+    """The latest heartbeat of a process and its age in seconds."""
 
     heartbeat: Heartbeat
     seconds: float
@@ -33,101 +33,107 @@
 @attrs.define
 class _Row:
     heartbeat: Heartbeat
-    heard_at: float  # here or by another control node
-    heard_here_at: float = NEVER
+    received_at: float  # by this or another control node
+    received_here_at: float = NEVER
 
 
 class MemberTable:
-    """The heartbeats known to a control node, by their process's address."""
+    """The latest heartbeat of each process, by address."""
 
     def __init__(self) -> None:
         self._rows: dict[str, _Row] = {}
 
-    # What comes in
+    # Input
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Takes a process's own heartbeat; False where a later one is known."""
+        """Records a heartbeat received from its process; returns False if a later one is known."""
         if not self.record_relayed(heartbeat, now):
             return False
-        self._rows[heartbeat.member.address].heard_here_at = now
+        self._rows[heartbeat.member.address].received_here_at = now
         return True
 
-    def record_relayed(self, heartbeat: Heartbeat, heard_at: float) -> bool:
-        """Takes a heartbeat that another control node received then; False where a later one is known."""
+    def record_relayed(self, heartbeat: Heartbeat, received_at: float) -> bool:
+        """Records a heartbeat that another control node received; returns False if a later one is known."""
         address = heartbeat.member.address
         row = self._rows.get(address)
         if row is not None and not _is_later(heartbeat, row.heartbeat):
             same_incarnation = heartbeat.member.incarnation == row.heartbeat.member.incarnation
-            if same_incarnation or heard_at - row.heard_at <= LIVE_S:
+            if same_incarnation or received_at - row.received_at <= LIVENESS_TIMEOUT_S:
                 return False
-        heard_here_at = NEVER if row is None else row.heard_here_at
-        self._rows[address] = _Row(heartbeat, heard_at, heard_here_at)
+        received_here_at = NEVER if row is None else row.received_here_at
+        self._rows[address] = _Row(heartbeat, received_at, received_here_at)
         return True
 
-    def confirm_live(self, address: str, incarnation: int, heard_at: float) -> None:
-        """Another control node received a heartbeat then that says nothing new."""
+    def confirm_live(self, address: str, incarnation: int, received_at: float) -> None:
+        """Records that another control node received a heartbeat that it did not relay, being unchanged."""
         row = self._rows.get(address)
         if row is not None and row.heartbeat.member.incarnation == incarnation:
-            row.heard_at = max(row.heard_at, heard_at)
+            row.received_at = max(row.received_at, received_at)
 
     def forget_expired(self, now: float) -> None:
-        """Drops who is unresponsive for `REMEMBERED_S`."""
-        old = [address for address, row in self._rows.items() if now - row.heard_at > REMEMBERED_S]
+        """Drops processes whose latest heartbeat is older than `RETENTION_S`."""
+        old = [address for address, row in self._rows.items() if now - row.received_at > RETENTION_S]
         for address in old:
             del self._rows[address]
 
-    # Who is live
+    # Live processes
 
-    def live(self, now: float, within: float = LIVE_S) -> list[Heartbeat]:
-        """The latest heartbeats of all that had one within so many seconds, in the order of addresses."""
+    def live(self, now: float, within: float = LIVENESS_TIMEOUT_S) -> list[Heartbeat]:
+        """Returns the heartbeats not older than `within` seconds, ordered by address."""
         rows = sorted(self._rows.items())
-        return [row.heartbeat for _, row in rows if now - row.heard_at <= within]
+        return [row.heartbeat for _, row in rows if now - row.received_at <= within]
 
-    def members(self, now: float, within: float = LIVE_S) -> list[Member]:
-        """As `live`, the members alone."""
+    def members(self, now: float, within: float = LIVENESS_TIMEOUT_S) -> list[Member]:
+        """Returns the members of the heartbeats that `live` returns."""
         return [heartbeat.member for heartbeat in self.live(now, within)]
 
     def staying(self, now: float) -> list[Member]:
-        """The members that are live and have not announced that they leave."""
+        """Returns the live members that have not announced that they are leaving."""
         return [heartbeat.member for heartbeat in self.live(now) if not heartbeat.leaving]
 
     def is_leaving(self, replica: str) -> bool:
-        """Whether the process with this disk has announced that it leaves."""
+        """Whether the process with this disk has announced that it is leaving."""
         rows = self._rows.values()
         return any(row.heartbeat.leaving for row in rows if row.heartbeat.member.replica == replica)
 
-    def reporting_here(self, now: float) -> dict[str, Heartbeat]:
-        """By address, the latest heartbeats of the live processes that report to this node."""
+    def direct_reporters(self, now: float) -> dict[str, Heartbeat]:
+        """Returns by address the latest heartbeats of live processes that report directly to this node."""
         rows = self._rows.items()
-        return {address: row.heartbeat for address, row in rows if now - row.heard_here_at <= LIVE_S}
+        return {
+            address: row.heartbeat
+            for address, row in rows
+            if now - row.received_here_at <= LIVENESS_TIMEOUT_S
+        }
 
-    # For how long
+    # Heartbeat ages
 
     def heartbeat_ages(self, now: float) -> list[HeartbeatAge]:
-        """The latest heartbeats of all that are remembered, live or not, in the order of addresses."""
-        return [HeartbeatAge(row.heartbeat, now - row.heard_at) for _, row in sorted(self._rows.items())]
+        """Returns the latest heartbeats of all known processes, live or not, ordered by address."""
+        return [HeartbeatAge(row.heartbeat, now - row.received_at) for _, row in sorted(self._rows.items())]
 
-    def heartbeat_age_here(self, address: str, now: float) -> float:
-        """Seconds since the process reported to this node; infinite where it never did."""
+    def direct_heartbeat_age(self, address: str, now: float) -> float:
+        """Returns the seconds since the process last reported to this node; infinite if it never did."""
         row = self._rows.get(address)
-        return float("inf") if row is None else now - row.heard_here_at
+        return float("inf") if row is None else now - row.received_here_at
 
     def heartbeat_age(self, replica: str, now: float) -> float:
-        """Seconds since the latest heartbeat of the process with this disk; infinite without one."""
-        heard_at = [row.heard_at for row in self._rows.values() if row.heartbeat.member.replica == replica]
-        return now - max(heard_at) if heard_at else float("inf")
+        """Returns the seconds since the latest heartbeat of the disk's process; infinite without one."""
+        receive_times = [
+            row.received_at for row in self._rows.values() if row.heartbeat.member.replica == replica
+        ]
+        return now - max(receive_times) if receive_times else float("inf")
 
-    # What they hold
+    # Shards
 
     def reports(self) -> dict[str, ShardReport]:
-        """For each shard the report of its highest epoch, from its owner where that is known."""
-        best: dict[str, ShardReport] = {}
+        """Returns for each shard the report of its highest epoch, if possible from its owner."""
+        latest: dict[str, ShardReport] = {}
         for row in self._rows.values():
             for report in row.heartbeat.shards:
-                known = best.get(report.shard)
+                known = latest.get(report.shard)
                 if known is None or _rank(report) > _rank(known):
-                    best[report.shard] = report
-        return best
+                    latest[report.shard] = report
+        return latest
 
 
 def _is_later(heartbeat: Heartbeat, known: Heartbeat) -> bool:
@@ -136,6 +142,6 @@
 
 
 def _rank(report: ShardReport) -> tuple[int, bool, bool, int]:
-    """Of two reports on one shard the one of the higher rank counts."""
+    """Sort key of reports on one shard; the report of the highest rank is used."""
     is_from_owner = report.replica == report.owner
     return (report.epoch, is_from_owner, bool(report.owner), report.commit_index)
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -46,7 +46,7 @@
 )
 from ..membership.owner_contact import in_contact
 from ..membership.placement import CONFIGURATION_SHARD, address_of
-from ..membership.table import LIVE_S, MemberTable
+from ..membership.table import LIVENESS_TIMEOUT_S, MemberTable
 from ..protocol.peer_connection import PeerConnection
 from ..replication.group import has_quorum
 from ..replication.host import ShardHost
@@ -194,7 +194,9 @@
     def _is_stable(self) -> bool:
         """Whether whoever is live can be expected to have been heard of here."""
         now = self.now()
-        return in_contact(self.configuration.replica, now) and self._contact.duration_s(now) > LIVE_S
+        return (
+            in_contact(self.configuration.replica, now) and self._contact.duration_s(now) > LIVENESS_TIMEOUT_S
+        )
 
     # Time
 
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -7,7 +7,7 @@
 from kestrelbend.tier.control.directory_stream import DirectoryStream
 from kestrelbend.tier.membership.messages import Heartbeat, Member
 from kestrelbend.tier.membership.contact_period import ContactPeriod
-from kestrelbend.tier.membership.table import LIVE_S, MemberTable
+from kestrelbend.tier.membership.table import LIVENESS_TIMEOUT_S, MemberTable
 
 CONFIGURATION = SimpleNamespace(
     state=SimpleNamespace(placements=(), retiring=()), replica=SimpleNamespace(applied_index=7)
@@ -41,8 +41,8 @@
 
     def test_given_a_node_in_contact_then_who_becomes_unresponsive_leaves_the_directory(self):
         self.look(0.0, (HERE, THERE), True)
-        self.assertEqual([HERE, THERE], self.look(LIVE_S, (HERE,), True))
-        self.assertEqual([HERE], self.look(LIVE_S + 0.25, (HERE,), True))
+        self.assertEqual([HERE, THERE], self.look(LIVENESS_TIMEOUT_S, (HERE,), True))
+        self.assertEqual([HERE], self.look(LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
 
     def test_given_a_node_cut_off_then_it_goes_on_naming_the_others(self):
         self.look(2.0, (HERE, THERE), True)
@@ -52,8 +52,8 @@
     def test_given_contact_again_then_the_unresponsive_leave_only_after_they_could_be_heard(self):
         self.look(2.0, (HERE, THERE), True)
         self.look(22.0, (HERE,), False)
-        self.assertEqual([HERE, THERE], self.look(22.0 + LIVE_S, (HERE,), True))
-        self.assertEqual([HERE], self.look(22.0 + LIVE_S + 0.25, (HERE,), True))
+        self.assertEqual([HERE, THERE], self.look(22.0 + LIVENESS_TIMEOUT_S, (HERE,), True))
+        self.assertEqual([HERE], self.look(22.0 + LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
 
     def test_given_a_new_member_then_it_is_named_also_out_of_contact(self):
         self.look(2.0, (HERE,), True)
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -6,7 +6,7 @@
 
 from kestrelbend.tier.control.member_summaries import PROGRESS_S, MemberSummaries
 from kestrelbend.tier.membership.messages import Heartbeat, Member, ShardReport
-from kestrelbend.tier.membership.table import LIVE_S, MemberTable
+from kestrelbend.tier.membership.table import LIVENESS_TIMEOUT_S, MemberTable
 from kestrelbend.tier.protocol.codec import decode, encode
 
 HEARTBEAT_S = 0.25
@@ -101,7 +101,7 @@
 
     def test_given_its_end_then_all_find_it_unresponsive_in_time_and_nobody_revives_it(self):
         self.run_for(5.0, ["c1"])
-        self.run_for(LIVE_S + 2 * HEARTBEAT_S)
+        self.run_for(LIVENESS_TIMEOUT_S + 2 * HEARTBEAT_S)
         for _ in range(20):
             self.assertFalse(any(node.knows(GATEWAY) for node in self.nodes.values()))
             self.run_for(HEARTBEAT_S)
