--- a/tests/tier/link_doubles.py
+++ b/tests/tier/link_doubles.py
@@ -1,4 +1,4 @@
-"""What a connection needs around it in tests: a transport that keeps what is written, and a process."""
+"""Test doubles around a connection: a transport that keeps what is written, and the process that uses it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class MemoryTransport:
-    """Keeps what was written, until a test carries it on."""
+    """Keeps the bytes written until the test delivers them."""
 
     def __init__(self):
         self.written = bytearray()
         self.aborted = False
 
     def get_extra_info(self, name):
-        """The socket, whose options change nothing here."""
+        """Returns itself as the socket; socket options have no effect here."""
         return self
 
     def setsockopt(self, *arguments):
@@ -36,17 +36,17 @@
 
 
 class EndpointDouble:
-    """The process at one end; keeps what was received as (connection, message, sequence)."""
+    """The process at one end of a connection; keeps received messages as (connection, message, sequence)."""
 
     def __init__(self, address="a"):
         self.hello = Hello(address, f"{address}#d", 1)
         self.log = self
         self.opened = {}
         self.sent_bytes = 0
-        self.got = []
+        self.received_messages = []
 
     def warning(self, *arguments):
-        """Takes a line of the log."""
+        """Accepts a log line and ignores it."""
 
     def greeted(self, connection):
         pass
@@ -55,4 +55,4 @@
         pass
 
     def received(self, connection, message, sequence):
-        self.got.append((connection, message, sequence))
+        self.received_messages.append((connection, message, sequence))
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -1,6 +1,7 @@
-"""Replicas on virtual time, with links and disks that fail by order or by a seed, and the shard's promises.
+"""Runs replicas in virtual time with injected faults of links and disks, and checks the replication
+invariants.
 
-`Cluster` joins real replicas; `Promises` sees all that they hand out and raises where one is broken.
+`Cluster` connects real replicas; `Invariants` checks all that they hand out and fails on a violation.
 """
 
 from __future__ import annotations
@@ -16,41 +17,41 @@
 
 SHARD = "budget-0"
 TICK = 0.02
-TICKETS_OF_A_LIFE = 1_000_000
+TICKETS_PER_INCARNATION = 1_000_000
 
 
-class Promises:
-    """What must hold whatever fails: one leader in a term, one history, nothing acknowledged is lost."""
+class Invariants:
+    """Safety under any fault: one leader per term, one sequence of commits, no acknowledged entry lost."""
 
     def __init__(self, founders):
-        self.history = []
-        self.committed_in = []
+        self.committed_entries = []
+        self.commit_terms = []
         self.group = founders
         self._leaders = {}
 
-    def becomes_leader(self, replica):
+    def check_new_leader(self, replica):
         leader = self._leaders.setdefault(replica.term, replica.identity)
         assert leader == replica.identity, f"two leaders of term {replica.term}"
-        held = replica.durable_record()
-        entries = {entry.index: entry for entry in held.entries}
-        for entry, term in zip(self.history, self.committed_in, strict=True):
-            if held.snapshot.index < entry.index and term < replica.term:
+        durable = replica.durable_record()
+        entries = {entry.index: entry for entry in durable.entries}
+        for entry, term in zip(self.committed_entries, self.commit_terms, strict=True):
+            if durable.snapshot.index < entry.index and term < replica.term:
                 assert entries.get(entry.index) == entry, f"the leader lacks committed {entry}"
 
-    def applied(self, entry, term):
-        if entry.index <= len(self.history):
-            assert self.history[entry.index - 1] == entry, f"two histories at {entry.index}"
+    def check_applied(self, entry, term):
+        if entry.index <= len(self.committed_entries):
+            assert self.committed_entries[entry.index - 1] == entry, f"two committed entries at {entry.index}"
             return
-        assert entry.index == len(self.history) + 1, f"{entry} leaves a gap"
-        self.history.append(entry)
-        self.committed_in.append(term)
+        assert entry.index == len(self.committed_entries) + 1, f"{entry} leaves a gap"
+        self.committed_entries.append(entry)
+        self.commit_terms.append(term)
         if entry.kind == EntryKind.GROUP:
             group = decode_group(entry.data)
             assert len(set(group) ^ set(self.group)) <= 1, f"{self.group} to {group} in one step"
             self.group = group
 
     def commands(self):
-        return [entry.data for entry in self.history if entry.kind == EntryKind.COMMAND]
+        return [entry.data for entry in self.committed_entries if entry.kind == EntryKind.COMMAND]
 
 
 class Node:
@@ -70,43 +71,43 @@
         self.disk_delay = 0.002
         self.stalled = False
         self.frozen = False
-        self.kept_events = []
+        self.deferred_events = []
 
     @property
     def identity(self):
         return f"{self.name}#{self.generation}"
 
     @property
-    def up(self):
+    def is_running(self):
         return self.replica is not None and not self.frozen
 
 
 @attrs.define
 class Links:
-    """How messages fare between any two machines; `cut` holds (sender, receiver) pairs."""
+    """Delays and faults of messages between any two machines; `cut` holds (sender, receiver) pairs."""
 
     delay: float = 0.002
-    spread: float = 0.0
+    delay_jitter: float = 0.0
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
     cut: set = attrs.field(factory=set)
-    bandwidth: float = 0.0  # bytes a second from one machine to another, in order; 0: without bound
-    passing: int = 0  # messages up to this size don't wait for larger ones
-    free_at: dict = attrs.field(factory=dict)  # when a pair's link has sent all that was given to it
+    bandwidth: float = 0.0  # bytes per second between two machines, in order; 0: unlimited
+    priority_size: int = 0  # messages up to this size don't queue behind larger ones
+    free_at: dict = attrs.field(factory=dict)  # when the link of a pair has sent all queued messages
 
     def arrival(self, pair, message, now, delay):
-        """How long a message takes."""
+        """The time from now until a message arrives."""
         if not self.bandwidth:
             return delay
-        if size_of(message) <= self.passing:
-            return size_of(message) / self.bandwidth + delay
+        if message_size(message) <= self.priority_size:
+            return message_size(message) / self.bandwidth + delay
         start = max(now, self.free_at.get(pair, 0.0))
-        self.free_at[pair] = start + size_of(message) / self.bandwidth
+        self.free_at[pair] = start + message_size(message) / self.bandwidth
         return self.free_at[pair] - now + delay
 
 
-def size_of(message):
-    """About the bytes that a message takes of a link."""
+def message_size(message):
+    """The approximate size of a message on a link, in bytes."""
     entries = getattr(message, "entries", ())
     snapshot = getattr(message, "snapshot", None)
     data = len(getattr(message, "data", b"")) + sum(len(entry.data) + 64 for entry in entries)
@@ -114,7 +115,10 @@
 
 
 class Cluster:
-    """Machines, links and one clock; `seed` decides all that is left to chance."""
+    """Machines, links and one clock; `seed` determines all random choices.
+
+    `names` are the machines of the initial group, `others` further machines.
+    """
 
     def __init__(self, names="abc", others="", seed=0, timing=None, polls_read_index=False):
         self.polls_read_index = polls_read_index
@@ -124,14 +128,14 @@
         self.links = Links()
         self.nodes = {name: Node(name) for name in (*names, *others)}
         self.founders = tuple(self.nodes[name].identity for name in names)
-        self.promises = Promises(self.founders)
+        self.invariants = Invariants(self.founders)
         self.sent = []
         self._events = []
         self._sequence = 0
         for node in self.nodes.values():
             self.start(node.name)
 
-    # What is done to machines
+    # Machines, disks and links
 
     def start(self, name):
         node = self.nodes[name]
@@ -145,19 +149,19 @@
             durable=replay(node.records),
             timing=self.timing,
             now=self.now,
-            first_ticket=node.incarnation * TICKETS_OF_A_LIFE,
+            first_ticket=node.incarnation * TICKETS_PER_INCARNATION,
         )
         if self.polls_read_index:
             node.replica.enable_read_index_polling()
-        self._work(node)
+        self._process_effects(node)
 
     def lose_power(self, *names):
-        """The machines go down; of what was not synced, a first part is on the disk."""
+        """Stops the machines; a random prefix of the unsynced records is kept on each disk."""
         for name in names:
             node = self.nodes[name]
             kept = self.random.randint(0, len(node.unsynced))
             node.records += [record for _, record in node.unsynced[:kept]]
-            node.unsynced, node.kept_events, node.replica = [], [], None
+            node.unsynced, node.deferred_events, node.replica = [], [], None
 
     def wipe(self, name):
         self.lose_power(name)
@@ -171,7 +175,7 @@
     def thaw(self, name):
         node = self.nodes[name]
         node.frozen = False
-        kept, node.kept_events = node.kept_events, []
+        kept, node.deferred_events = node.deferred_events, []
         for event in kept:
             self._schedule(0.0, *event)
 
@@ -194,11 +198,11 @@
     def heal(self):
         self.links.cut.clear()
 
-    # What is asked of replicas
+    # Requests to replicas
 
     def leader(self):
         """The leader that is in contact with a majority, if there is one."""
-        leaders = [node for node in self.nodes.values() if node.up and node.replica.is_leader]
+        leaders = [node for node in self.nodes.values() if node.is_running and node.replica.is_leader]
         leaders = [node for node in leaders if node.replica.is_in_contact(self.now)]
         return max(leaders, key=lambda node: node.replica.term, default=None)
 
@@ -206,37 +210,37 @@
         node = node or self.leader()
         index = node.replica.propose(command, self.now) if node else None
         if node:
-            self._work(node)
+            self._process_effects(node)
         return index
 
     def confirm_read(self, node=None):
         node = node or self.leader()
         ticket = node.replica.confirm_read(self.now) if node else None
         if ticket is not None:
-            node.reads[ticket] = len(self.promises.history)
-            self._work(node)
+            node.reads[ticket] = len(self.invariants.committed_entries)
+            self._process_effects(node)
         return ticket
 
     def transfer(self):
         node = self.leader()
         node.replica.transfer_leadership(self.now)
-        self._work(node)
+        self._process_effects(node)
 
     def set_target(self, names, number=0):
-        """Sets at every replica the target group of the placement `number`."""
+        """Sets the target group of the placement `number` at every replica."""
         target = tuple(self.nodes[name].identity for name in names)
         for node in self.nodes.values():
-            if node.up:
+            if node.is_running:
                 node.replica.set_target(target, number)
-                self._work(node)
+                self._process_effects(node)
 
     def set_target_at(self, node, names, **rest):
         """Sets the target group at one replica."""
         node.replica.set_target(tuple(self.nodes[name].identity for name in names), **rest)
-        self._work(node)
+        self._process_effects(node)
 
-    def group_is(self, names):
-        """Whether a leader has exactly these voters, all of it committed, and lives."""
+    def has_group(self, names):
+        """Whether a leader is in contact, and its voters, all committed, are exactly these machines."""
         leader = self.leader()
         wanted = {self.nodes[name].identity for name in names}
         return leader is not None and set(leader.replica.committed_voters) == wanted == set(
@@ -246,10 +250,10 @@
     def compact(self, name):
         node = self.nodes[name]
         node.replica.compact(node.applied_index, b"\n".join(node.commands))
-        self._work(node)
+        self._process_effects(node)
 
     def checkpoint(self, name):
-        """Replaces a disk's records by one, where no write is under way."""
+        """Replaces a disk's records with a single one if no write is pending."""
         node = self.nodes[name]
         if not node.unsynced:
             node.records = [node.replica.durable_record()]
@@ -262,19 +266,19 @@
             self._run_events(self.now + TICK)
             self.now = round(self.now + TICK, 6)
             for node in self.nodes.values():
-                if node.up:
+                if node.is_running:
                     node.replica.tick(self.now)
-                    self._work(node)
+                    self._process_effects(node)
 
-    def run_until(self, holds, within):
-        """Runs until the condition holds; whether it did in time."""
+    def run_until(self, condition, within):
+        """Runs until the condition is true; returns whether that happened in time."""
         end = self.now + within
-        while self.now < end and not holds():
+        while self.now < end and not condition():
             self.run(TICK)
-        return holds()
+        return condition()
 
     def committed(self, command):
-        return any(entry.data == command for entry in self.promises.history)
+        return any(entry.data == command for entry in self.invariants.committed_entries)
 
     # Messages, disks and effects
 
@@ -285,30 +289,30 @@
     def _run_events(self, until):
         while self._events and self._events[0][0] <= until:
             self.now, _, event = heapq.heappop(self._events)
-            self._happen(*event)
+            self._dispatch(*event)
 
-    def _happen(self, node, incarnation, kind, content):
+    def _dispatch(self, node, incarnation, kind, content):
         if incarnation not in (0, node.incarnation) or node.replica is None:
             return
         if node.frozen:
-            node.kept_events.append((node, incarnation, kind, content))
+            node.deferred_events.append((node, incarnation, kind, content))
         elif kind == "message":
             node.replica.receive(content, self.now)
-            self._work(node)
+            self._process_effects(node)
         elif not node.stalled:
-            self._written(node, content)
+            self._complete_write(node, content)
 
-    def _written(self, node, ticket):
+    def _complete_write(self, node, ticket):
         done = [record for number, record in node.unsynced if number <= ticket]
         node.records += done
         del node.unsynced[: len(done)]
         node.replica.complete_write(ticket, self.now)
-        self._work(node)
+        self._process_effects(node)
 
-    def _work(self, node):
+    def _process_effects(self, node):
         effects = node.replica.drain_effects()
         if effects.leadership_changed and node.replica.is_leader:
-            self.promises.becomes_leader(node.replica)
+            self.invariants.check_new_leader(node.replica)
         for ticket, record in effects.writes:
             node.unsynced.append((ticket, record))
             self._schedule(node.disk_delay, node, node.incarnation, "written", ticket)
@@ -316,7 +320,9 @@
             self._send(node, receiver, message)
         self._apply(node, effects)
         for ticket in effects.confirmed_reads:
-            assert node.applied_index >= node.reads.pop(ticket), "a confirmed read is older than its call"
+            assert node.applied_index >= node.reads.pop(ticket), (
+                "a confirmed read misses entries committed before its request"
+            )
             node.confirmed.append(ticket)
 
     def _apply(self, node, effects):
@@ -326,11 +332,11 @@
         for entry in effects.applied:
             assert entry.index == node.applied_index + 1, f"{node.name} applies {entry} out of order"
             node.applied_index = entry.index
-            self.promises.applied(entry, node.replica.term)
+            self.invariants.check_applied(entry, node.replica.term)
             if entry.kind == EntryKind.COMMAND:
                 node.commands.append(entry.data)
         if effects.applied or effects.restore is not None:
-            before = self.promises.history[: node.applied_index]
+            before = self.invariants.committed_entries[: node.applied_index]
             assert node.commands == [entry.data for entry in before if entry.kind == EntryKind.COMMAND]
 
     def _send(self, node, receiver, message):
@@ -341,8 +347,8 @@
             return
         if self.links.loss and self.random.random() < self.links.loss:
             return
-        copies = 2 if self.links.double and self.random.random() < self.links.double else 1
+        copies = 2 if self.links.duplication and self.random.random() < self.links.duplication else 1
         for _ in range(copies):
-            delay = self.links.delay + self.random.random() * self.links.spread
+            delay = self.links.delay + self.random.random() * self.links.delay_jitter
             delay = self.links.arrival((node.name, name), message, self.now, delay)
             self._schedule(delay, target, 0, "message", message)
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -202,6 +202,6 @@
             self.assertIsNone(await connections[0].request(TransferLeadership("s", "a", 1), 0.35))
             self.assertFalse(transports[0].aborted)
             await asyncio.sleep(2.0)
-            self.assertEqual(2, len(connections[1]._endpoint.got))
+            self.assertEqual(2, len(connections[1]._endpoint.received_messages))
 
         virtual_time.run(play())
--- a/tests/tier/test_protocol.py
+++ b/tests/tier/test_protocol.py
@@ -111,7 +111,7 @@
             for message in sent:
                 self.connections[0].send(message)
             await self.pump(chunk=1)
-            self.assertEqual(sent, [message for _, message, _ in self.owners[1].got])
+            self.assertEqual(sent, [message for _, message, _ in self.owners[1].received_messages])
             self.assertEqual("a:1", self.connections[1].peer.address)
 
         self.story(play)
--- a/tests/tier/test_protocol_replies.py
+++ b/tests/tier/test_protocol_replies.py
@@ -71,7 +71,7 @@
             self.assertIsNone(await first)
             second = self.ask(pair, 2)
             await pair.carry()
-            (connection, message, sequence), (_, other, other_sequence) = self.answering.got
+            (connection, message, sequence), (_, other, other_sequence) = self.answering.received_messages
             connection.reply(sequence, message)
             await pair.carry()
             self.assertFalse(second.done())
@@ -86,7 +86,7 @@
             first, second = self.ask(pair, 1), self.ask(pair, 2)
             await pair.carry()
             first.cancel()
-            for connection, message, sequence in self.answering.got:
+            for connection, message, sequence in self.answering.received_messages:
                 connection.reply(sequence, message)
             await pair.carry()
             self.assertEqual(ConfigAck(2), await second)
@@ -97,7 +97,7 @@
         async def play(pair):
             first = self.ask(pair, 1)
             await pair.carry()
-            connection, message, sequence = self.answering.got[0]
+            connection, message, sequence = self.answering.received_messages[0]
             connection.reply(sequence, message)
             connection.reply(sequence, ConfigAck(9))
             second = self.ask(pair, 2)
@@ -112,7 +112,7 @@
         async def play(pair):
             first, second = self.ask(pair, 1), self.ask(pair, 2)
             await pair.carry()
-            for connection, message, sequence in self.answering.got:
+            for connection, message, sequence in self.answering.received_messages:
                 connection.reply(sequence, message)
             await asyncio.sleep(0)
             _, transport = pair.ends[1]
@@ -133,7 +133,9 @@
             fresh = ConnectionPair(self.asking, self.answering)
             second = self.ask(fresh, 2)
             await fresh.carry()
-            (old_connection, old, old_sequence), (connection, message, sequence) = self.answering.got
+            (old_connection, old, old_sequence), (connection, message, sequence) = (
+                self.answering.received_messages
+            )
             self.assertEqual(old_sequence, sequence, "both connections count from one")
             old_connection.reply(old_sequence, old)
             await pair.carry()
@@ -162,7 +164,7 @@
             pair.near._sequence = MAX_SEQUENCE - 1
             last = self.ask(pair, 1)
             await pair.carry()
-            connection, message, sequence = self.answering.got[0]
+            connection, message, sequence = self.answering.received_messages[0]
             self.assertEqual(MAX_SEQUENCE, sequence)
             connection.reply(sequence, message)
             await pair.carry()
@@ -180,7 +182,7 @@
             for number in range(400):
                 pending.append((number, self.ask(pair, number, timeout=chance.uniform(0.01, 0.3))))
                 await pair.carry()
-                held = self.answering.got
+                held = self.answering.received_messages
                 chance.shuffle(held)
                 for _ in range(chance.randint(0, 2)):
                     if held:
--- a/tests/tier/test_read_index.py
+++ b/tests/tier/test_read_index.py
@@ -190,7 +190,7 @@
         cluster.run(1.0)
         node = cluster.nodes["c"]
         node.frozen = False
-        for _, _, kind, content in node.kept_events:
+        for _, _, kind, content in node.deferred_events:
             if kind == "message" and isinstance(content, ReadIndexReply):
                 node.replica.receive(content, cluster.now)
         self.assertEqual((False, False), standing(cluster, "c"))
@@ -238,7 +238,7 @@
             for step in range(400):
                 self._disturb(cluster, step)
                 cluster.run(TICK)
-                committed_at.append((cluster.now, len(cluster.promises.history)))
+                committed_at.append((cluster.now, len(cluster.invariants.committed_entries)))
                 current += self._check(cluster, committed_at)
         self.assertTrue(current > 5000, current)
 
@@ -248,13 +248,17 @@
         node = cluster.nodes[name]
         if step % 3 == 0 and cluster.leader():
             cluster.propose(b"%d" % step)
-        if chance < 0.01 and node.up and sum(other.up for other in cluster.nodes.values()) == 3:
+        if (
+            chance < 0.01
+            and node.is_running
+            and sum(other.is_running for other in cluster.nodes.values()) == 3
+        ):
             cluster.random.choice((cluster.lose_power, cluster.freeze, cluster.isolate))(name)
         elif chance < 0.05:
             cluster.heal()
             cluster.links.delay = cluster.random.choice((0.001, 0.05, 0.2))
-            cluster.links.spread = cluster.random.choice((0.0, 0.3))
-            cluster.links.double = 0.2
+            cluster.links.delay_jitter = cluster.random.choice((0.0, 0.3))
+            cluster.links.duplication = 0.2
             for other in list(cluster.nodes.values()):
                 if other.frozen:
                     cluster.thaw(other.name)
@@ -264,7 +268,7 @@
     def _check(self, cluster, committed_at):
         count = 0
         for node in cluster.nodes.values():
-            if not node.up or not is_current(node.replica, cluster.now):
+            if not node.is_running or not is_current(node.replica, cluster.now):
                 continue
             count += 1
             asked = node.replica.current_at
--- a/tests/tier/test_replication_exhaustive.py
+++ b/tests/tier/test_replication_exhaustive.py
@@ -1,12 +1,12 @@
-"""All runs of three replicas and two commands with a fault at any step, over the real class.
+"""Explores all runs of three replicas and two commands with a fault at any step, using the real class.
 
-A run's script is: the first replica campaigns, then two commands are proposed.  Messages and finished
-writes wait in one queue.  At every step a fault may come instead: the head message is lost, doubled or
-put last, a replica loses power (its unsynced writes lost, or kept), or its election timeout
-ends.  States reached twice are searched once.  At the end of each run, calm must bring a further
-command through.
+Script of a run: the first replica campaigns, then two commands are proposed.  Messages and completed
+writes wait in one queue.  At every step a fault may occur instead: the first message is dropped, duplicated
+or moved to the end, a replica loses power (its unsynced writes lost or kept), or its election timeout
+expires.  States reached more than once are explored once.  At the end of each run, without further faults,
+one more command must be committed.
 
-`python -m tests.tier.test_replication_exhaustive FAULTS` searches with more faults in a run.
+`python -m tests.tier.test_replication_exhaustive FAULTS` explores runs with more faults.
 """
 
 import hashlib
@@ -16,24 +16,24 @@
 import testtools
 
 from kestrelbend.tier.replication import Replica, Timing, replay
-from tests.tier.replication_harness import SHARD, TICK, Promises
+from tests.tier.replication_harness import SHARD, TICK, Invariants
 
 NAMES = ("a", "b", "c")
 COMMANDS = (b"first", b"second")
-FAULTS = 1
-CALM_TICKS = 100  # 2 s
-TIME_OUT_S = 0.4  # two such spans without contact end any replica's patience, one ends nobody's
-OTHERS_TIME_OUT_S = 0.31  # that passes for the others: voters let go of the leader, the leader itself doesn't
+MAX_FAULTS = 1
+RECOVERY_TICKS = 100  # 2 s
+CAMPAIGN_STEP_S = 0.4  # two such steps without contact exceed any replica's campaign delay, one exceeds none
+OTHERS_STEP_S = 0.31  # exceeds the leader stickiness of the other voters, but not the leader's timeout
 
 
-class World:
-    """Replicas, their clocks and disks, and the queue of messages and writes under way."""
+class ReplicaSimulation:
+    """Replicas, their clocks and disks, and the queue of pending messages and writes."""
 
     def __init__(self, faults):
         self.faults = faults
-        self.stage = 0
+        self.script_position = 0
         self.queue = []
-        self.promises = Promises(NAMES)
+        self.invariants = Invariants(NAMES)
         self.clocks = dict.fromkeys(NAMES, 0.0)
         self.incarnations = dict.fromkeys(NAMES, 0)
         self.disks = {name: [] for name in NAMES}
@@ -55,25 +55,25 @@
             timing=Timing(),
             now=self.clocks[name],
         )
-        self.work(name)
+        self.process_effects(name)
 
-    # Steps
+    # Steps of a run
 
-    def steps(self):
-        """The steps that may come next; the first one is no fault."""
-        if self.queue or self.stage <= len(COMMANDS):
+    def possible_steps(self):
+        """The possible next steps; the first one is not a fault."""
+        if self.queue or self.script_position <= len(COMMANDS):
             yield "proceed", ""
         if not self.faults:
             return
         if self.queue and self.queue[0][0] == "message":
-            yield from (("lose", ""), ("double", ""), ("put_last", ""))
+            yield from (("drop_message", ""), ("duplicate_message", ""), ("move_message_to_end", ""))
         for name in NAMES:
-            yield "lose_power", name
+            yield "restart_without_unsynced_writes", name
             if self.unsynced[name]:
-                yield "restart", name
-            yield "lose_patience", name
+                yield "restart_with_unsynced_writes", name
+            yield "expire_election_timeout", name
 
-    def take(self, step, name):
+    def apply_step(self, step, name):
         if step != "proceed":
             self.faults -= 1
         getattr(self, step)(*name)
@@ -82,44 +82,44 @@
         if self.queue:
             self.handle(self.queue.pop(0))
         else:
-            self.go_on()
-            self.stage += 1
+            self.advance_script()
+            self.script_position += 1
 
-    def go_on(self):
-        """The script's next line, once nothing is under way."""
-        if self.stage == 0:
-            self.lose_patience("a")
+    def advance_script(self):
+        """Runs the next line of the script, once the queue is empty."""
+        if self.script_position == 0:
+            self.expire_election_timeout("a")
         else:
             for name in NAMES:
-                self.propose(name, COMMANDS[self.stage - 1])
+                self.propose(name, COMMANDS[self.script_position - 1])
 
     def propose(self, name, command):
         if self.replicas[name].propose(command, self.clocks[name]) is not None:
-            self.work(name)
+            self.process_effects(name)
 
-    def lose(self):
+    def drop_message(self):
         self.queue.pop(0)
 
-    def double(self):
+    def duplicate_message(self):
         self.queue.append(self.queue[0])
 
-    def put_last(self):
+    def move_message_to_end(self):
         self.queue.append(self.queue.pop(0))
 
-    def lose_power(self, name):
+    def restart_without_unsynced_writes(self, name):
         self.start(name)
 
-    def restart(self, name):
+    def restart_with_unsynced_writes(self, name):
         self.disks[name] += [record for _, record in self.unsynced[name]]
         self.start(name)
 
-    def lose_patience(self, name):
+    def expire_election_timeout(self, name):
         for other in NAMES:
-            spans = (TIME_OUT_S, TIME_OUT_S) if other == name else (OTHERS_TIME_OUT_S,)
-            for span in spans:
-                self.clocks[other] += span
+            clock_steps = (CAMPAIGN_STEP_S, CAMPAIGN_STEP_S) if other == name else (OTHERS_STEP_S,)
+            for clock_step in clock_steps:
+                self.clocks[other] += clock_step
                 self.replicas[other].tick(self.clocks[other])
-                self.work(other)
+                self.process_effects(other)
 
     # Effects
 
@@ -132,13 +132,13 @@
             ticket, record = self.unsynced[name].pop(0)
             self.disks[name].append(record)
             replica.complete_write(ticket, self.clocks[name])
-        self.work(name)
+        self.process_effects(name)
 
-    def work(self, name):
+    def process_effects(self, name):
         replica = self.replicas[name]
         effects = replica.drain_effects()
         if effects.leadership_changed and replica.is_leader:
-            self.promises.becomes_leader(replica)
+            self.invariants.check_new_leader(replica)
         for write in effects.writes:
             self.unsynced[name].append(write)
             self.queue.append(("written", name, self.incarnations[name], None))
@@ -147,49 +147,49 @@
         for entry in effects.applied:
             assert entry.index == self.applied[name] + 1, "applied out of order"
             self.applied[name] = entry.index
-            self.promises.applied(entry, replica.term)
+            self.invariants.check_applied(entry, replica.term)
 
-    def calm(self):
-        """No fault comes any more: a further command must be committed, after all those before it."""
-        acknowledged = self.promises.commands()
-        for _ in range(CALM_TICKS):
-            if b"calm" in self.promises.commands():
+    def check_recovery(self):
+        """Without further faults, one more command must be committed after all those before it."""
+        acknowledged = self.invariants.commands()
+        for _ in range(RECOVERY_TICKS):
+            if b"final" in self.invariants.commands():
                 break
-            self.settle()
+            self.drain_queue()
             for name in NAMES:
                 self.clocks[name] += TICK
                 self.replicas[name].tick(self.clocks[name])
-                self.work(name)
-                self.propose(name, b"calm")
-        commands = self.promises.commands()
-        assert b"calm" in commands, "no progress in calm"
+                self.process_effects(name)
+                self.propose(name, b"final")
+        commands = self.invariants.commands()
+        assert b"final" in commands, "no progress after the last fault"
         assert commands[: len(acknowledged)] == acknowledged
 
-    def settle(self):
+    def drain_queue(self):
         while self.queue:
             self.handle(self.queue.pop(0))
 
 
 def search(faults):
-    """Visits all runs with up to `faults` faults; the number of states, and the first run that fails."""
-    first = pickle.dumps(World(faults))
+    """Explores all runs with up to `faults` faults; returns the number of states and the first violation."""
+    first = pickle.dumps(ReplicaSimulation(faults))
     seen = {digest(first)}
     stack = [(first, ())]
     while stack:
         state, path = stack.pop()
-        steps = list(pickle.loads(state).steps())
+        possible_steps = list(pickle.loads(state).possible_steps())
         try:
-            if not steps or steps[0][0] != "proceed":
-                pickle.loads(state).calm()
-            for step, name in steps:
-                world = pickle.loads(state)
-                world.take(step, name)
-                reached = pickle.dumps(world)
-                if digest(reached) not in seen:
-                    seen.add(digest(reached))
-                    stack.append((reached, (*path, (step, name))))
-        except AssertionError as broken:
-            return len(seen), (str(broken), path, (step, name))
+            if not possible_steps or possible_steps[0][0] != "proceed":
+                pickle.loads(state).check_recovery()
+            for step, name in possible_steps:
+                simulation = pickle.loads(state)
+                simulation.apply_step(step, name)
+                next_state = pickle.dumps(simulation)
+                if digest(next_state) not in seen:
+                    seen.add(digest(next_state))
+                    stack.append((next_state, (*path, (step, name))))
+        except AssertionError as violation:
+            return len(seen), (str(violation), path, (step, name))
     return len(seen), None
 
 
@@ -197,10 +197,10 @@
     return hashlib.blake2b(state, digest_size=16).digest()
 
 
-class ExhaustiveSearch(testtools.TestCase):
-    def test_no_run_with_a_fault_at_any_step_breaks_a_promise(self):
-        states, broken = search(FAULTS)
-        self.assertIsNone(broken)
+class ExhaustiveSearchTest(testtools.TestCase):
+    def test_one_fault_at_any_step_preserves_the_invariants(self):
+        states, violation = search(MAX_FAULTS)
+        self.assertIsNone(violation)
         self.assertGreater(states, 1000)
 
 
--- a/tests/tier/test_replication_log.py
+++ b/tests/tier/test_replication_log.py
@@ -1,4 +1,4 @@
-"""What a replica's log and its disk's records promise, and when a leader may count an entry."""
+"""The replica's log and its replay from disk, group steps, votes, and when a leader commits an entry."""
 
 import attrs
 import testtools
@@ -36,15 +36,15 @@
 
 
 def write(replica, now):
-    """Ends all writes; the messages that were due before and after."""
+    """Completes all writes; returns the messages sent before and after."""
     effects = replica.drain_effects()
     for ticket, _ in effects.writes:
         replica.complete_write(ticket, now)
     return effects.sends + replica.drain_effects().sends
 
 
-class LogPromises(testtools.TestCase):
-    def test_a_write_that_ends_late_does_not_vouch_for_what_replaced_it(self):
+class ReplicaLogTest(testtools.TestCase):
+    def test_a_late_write_completion_does_not_mark_replacing_entries_as_durable(self):
         log = ReplicaLog(DurableState())
         log.replace_from([entry(1, 1), entry(2, 1)])
         log.begin_write(1)
@@ -55,7 +55,7 @@
         log.end_write(2)
         self.assertEqual(2, log.durable_index)
 
-    def test_entries_under_a_foreign_snapshot_are_not_durable_until_it_is_written(self):
+    def test_entries_covered_by_an_installed_snapshot_are_not_durable_until_it_is_written(self):
         log = ReplicaLog(DurableState(entries=[entry(1, 1), entry(2, 1)]))
         log.install_snapshot(Snapshot(3, 2, GROUP, b"state"), commit_index=1)
         self.assertEqual(1, log.durable_index)
@@ -64,38 +64,42 @@
         self.assertEqual(3, log.durable_index)
 
 
-class ReplayPromises(testtools.TestCase):
-    def test_entries_that_follow_a_snapshot_stay(self):
+class ReplayTest(testtools.TestCase):
+    def test_entries_that_follow_a_snapshot_are_kept(self):
         state = replay([record(entry(1, 1), entry(2, 1)), record(snapshot=Snapshot(1, 1, GROUP))])
         self.assertEqual([entry(2, 1)], state.entries)
 
-    def test_entries_behind_another_ones_place_go(self):
+    def test_entries_after_a_conflicting_entry_at_the_snapshot_index_are_dropped(self):
         old = record(entry(1, 1), entry(2, 1), entry(3, 4))
         state = replay([old, record(term=5, snapshot=Snapshot(2, 3, GROUP))])
         self.assertEqual(([], 5), (state.entries, state.term))
 
-    def test_entries_replace_what_the_disk_held_from_their_first_on(self):
+    def test_entries_replace_older_ones_from_their_first_index_on(self):
         state = replay([record(entry(1, 1), entry(2, 1), entry(3, 1)), record(entry(2, 2), term=2)])
         self.assertEqual([entry(1, 1), entry(2, 2)], state.entries)
 
 
-class GroupSteps(testtools.TestCase):
+class NextGroupTest(testtools.TestCase):
     def step(self, voters, target, leader="a", dead="", behind=""):
         group = next_group(
-            tuple(voters), tuple(target), leader, lambda one: one not in dead, lambda one: one not in behind
+            tuple(voters),
+            tuple(target),
+            leader,
+            lambda voter_id: voter_id not in dead,
+            lambda voter_id: voter_id not in behind,
         )
         return group and "".join(group)
 
-    def test_one_is_added_before_one_goes(self):
+    def test_one_voter_is_added_before_one_is_removed(self):
         self.assertEqual("abdc", self.step("abc", "abd"))
         self.assertEqual("abd", self.step("abdc", "abd"))
         self.assertIsNone(self.step("abd", "abd"))
 
-    def test_the_dead_go_first_and_the_owner_never(self):
+    def test_dead_voters_are_removed_first_and_the_leader_never(self):
         self.assertEqual("bca", self.step("abcd", "bc", dead="d"))
         self.assertIsNone(self.step("bca", "bc"))
 
-    def test_who_lags_or_is_dead_is_not_added(self):
+    def test_a_lagging_or_dead_replica_is_not_added(self):
         self.assertIsNone(self.step("abc", "abd", behind="d"))
         self.assertIsNone(self.step("abc", "abd", dead="d"))
 
@@ -104,10 +108,10 @@
         self.assertIsNone(self.step("abc", "abcd", dead="bc"))
 
 
-class VoteRule(testtools.TestCase):
+class VoteTest(testtools.TestCase):
     request = RequestVote(SHARD, "b", 1, 0, 0, pre_vote=False)
 
-    def test_a_vote_asked_for_twice_is_given_twice_and_holds_nothing_up(self):
+    def test_a_repeated_vote_request_is_granted_again_and_does_not_delay_a_pre_vote(self):
         replica = voter()
         replies = []
         for _ in range(2):
@@ -118,20 +122,20 @@
         replica.tick(0.7)
         self.assertEqual(["b", "c"], [receiver for receiver, _ in write(replica, 0.7)])
 
-    def test_one_epochs_vote_goes_to_one_candidate(self):
+    def test_only_one_candidate_gets_the_vote_of_a_term(self):
         replica = voter()
         replica.receive(self.request, 0.1)
         replica.receive(attrs.evolve(self.request, sender="c"), 0.1)
         granted = {receiver: reply.granted for receiver, reply in write(replica, 0.1)}
         self.assertEqual({"b": True, "c": False}, granted)
 
-    def test_a_shorter_log_gets_no_vote(self):
+    def test_a_candidate_with_a_shorter_log_gets_no_vote(self):
         replica = voter(entries=[entry(1, 1)])
         replica.receive(attrs.evolve(self.request, term=2), 0.1)
         self.assertEqual([False], [reply.granted for _, reply in write(replica, 0.1)])
 
 
-class CommitRule(testtools.TestCase):
+class CommitTest(testtools.TestCase):
     def candidate(self):
         """A candidate for term 3 whose log ends with an uncommitted entry of term 2."""
         replica = voter(term=2, voted_for="a", entries=[entry(1, 1), entry(2, 2)])
@@ -147,14 +151,14 @@
         write(replica, 0.6)
         return replica
 
-    def test_an_older_epochs_entry_is_not_committed_by_counting(self):
+    def test_an_entry_of_an_older_term_is_not_committed_by_counting_replicas(self):
         replica = self.leader()
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 0.6)
         self.assertEqual(0, replica.commit_index)
         replica.receive(AppendReply(SHARD, "b", 3, True, 3, 1), 0.6)
         self.assertEqual(3, replica.commit_index)
 
-    def test_the_group_stands_until_the_epoch_has_committed(self):
+    def test_the_group_does_not_change_until_the_term_has_committed_an_entry(self):
         replica = self.leader()
         replica.set_target(("a", "b"))
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 0.6)
@@ -163,18 +167,18 @@
         replica.receive(AppendReply(SHARD, "b", 3, True, 3, 1), 0.62)
         self.assertEqual(("a", "b"), replica.voters)
 
-    def test_a_candidate_that_stood_still_does_not_own_by_old_votes(self):
+    def test_a_candidate_is_not_elected_by_votes_from_before_a_pause(self):
         replica = self.candidate()
         replica.receive(VoteReply(SHARD, "b", 3, True, pre_vote=False), 5.0)
         self.assertFalse(replica.is_leader)
 
-    def test_a_reply_speaks_for_the_moment_its_round_began(self):
+    def test_a_reply_counts_from_the_start_of_its_round(self):
         replica = self.leader()
         replica.tick(0.9)
         replica.receive(AppendReply(SHARD, "b", 3, True, 2, 1), 1.2)
         self.assertFalse(replica.is_in_contact(1.2))
 
-    def test_a_read_waits_for_an_entry_of_the_epoch(self):
+    def test_a_read_waits_for_a_committed_entry_of_the_term(self):
         replica = self.leader()
         ticket = replica.confirm_read(0.6)
         replica.drain_effects()
@@ -183,7 +187,7 @@
         replica.receive(AppendReply(SHARD, "b", 3, True, 3, 2), 0.6)
         self.assertEqual([ticket], replica.drain_effects().confirmed_reads)
 
-    def test_late_and_foreign_messages_change_nothing(self):
+    def test_messages_of_old_terms_other_shards_and_unknown_senders_change_nothing(self):
         replica = self.leader()
         before = replica.durable_record()
         replica.receive(AppendEntries(SHARD, "b", 2, 0, 0, (entry(1, 2),), 1, 9), 0.6)
--- a/tests/tier/test_replication_search.py
+++ b/tests/tier/test_replication_search.py
@@ -41,8 +41,8 @@
         self.proposed = 0
         self.harshness = self.random.choice((0.05, 0.15, 0.4))
         self.cluster.links.loss = self.random.choice((0.0, 0.02, 0.2))
-        self.cluster.links.double = self.random.choice((0.0, 0.1))
-        self.cluster.links.spread = self.random.choice((0.0, 0.01, 0.15))
+        self.cluster.links.duplication = self.random.choice((0.0, 0.1))
+        self.cluster.links.delay_jitter = self.random.choice((0.0, 0.01, 0.15))
         for node in self.cluster.nodes.values():
             node.disk_delay = self.random.choice((0.001, 0.01, 0.1, 0.25))
 
@@ -59,10 +59,10 @@
 
     def work(self):
         node = self.random.choice(list(self.cluster.nodes.values()))
-        if node.up and self.random.random() < COMPACTION_CHANCE:
+        if node.is_running and self.random.random() < COMPACTION_CHANCE:
             self.cluster.compact(node.name)
             self.cluster.checkpoint(node.name)
-        if node.up and node.replica.is_leader:
+        if node.is_running and node.replica.is_leader:
             for _ in range(self.random.choice((0, 1, 5))):
                 self.proposed += 1
                 self.cluster.propose(b"command %d" % self.proposed, node)
@@ -147,8 +147,8 @@
         """All machines run, links and disks are sound; lost disks stay lost."""
         cluster = self.cluster
         cluster.heal()
-        cluster.links.loss = cluster.links.double = 0.0
-        cluster.links.spread = 0.005
+        cluster.links.loss = cluster.links.duplication = 0.0
+        cluster.links.delay_jitter = 0.005
         for node in cluster.nodes.values():
             node.disk_delay = 0.002
             if node.replica is None:
@@ -173,14 +173,14 @@
         names = self.random.sample(list(cluster.nodes), 3)
         target = tuple(cluster.nodes[name].identity for name in names)
         cluster.set_target(names)
-        assert cluster.run_until(lambda: cluster.promises.group == target, PROGRESS_S), (
+        assert cluster.run_until(lambda: cluster.invariants.group == target, PROGRESS_S), (
             "not the group wished for"
         )
         cluster.run(0.5)
         assert cluster.leader().identity in target, "a leader outside of the group"
         for name in names:
             held = cluster.nodes[name].applied_index
-            assert held == len(cluster.promises.history), f"{name} lags in calm"
+            assert held == len(cluster.invariants.committed_entries), f"{name} lags in calm"
 
 
 def failures(first, last):
--- a/tests/tier/test_replication_stories.py
+++ b/tests/tier/test_replication_stories.py
@@ -115,7 +115,7 @@
 
     def test_a_vote_asked_for_twice_is_given_and_counts_once(self):
         cluster = Cluster()
-        cluster.links.double = 1.0
+        cluster.links.duplication = 1.0
         cluster.run(1.0)
         cluster.lose_power("a")
         self.assertTrue(cluster.run_until(cluster.leader, 1.2))
@@ -281,7 +281,7 @@
         cluster.propose(b"last")
         cluster.start("c")
         cluster.run(0.5)
-        self.assertEqual(cluster.promises.commands(), cluster.nodes["c"].commands)
+        self.assertEqual(cluster.invariants.commands(), cluster.nodes["c"].commands)
         chunks = [message for _, _, message in cluster.sent if isinstance(message, SnapshotChunk)]
         self.assertEqual(1, len({chunk.snapshot.index for chunk in chunks}))
         self.assertEqual(chunks[0].size, sum(len(chunk.data) for chunk in chunks))
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -35,7 +35,7 @@
 
 def is_current(cluster, name="c"):
     node = cluster.nodes[name]
-    return node.up and node.applied_index == len(cluster.promises.history)
+    return node.is_running and node.applied_index == len(cluster.invariants.committed_entries)
 
 
 def pieces_sent(cluster, receiver="c"):
@@ -55,7 +55,7 @@
     def test_pieces_lost_doubled_and_out_of_order_cost_their_own_bytes_alone(self):
         for seed in range(20):
             cluster = cluster_with_a_member_away(seed=seed)
-            cluster.links.loss, cluster.links.double, cluster.links.spread = 0.1, 0.1, 0.02
+            cluster.links.loss, cluster.links.duplication, cluster.links.delay_jitter = 0.1, 0.1, 0.02
             cluster.start("c")
             self.assertTrue(cluster.run_until(lambda world=cluster: is_current(world), 20.0), seed)
             chunks = pieces_sent(cluster)
@@ -173,7 +173,7 @@
     def given_a_large_entry_under_way(self):
         cluster = Cluster("abc")
         cluster.run(1.0)
-        cluster.links.bandwidth, cluster.links.passing = NARROW, 32 * 1024
+        cluster.links.bandwidth, cluster.links.priority_size = NARROW, 32 * 1024
         cluster.sent.clear()
         cluster.propose(LARGE)
         return cluster
@@ -212,7 +212,7 @@
         leader = cluster.nodes["a"]
         for name in "bc":
             leader.replica.handle_reconnection(cluster.nodes[name].identity)
-        cluster._work(leader)
+        cluster._process_effects(leader)
         self.assertTrue(cluster.run_until(lambda: cluster.committed(LARGE), len(LARGE) / NARROW + 0.3))
         self.assertEqual([2, 2], [self.large_sent(cluster, name) for name in "bc"])
 
--- a/tests/tier/virtual_time.py
+++ b/tests/tier/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer, so that no test waits."""
+"""An event loop whose clock jumps to the next timer, so that tests don't wait."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Reports what is ready, and takes the time it should have waited as gone."""
+    """Reports what is ready and advances the clock by the timeout instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("nothing can happen any more: no timer and nothing ready")
+            raise RuntimeError("deadlock: no timer is scheduled and no event is ready")
         self.now += max(0.0, timeout)
         return super().select(0)
 
@@ -30,6 +30,6 @@
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """Runs a coroutine on a clock of its own that starts at 0."""
+    """Runs a coroutine on a virtual clock that starts at 0."""
     with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
         return runner.run(main)
