--- a/kestrelbend/gateway/decisions/attempts.py
+++ b/kestrelbend/gateway/decisions/attempts.py
@@ -44,7 +44,7 @@
             lifetime = inv.op.token_lifetime - self.context.settings.tick
             for d in inv.deliveries:
                 if d.may_have_run:
-                    until = min(until, d.sent + lifetime)
+                    until = min(until, d.sent_at + lifetime)
         return until
 
     def may_go(self, inv: Invocation) -> bool:
--- a/kestrelbend/gateway/decisions/concurrency.py
+++ b/kestrelbend/gateway/decisions/concurrency.py
@@ -30,7 +30,7 @@
     def wait_for_slot(self, inv: Invocation) -> Effects[bool]:
         """Wait in turn for a place; true if there is none in time.  At the latest total there may be none."""
         customer, cap = inv.customer, inv.customer.plan.max_in_flight
-        end = min(inv.deadline, inv.arrived + int(MAX_WAIT_FRACTION * inv.op.objective))
+        end = min(inv.deadline, inv.arrived_at + int(MAX_WAIT_FRACTION * inv.op.objective))
         customer.queue.append(inv)
         while full := self._is_full(customer):
             turn = customer.queue.index(inv) + 1
--- a/kestrelbend/gateway/decisions/credits.py
+++ b/kestrelbend/gateway/decisions/credits.py
@@ -68,7 +68,7 @@
         """Whether invocations wait, or the next would."""
         return bool(self.backlog.waiting) or not self.available()
 
-    def start_cooldown(self, took: int) -> None:
+    def start_cooldown(self, duration: int) -> None:
         """Rest after a delivery, with less than one credit in all and pressed backends.
 
         It took so many microseconds; the rest is as long as the missing part of a credit would have taken.
@@ -76,7 +76,7 @@
         """
         remaining = max(MIN_REMAINING, self.pool.capacity - self.debt)
         if remaining < 1 and not self.pool.in_flight and self.latencies.median() > COOLDOWN_MEDIAN:
-            self.cooldown_until = self.context.now + int(took * (1 / remaining - 1))
+            self.cooldown_until = self.context.now + int(duration * (1 / remaining - 1))
 
     def adjust(self, backend: BackendState, credit: float) -> None:
         """Change a backend's credits; what it cannot lose is owed by all together, and paid first."""
--- a/kestrelbend/gateway/decisions/delivery.py
+++ b/kestrelbend/gateway/decisions/delivery.py
@@ -37,17 +37,17 @@
         """Deliver it until it is done or its time is up."""
         target = inv.op.objective
         give_up = inv.deadline - TICKS_TO_ANSWER * self.context.settings.tick
-        in_time = inv.arrived + target if not inv.op.late_value else give_up  # later answers earn nothing
+        in_time = inv.arrived_at + target if not inv.op.late_value else give_up  # later answers earn nothing
         while not inv.done:
             in_flight = [d for d in inv.deliveries if d.result is None]
             if self.context.now >= self._end(inv, give_up, in_time):
                 yield from self.close(inv)
                 break
             for d in in_flight:
-                if not d.overdue and self.context.now >= d.sent + target:
+                if not d.overdue and self.context.now >= d.sent_at + target:
                     yield from self.outcomes.overdue(d)
             if in_flight:
-                due = [d.sent + target for d in in_flight if not d.overdue]
+                due = [d.sent_at + target for d in in_flight if not d.overdue]
                 yield Pause(min(at for at in (give_up, in_time, *due) if at > self.context.now))
                 continue
             if not self.rules.may_repeat(inv) or inv.deliveries and self.context.now >= in_time:
@@ -75,7 +75,7 @@
     def _wait_until(self, inv: Invocation, give_up: int) -> int | None:
         """Microseconds until which it may wait for a credit; None where its turn is not expected by then."""
         interval = self.credits.answer_interval(inv.op, self.credits.capacity())
-        began = max([inv.arrived, *(d.sent + d.took for d in inv.deliveries)])
+        began = max([inv.arrived_at, *(d.sent_at + d.duration for d in inv.deliveries)])
         until = min(give_up, began + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
         turn = self.credits.backlog.ahead_of(inv) + 1
         return until if self.context.now + turn * interval <= until else None
--- a/kestrelbend/gateway/decisions/outcomes.py
+++ b/kestrelbend/gateway/decisions/outcomes.py
@@ -53,14 +53,14 @@
         assert result is not None  # the host sets it before
         known = self.ejection.record(backend, inv, result)
         if result is Result.SUCCEEDED:
-            self._succeeded(delivery, delivery.took / target)
+            self._succeeded(delivery, delivery.duration / target)
             self.quota.correct(inv, actual)
             yield from self.ejection.judge(backend, result, known)
         elif not delivery.overdue and result not in (Result.CANCELLED, Result.VOID):
             self.credits.adjust(backend, -ERROR_LOSS * (1 - known))
             if result is not Result.REJECTED:
                 yield from self.ejection.judge(backend, result, known)
-        self.credits.start_cooldown(min(delivery.took, target))
+        self.credits.start_cooldown(min(delivery.duration, target))
         yield from self.wake()
 
     def _succeeded(self, delivery: Delivery, fraction: float) -> None:
--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -200,7 +200,7 @@
             if not same_id:
                 del self.admitted[check.id]
         if took is None:
-            took = self.clock() - delivery.sent
+            took = self.clock() - delivery.sent_at
         self.queue.put_nowait(DeliveryEnded(delivery, result, took))
 
     def reported(self, request_id: str, result: Result, took: int | None) -> None:
--- a/kestrelbend/gateway/hosting.py
+++ b/kestrelbend/gateway/hosting.py
@@ -17,7 +17,7 @@
 from .decisions import BackendState, CustomerState, Gateway
 from .keys import stable_hash
 
-MIN_SWEEP = 1024  # customers known before those that may be forgotten are first looked for
+MIN_SWEEP_SIZE = 1024  # customers known before those that may be forgotten are first looked for
 
 EndpointRow: TypeAlias = "tuple[Any, str, str, int, i.EndpointState, float, int | None]"
 """A backend as discovery tells it: (id, zone, kind, group, state, weight, start in microseconds or None)."""
@@ -48,7 +48,7 @@
         self.backend_ids: dict[BackendState, Any] = {}
         self.listed: dict[Hashable, BackendState] = {}  # what discovery lists, in any state
         self.customers: dict[tuple[str, str], CustomerState] = {}  # by plan and name
-        self.sweep_at = MIN_SWEEP
+        self.sweep_at = MIN_SWEEP_SIZE
         self.tasks: dict[i.Invocation, Task] = {}
         self.pending_counter_calls: defaultdict[int, deque[Task]] = defaultdict(
             deque
@@ -122,7 +122,7 @@
         self,
         delivery: i.Delivery,
         result: i.Result,
-        took: int,
+        duration: int,
         final: bool,
         load: dict[str, float] | None,
         actual: float,
@@ -133,7 +133,7 @@
         `load`, `actual`, `used`: what the answer tells (`Outcomes.ended`).
         """
         delivery.result = result
-        delivery.took = took
+        delivery.duration = duration
         inv = delivery.inv
         inv.done = inv.done or final
         self.run(Task(self.gateway.outcomes.ended(delivery, load, actual, used)))
@@ -154,10 +154,12 @@
                 del self.pending_counter_calls[name]
             self.run(task, i.Counted(result, total))
 
-    def probed(self, backend: i.Backend, result: i.Result, took: int, load: dict[str, float] | None) -> None:
+    def probed(
+        self, backend: i.Backend, result: i.Result, duration: int, load: dict[str, float] | None
+    ) -> None:
         """The reply to a probe, after `took` microseconds."""
         if self.pending_probes.get(backend):
-            self.run(self.pending_probes[backend].popleft(), i.Probed(result, took, load))
+            self.run(self.pending_probes[backend].popleft(), i.Probed(result, duration, load))
 
     def endpoints_listed(self, entries: Iterable[EndpointRow], complete: bool) -> None:
         """What discovery told; `complete`: backends that are not among them are gone."""
@@ -198,7 +200,7 @@
             if len(self.customers) >= self.sweep_at:  # they would fill the memory in the end
                 may_forget = self.gateway.may_forget
                 self.customers = {k: known for k, known in self.customers.items() if not may_forget(known)}
-                self.sweep_at = max(MIN_SWEEP, 2 * len(self.customers))
+                self.sweep_at = max(MIN_SWEEP_SIZE, 2 * len(self.customers))
             spread = spread or self.settings["gateways"]
             customer = self.customers[plan, name] = CustomerState(name, self.plans[plan], spread)
         return customer
--- a/kestrelbend/gateway/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -126,12 +126,12 @@
 
     inv: Invocation
     backend: BackendState
-    sent: int
+    sent_at: int
     deadline: int
     number: int
     begin_by: int  # no first byte of it may go from then on
     result: Result | None = None
-    took: int = 0
+    duration: int = 0
     overdue: bool = False  # out past the latency objective
 
     @property
@@ -146,7 +146,7 @@
 
     op: Operation
     customer: CustomerState
-    arrived: int
+    arrived_at: int
     deadline: int  # the client gives up then
     units: float  # a guess where units are settled after the answer
     retry: bool  # marked by the client as a repeat
@@ -225,7 +225,7 @@
     """The reply to a `Probe`; `load` is the backend's report, None if it told none."""
 
     result: Result
-    took: int
+    duration: int
     load: dict[str, float] | None
 
 
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -149,7 +149,7 @@
         """Put the one event of a delivery, with the time that it took: until `at`, or until now."""
         self.running.pop(d)
         counters["deliveries_" + result.name.lower()] += 1
-        took = (self.clock() if at is None else at) - d.sent
+        took = (self.clock() if at is None else at) - d.sent_at
         self.queue.put_nowait(DeliveryEnded(d, result, took, answer, load, actual, used))
 
     def cancel(self, d: Delivery) -> None:
@@ -188,7 +188,7 @@
             result = self._failure(error, sending)
         finally:
             link = self.links.get(d.backend)
-            if answer is None and d.overdue and link is not None and link.heard < d.sent:
+            if answer is None and d.overdue and link is not None and link.heard < d.sent_at:
                 # Silent for all that time: other connections kept from before would each cost a delivery.
                 self.renew(d.backend)
             at = None if answer is None else sending.ended_at()
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -206,7 +206,7 @@
         if delivery.inv.done or delivery.inv not in self.requests:
             self.delivery_ended(delivery, Result.VOID, 0, False, None, 0)
         else:
-            delivery.sent = self.gateway.now  # their time is not the backend's
+            delivery.sent_at = self.gateway.now  # their time is not the backend's
             self.backend_client.deliver(delivery, self.requests[delivery.inv])
 
     def on_delivery_not_sent(self, event: events.DeliveryNotSent) -> None:
--- a/kestrelbend/gateway/simulator_adapter/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -157,7 +157,7 @@
         delivery_number: int,
         _backend: int | None,
         result: i.Result,
-        took: int,
+        duration: int,
         final: bool,
         used: int,
         actual: int,
@@ -171,7 +171,7 @@
         if delivery.result is not None:
             return
         used_fraction = (used - 1) / 100 if used else None  # 1 more than the percent, so that 0 is none told
-        self.delivery_ended(delivery, result, took, final, self._load_report(load), actual, used_fraction)
+        self.delivery_ended(delivery, result, duration, final, self._load_report(load), actual, used_fraction)
 
     def _stream_began(self, number: int, _backend: int | None, _took: int, _delivery_number: int) -> None:
         """The first byte of a streamed answer went to the client: it is its final answer."""
@@ -182,12 +182,12 @@
             self.resume(inv)
 
     def _backend_probed(
-        self, number: int, result: i.Result, took: int, load: list[float | None] | None
+        self, number: int, result: i.Result, duration: int, load: list[float | None] | None
     ) -> None:
         """The reply to a probe; of a backend that was never listed nobody waits for one."""
         backend = self.backends.get(number)
         if backend is not None:
-            self.probed(backend, result, took, self._load_report(load))
+            self.probed(backend, result, duration, self._load_report(load))
 
     def _client_withdrew(self, number: int) -> None:
         inv = self.invs.get(number)
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -316,7 +316,7 @@
     def returned(self, number, d):
         chance = self.chance
         result = Result.SUCCEEDED if chance.random() < 0.8 else chance.choice(list(Result))
-        took = min(self.front.now - d.sent, chance.choice([20, 200, 900]) * MS)
+        took = min(self.front.now - d.sent_at, chance.choice([20, 200, 900]) * MS)
         load = [float(chance.random() < 0.2), 1.0, chance.random()] if chance.random() < 0.3 else None
         used, actual = chance.choice([0, 0, 50, 300]), chance.choice([0, 0, 2, 5])
         ended = result is Result.SUCCEEDED
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -300,7 +300,7 @@
         f.accept(n)
     f.accept(50)
     assert len(f.take("pass_on")) == room and not f.gateway.credits.available()
-    while f.now < f.inst.invs[0].arrived + 1000 * MS:
+    while f.now < f.inst.invs[0].arrived_at + 1000 * MS:
         f.pass_time(1000)
     assert f.gateway.credits.available() and sum(t.in_flight for t in f.gateway.pool.order) == 0
     f.returned(0, 0, Result.SUCCEEDED, took=1500)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -244,12 +244,12 @@
             time.sleep(0.2)
             stalled = world.owner.clock()
             await world.until(lambda: len(world.owner.requests) == 2)
-            assert max(inv.arrived for inv in world.owner.requests) < stalled - 150_000
+            assert max(inv.arrived_at for inv in world.owner.requests) < stalled - 150_000
             world.owner.alarm_lateness, world.owner.gateway.now = 0, world.owner.clock()
             world.owner.on_alarm_due(AlarmDue(Task(None), world.owner.gateway.now - 80_000))
             request = asked_for(world.owner, "c3")
             world.owner.on_request_taken(RequestTaken(request))
-            assert request.inv.deadline - request.inv.arrived == 920_000
+            assert request.inv.deadline - request.inv.arrived_at == 920_000
             writer.close()
             assert (await out)[0] in (429, 502)
             service, world.counter.play = world.owner.counter, ["stall"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,7 +52,7 @@
         if ran and op.effect is RepeatEffect.NON_IDEMPOTENT:
             return False
         if ran and op.effect is RepeatEffect.TOKENED:
-            if any(now >= d.sent + op.token_lifetime - s["tick"] for d in ran):
+            if any(now >= d.sent_at + op.token_lifetime - s["tick"] for d in ran):
                 return False
             if op.scope is TokenScope.ZONE and any(d.backend.zone != target.zone for d in ran):
                 return False
@@ -109,7 +109,7 @@
                     assert (line[3] != "-") == front.inst.settings["may_advise"]
             if line[0] == "pass_on":
                 inv = invs[int(line[2])]
-                d = next(d for d in inv.deliveries if d.sent == front.now and d not in seen)
+                d = next(d for d in inv.deliveries if d.sent_at == front.now and d not in seen)
                 seen.add(d)
                 at, later = inv.deliveries.index(d), inv.deliveries
                 done, inv.done = inv.done, line[2] in answered
