--- a/kestrelbend/__init__.py
+++ b/kestrelbend/__init__.py
@@ -1,1 +1,1 @@
-"""kestrelbend: a quota gateway that keeps each customer of a shared back end to its plan."""
+"""kestrelbend: a quota gateway that enforces each customer's plan in front of a shared backend."""
--- a/kestrelbend/gateway/__init__.py
+++ b/kestrelbend/gateway/__init__.py
@@ -1,6 +1,7 @@
-"""The gateway in service: a quota gateway in front of a shared back end, one among many.
+"""The quota gateway: one of many instances that protect a shared backend.
 
-`decisions/` decides without I/O; `hosting` runs it for any front end; `net/` carries it on sockets and
-`simulator_adapter/` on a simulator's wire; `settings/` reads what it is told.  `external_authorization/`,
-`gossip/`, `singleton_tasks/` and `usage_sharing/` are optional parts.
+`decisions/` holds the decision logic and does no I/O.  `hosting` runs it for any front end: `net/` is the
+front end on sockets, `simulator_adapter/` the one that speaks the simulator's line protocol.  `routing/`
+chooses which backends an instance uses, and `settings/` reads the configuration.  `external_authorization/`,
+`gossip/`, `singleton_tasks/` and `usage_sharing/` are optional components.
 """
--- a/kestrelbend/gateway/decisions/admission.py
+++ b/kestrelbend/gateway/decisions/admission.py
@@ -15,7 +15,7 @@
 from .retry_budget import RetryBudget
 from .sampling import CounterSampling
 
-SPARE_CREDITS = 1 / 4  # of all credits that must be free for an invocation beyond its quota
+MIN_FREE_FRACTION = 1 / 4  # of all credits that must be free for an invocation beyond its quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,16 +42,16 @@
     def admit(self, inv: Invocation) -> Effects[int | None]:
         """None admits it; else the microseconds after which its client should come back."""
         rejection = yield from self._rejection(inv)
-        if rejection is None or rejection.beyond_quota and self._pays_beyond_quota(inv):
+        if rejection is None or rejection.beyond_quota and self._is_profitable_beyond_quota(inv):
             return None
         return rejection.retry_after
 
-    def _pays_beyond_quota(self, inv: Invocation) -> bool:
+    def _is_profitable_beyond_quota(self, inv: Invocation) -> bool:
         """Where the plan earns more by it than it costs, and enough is free."""
         plan = inv.customer.plan
         if plan.excess_value <= plan.excess_cost or self.credits.backlog.waiting:
             return False
-        return self.credits.available() > self.credits.capacity() * SPARE_CREDITS
+        return self.credits.available() > self.credits.capacity() * MIN_FREE_FRACTION
 
     def _beyond_quota(self, inv: Invocation, seconds: float = 0.0) -> Rejection:
         return Rejection(self.budget.retry_after(inv, seconds), True)
@@ -66,7 +66,7 @@
         if plan.limit_rate and (missing := inv.units - self.limits.available(customer)) > 0:
             seconds = missing * customer.spread / plan.limit_rate
             return Rejection(self.budget.retry_after(inv, seconds), False)
-        self.quota.observe(inv)
+        self.quota.observe_request(inv)
         if self.counter.call_fraction < 1 and self.quota.has_many_gateways(customer):
             fits = yield from self.sampling.admits(inv)
             return None if fits else self._beyond_quota(inv)
@@ -92,18 +92,18 @@
             units = math.ceil(inv.units) if plan.max_in_flight else inv.units
         inv.counted = units
         inv.window = self.quota.enter_window(customer)
-        if self._total_matters(inv) and self.counter.may_call(inv):
+        if self._needs_total(inv) and self.counter.may_call(inv):
             customer.calls_in_flight += 1
             yield from self.quota.report(customer, units, 1)
             customer.calls_in_flight -= 1
-            return (yield from self._judge_total(inv))
+            return (yield from self._check_total(inv))
         if plan.max_in_flight and customer.in_flight >= local_cap(customer):
             inv.counted = None  # no total: keep to a part of the cap
             return self._beyond_quota(inv)
-        self.quota.assume(customer, units, 1)  # no call: admitted, but so that a flood still ends
+        self.quota.count_locally(customer, units, 1)  # no call: admitted, but so that a flood still ends
         return None
 
-    def _total_matters(self, inv: Invocation) -> bool:
+    def _needs_total(self, inv: Invocation) -> bool:
         """A crowded counter rejects calls blindly; spare it those for whom the total matters least."""
         customer, plan = inv.customer, inv.customer.plan
         if self.context.now < customer.no_call_before:
@@ -115,7 +115,7 @@
         remaining = customer.remaining
         return remaining is None or remaining - inv.units < self.counter.call_fraction * plan.burst
 
-    def _judge_total(self, inv: Invocation) -> Effects[Rejection | None]:
+    def _check_total(self, inv: Invocation) -> Effects[Rejection | None]:
         customer = inv.customer
         if self.quota.shortage(customer, 0.0) > 0:
             yield from self.quota.refund(inv)
--- a/kestrelbend/gateway/decisions/attempts.py
+++ b/kestrelbend/gateway/decisions/attempts.py
@@ -47,7 +47,7 @@
                     until = min(until, d.sent_at + lifetime)
         return until
 
-    def may_go(self, inv: Invocation) -> bool:
+    def may_deliver(self, inv: Invocation) -> bool:
         """Rules 1, 2 and 5, without a backend in view."""
         if inv.done or self.context.now >= inv.deadline or not self.may_repeat(inv):
             return False
@@ -55,18 +55,18 @@
             return True
         return self.limits.available(inv.customer) >= inv.units
 
-    def may_take(self, inv: Invocation, backend: BackendState) -> bool:
+    def may_deliver_to(self, inv: Invocation, backend: BackendState) -> bool:
         """Rules 2, 3 and 4 for one backend."""
         if backend.state is not EndpointState.READY:
             return False
         if inv.deliveries and inv.op.effect is RepeatEffect.TOKENED and inv.op.scope is not TokenScope.ALL:
             for d in inv.deliveries:
-                if d.may_have_run and not self._knows_token_of(d, inv.op.scope, backend):
+                if d.may_have_run and not self._shares_tokens(d, inv.op.scope, backend):
                     return False
         return not self.slow_start.is_warming_up(backend) or self.slow_start.may_send(backend)
 
     @staticmethod
-    def _knows_token_of(delivery: Delivery, scope: TokenScope, backend: BackendState) -> bool:
+    def _shares_tokens(delivery: Delivery, scope: TokenScope, backend: BackendState) -> bool:
         """Whether a backend drops the repeat of a delivery."""
         if scope is TokenScope.ZONE:
             return delivery.backend.zone == backend.zone
@@ -74,4 +74,4 @@
 
     def may_send(self, inv: Invocation, backend: BackendState) -> bool:
         """All rules at once."""
-        return self.may_go(inv) and self.may_take(inv, backend)
+        return self.may_deliver(inv) and self.may_deliver_to(inv, backend)
--- a/kestrelbend/gateway/decisions/background.py
+++ b/kestrelbend/gateway/decisions/background.py
@@ -11,7 +11,7 @@
 from .state import BackendState
 
 PROBE_INTERVAL = SECOND // 2  # of a backend that warms up, by all gateways together
-SATURATED_BUSY = 0.9  # the busy share that leaves no capacity
+SATURATED_BUSY_FRACTION = 0.9  # the busy share that leaves no capacity
 CHECKS_PER_DEADLINE = 8  # looks at the subscription in the time within which discovery is to be asked
 
 
@@ -49,7 +49,7 @@
     def load_reported(self, backend: BackendState, load: dict[str, float] | None) -> None:
         """A backend told of its load (None: it did not)."""
         if load:
-            backend.saturated = load.get("queued", 0) >= 1 or load.get("busy", 0) > SATURATED_BUSY
+            backend.saturated = load.get("queued", 0) >= 1 or load.get("busy", 0) > SATURATED_BUSY_FRACTION
 
     def _keep_subscribed(self) -> Effects[None]:
         while True:
--- a/kestrelbend/gateway/decisions/delivery.py
+++ b/kestrelbend/gateway/decisions/delivery.py
@@ -17,7 +17,7 @@
 from .state import BackendState
 
 MAX_WAIT_FRACTION = 0.2  # of the latency target to wait for a credit
-TICKS_TO_ANSWER = 2  # ticks before the client's time at which it gets its answer (rule 1)
+ANSWER_MARGIN_TICKS = 2  # ticks before the client's time at which it gets its answer (rule 1)
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,7 @@
     def serve(self, inv: Invocation) -> Effects[None]:
         """Deliver it until it is done or its time is up."""
         target = inv.op.objective
-        give_up = inv.deadline - TICKS_TO_ANSWER * self.context.settings.tick
+        give_up = inv.deadline - ANSWER_MARGIN_TICKS * self.context.settings.tick
         in_time = inv.arrived_at + target if not inv.op.late_value else give_up  # later answers earn nothing
         while not inv.done:
             in_flight = [d for d in inv.deliveries if d.result is None]
@@ -45,7 +45,7 @@
                 break
             for d in in_flight:
                 if not d.overdue and self.context.now >= d.sent_at + target:
-                    yield from self.outcomes.overdue(d)
+                    yield from self.outcomes.mark_overdue(d)
             if in_flight:
                 due = [d.sent_at + target for d in in_flight if not d.overdue]
                 yield Pause(min(at for at in (give_up, in_time, *due) if at > self.context.now))
--- a/kestrelbend/gateway/decisions/ejection.py
+++ b/kestrelbend/gateway/decisions/ejection.py
@@ -62,7 +62,7 @@
         own = max(rates.get(inv.op, 0.0), rates.get(inv.customer.plan, 0.0))
         return max(0.0, min(MAX_OWN_RATE, own - common))
 
-    def judge(self, backend: BackendState, result: Result, known: float) -> Effects[None]:
+    def add_evidence(self, backend: BackendState, result: Result, known: float) -> Effects[None]:
         """Add an outcome to the evidence; `known`: the failure rate that is known of what was asked there.
 
         Refused connections are never expected.
@@ -80,7 +80,7 @@
             if not backend.failure_evidence:
                 backend.ejections = 0
         if backend.failure_evidence >= EVIDENCE_LIMIT and backend.ejected_until <= self.context.now:
-            ejected = self.pool.ejected() + 1
+            ejected = self.pool.ejected_count() + 1
             allowed = max(1, MAX_EJECTED_FRACTION * self.pool.nominal_size)
             if result is Result.UNREACHABLE or ejected <= allowed:
                 self._eject(backend)
--- a/kestrelbend/gateway/decisions/outcomes.py
+++ b/kestrelbend/gateway/decisions/outcomes.py
@@ -47,7 +47,7 @@
         self.background.load_reported(backend, load)
         if used is not None and customer.plan.rate:
             demand = used * customer.plan.rate / customer.admitted_fraction()
-            self.sampling.learn(customer, demand, self.context.settings.usage_period / SECOND)
+            self.sampling.update_demand(customer, demand, self.context.settings.usage_period / SECOND)
         if not delivery.overdue:
             self.pool.return_credit(backend)
         assert result is not None  # the host sets it before
@@ -55,20 +55,20 @@
         if result is Result.SUCCEEDED:
             self._succeeded(delivery, delivery.duration / target)
             self.quota.correct(inv, actual)
-            yield from self.ejection.judge(backend, result, known)
+            yield from self.ejection.add_evidence(backend, result, known)
         elif not delivery.overdue and result not in (Result.CANCELLED, Result.VOID):
             self.credits.adjust(backend, -ERROR_LOSS * (1 - known))
             if result is not Result.REJECTED:
-                yield from self.ejection.judge(backend, result, known)
+                yield from self.ejection.add_evidence(backend, result, known)
         self.credits.start_cooldown(min(delivery.duration, target))
-        yield from self.wake()
+        yield from self.wake_waiting()
 
     def _succeeded(self, delivery: Delivery, fraction: float) -> None:
         """`fraction`: its answer time over the latency target."""
         backend, credits = delivery.backend, self.credits
         backend.latencies.add(fraction)
         credits.latencies.add(fraction)
-        self.slow_start.answered(backend)
+        self.slow_start.record_answer(backend)
         if fraction > SLOW_FRACTION:
             if not delivery.overdue:
                 credits.adjust(backend, -SLOW_LOSS)
@@ -78,7 +78,7 @@
         ):
             credits.adjust(backend, FAST_GAIN)
 
-    def overdue(self, delivery: Delivery) -> Effects[None]:
+    def mark_overdue(self, delivery: Delivery) -> Effects[None]:
         """Past its latency target a delivery gives its credit back, as a slow answer would: else long work,
         or a silent backend, holds all credits until the client gives up."""
         backend = delivery.backend
@@ -87,10 +87,10 @@
         self.credits.adjust(backend, -SLOW_LOSS)
         self.credits.start_cooldown(delivery.inv.op.objective)
         known = self.ejection.record(backend, delivery.inv, Result.TIMED_OUT)
-        yield from self.ejection.judge(backend, Result.TIMED_OUT, known)
-        yield from self.wake()
+        yield from self.ejection.add_evidence(backend, Result.TIMED_OUT, known)
+        yield from self.wake_waiting()
 
-    def wake(self) -> Effects[None]:
+    def wake_waiting(self) -> Effects[None]:
         """Resume as many of those that wait as there are free credits."""
         for waiter in self.credits.backlog.waiting[: self.credits.available()]:
             yield Wake(waiter)
--- a/kestrelbend/gateway/decisions/quota.py
+++ b/kestrelbend/gateway/decisions/quota.py
@@ -17,11 +17,11 @@
 MAX_LIFETIME = 60 * SECOND  # the counter service forgets a number by then
 CAP_WINDOW = 10 * SECOND  # window under a concurrency cap
 IN_FLIGHT_PER_UNIT = 1000  # deliveries in flight ride on a total as thousandths of a unit
-EXACT_TOTAL = 1e7  # the counter service gives seven digits
+MAX_EXACT_TOTAL = 1e7  # the counter service gives seven digits
 MANY_GATEWAYS_CAP_FACTOR = 4  # spread over a cap from which a cap is not counted
 MAX_CALL_DELAY = SECOND  # after a call that the service rejected, when no other is let through
 UNITS_SMOOTHING = 0.01  # weight of one invocation in the mean units
-KEY_MASK = 0xFFFFFFFF  # customers are told apart by 32 bits among the gateways
+USAGE_KEY_MASK = 0xFFFFFFFF  # customers are told apart by 32 bits among the gateways
 
 
 def window_length(plan: Plan) -> int:
@@ -37,7 +37,7 @@
 
 def counts_in_flight(plan: Plan) -> bool:
     """Whether a total has digits left for deliveries in flight."""
-    fits = plan.burst * (WINDOW_BURSTS + 1) * IN_FLIGHT_PER_UNIT < EXACT_TOTAL
+    fits = plan.burst * (WINDOW_BURSTS + 1) * IN_FLIGHT_PER_UNIT < MAX_EXACT_TOTAL
     return bool(plan.max_in_flight) and fits and 2 * plan.max_in_flight < IN_FLIGHT_PER_UNIT
 
 
@@ -49,7 +49,7 @@
 def usage_key(customer: CustomerState) -> int:
     """The customer's key among the gateways."""
     if customer.usage_key is None:
-        customer.usage_key = stable_hash(f"{customer.plan.name} {customer.name}") & KEY_MASK
+        customer.usage_key = stable_hash(f"{customer.plan.name} {customer.name}") & USAGE_KEY_MASK
     return customer.usage_key
 
 
@@ -61,7 +61,7 @@
     counter: CounterCalls
     mean_units: float = 1.0  # of an invocation
 
-    def observe(self, inv: Invocation) -> None:
+    def observe_request(self, inv: Invocation) -> None:
         """Note an invocation that asks for its quota, whatever becomes of it."""
         plan = inv.customer.plan
         self.mean_units += UNITS_SMOOTHING * (inv.units - self.mean_units)
@@ -115,23 +115,23 @@
             customer.total_in_flight = thousandths - whole_units * IN_FLIGHT_PER_UNIT
             total = whole_units
         if window == customer.window:
-            self._total_seen(customer, total, units, unreported)
+            self._apply_total(customer, total, units, unreported)
 
     def _report_failed(
         self, customer: CustomerState, reply: Counted, units: float, unreported: float, in_flight: int
     ) -> None:
         if reply.result is Result.TIMED_OUT:  # it may have counted: take it so, the next total tells
             customer.total += units + unreported
-            self.assume(customer, units, 0)
+            self.count_locally(customer, units, 0)
         else:
             customer.unreported += unreported
-            self.assume(customer, units, in_flight)
+            self.count_locally(customer, units, in_flight)
             delay = int((1 - self.counter.call_fraction) * MAX_CALL_DELAY)
             customer.no_call_before = self.context.now + delay
         known = 0 if self.counter.is_silent() else customer.total_in_flight
         customer.total_in_flight = max(customer.in_flight + 1, known)
 
-    def _total_seen(self, customer: CustomerState, total: float, units: float, unreported: float) -> None:
+    def _apply_total(self, customer: CustomerState, total: float, units: float, unreported: float) -> None:
         now, plan = self.context.now, customer.plan
         if customer.remaining is None:
             length = window_length(plan)
@@ -149,7 +149,7 @@
         customer.total = total
         customer.assumed_elsewhere = 0.0
 
-    def assume(self, customer: CustomerState, units: float, in_flight: int) -> None:
+    def count_locally(self, customer: CustomerState, units: float, in_flight: int) -> None:
         """Without a total, the customer's other gateways are taken to admit as much as this one."""
         customer.unreported += units
         customer.unreported_in_flight += in_flight
--- a/kestrelbend/gateway/decisions/rate_limits.py
+++ b/kestrelbend/gateway/decisions/rate_limits.py
@@ -16,7 +16,7 @@
 from .context import SECOND, Context
 from .state import CustomerState
 
-MAX_UNEVENNESS = 4  # units that turns may be uneven by, of the limit's burst or within its slack
+MAX_IMBALANCE = 4  # units that turns may be uneven by, of the limit's burst or within its slack
 
 
 @dataclass(slots=True, eq=False)
@@ -36,8 +36,8 @@
         allocated = self.allocated(customer, now)
         if customer.limit_allocated is None:
             customer.limit_allocated = self.allocated(customer, self.context.started_at)
-        uneven = min(MAX_UNEVENNESS, customer.spread - 1) - plan.limit_slack
-        burst = max(min(1.0, plan.limit_burst), plan.limit_burst - max(0.0, uneven))
+        imbalance = min(MAX_IMBALANCE, customer.spread - 1) - plan.limit_slack
+        burst = max(min(1.0, plan.limit_burst), plan.limit_burst - max(0.0, imbalance))
         kept = allocated - self.allocated(customer, now - int(burst / plan.limit_rate * SECOND))
         customer.limit_units = min(kept, customer.limit_units + allocated - customer.limit_allocated)
         customer.limit_allocated = allocated
--- a/kestrelbend/gateway/decisions/sampling.py
+++ b/kestrelbend/gateway/decisions/sampling.py
@@ -20,7 +20,7 @@
 
 SAMPLE_FRACTION = 0.1  # of the burst that a sampled call stands for, at half of the calls
 UNKNOWN_CUSTOMER_FACTOR = 3.0  # so many times as often for a customer whose demand is not known
-SHORT_CUSTOMER_FACTOR = 2.0  # and for one whose demand is over its rate
+OVER_RATE_FACTOR = 2.0  # and for one whose demand is over its rate
 INITIAL_DEMAND = 1.0  # of its rate, for a customer not met before
 DEMAND_MEMORY = 0.6  # in times that the rate takes to fill the burst: the weight of what was known before
 MIN_USAGE_SHARE = 0.01
@@ -69,7 +69,7 @@
         if inv.customer.demand is None:
             factor = UNKNOWN_CUSTOMER_FACTOR
         elif fraction < 1:
-            factor = SHORT_CUSTOMER_FACTOR
+            factor = OVER_RATE_FACTOR
         return min(1.0, factor * inv.units / units)
 
     def _admits_by_usage(self, inv: Invocation, shared: QuotaShare) -> Effects[bool]:
@@ -109,12 +109,12 @@
             return None
         seconds = max(1, context.now - window * length) / SECOND
         total = reply.total - added + inv.units
-        self.learn(customer, total / seconds, seconds)
+        self.update_demand(customer, total / seconds, seconds)
         # A customer that was short before is taken to have begun this window short.
         used, refill = total - plan.burst * fraction, plan.rate * seconds
         return used <= refill or context.random.random() * used * fraction < refill
 
-    def learn(self, customer: CustomerState, demand: float, seconds: float) -> None:
+    def update_demand(self, customer: CustomerState, demand: float, seconds: float) -> None:
         """A demand in units a second, as seen over so many seconds, beside what was known of it."""
         plan = customer.plan
         known = customer.demand or INITIAL_DEMAND * plan.rate
--- a/kestrelbend/gateway/decisions/selection.py
+++ b/kestrelbend/gateway/decisions/selection.py
@@ -39,7 +39,7 @@
 
     def pick(self, inv: Invocation) -> BackendState | None:
         """The backend with the lowest score that may take it; None while there is none."""
-        if not self.credits.available() or not self.rules.may_go(inv):
+        if not self.credits.available() or not self.rules.may_deliver(inv):
             return None
         self.slow_start.selections += 1
         tried = {d.backend for d in inv.deliveries}
@@ -49,7 +49,7 @@
         best, lowest = None, math.inf
         for backend in self.pool.candidates(random):
             in_flight = backend.in_flight
-            if in_flight >= 1.0 and in_flight >= backend.capacity or not rules.may_take(inv, backend):
+            if in_flight >= 1.0 and in_flight >= backend.capacity or not rules.may_deliver_to(inv, backend):
                 continue
             score = (in_flight + 1) * backend.latencies.mean(usual) / backend.weight
             score *= MIN_JITTER + JITTER_SPAN * random.random()
@@ -68,7 +68,7 @@
     def _beyond_pool(self, inv: Invocation) -> BackendState | None:
         """No member can take it: the first of all backends in this gateway's order that can."""
         for backend in self.pool.order:
-            if backend.ejected_until > self.context.now or not self.rules.may_take(inv, backend):
+            if backend.ejected_until > self.context.now or not self.rules.may_deliver_to(inv, backend):
                 continue
             if has_credit(backend):
                 return backend
--- a/kestrelbend/gateway/decisions/slow_start.py
+++ b/kestrelbend/gateway/decisions/slow_start.py
@@ -18,7 +18,7 @@
 )
 DRAWN_FRACTION = 0.5  # where that is less than one delivery and drawn for each selection
 SLOTS_PER_SPAN = 4
-PACE_MEMORY = 10 * SECOND  # answers and selections are halved after so long
+HALVING_INTERVAL = 10 * SECOND  # answers and selections are halved after so long
 
 
 @dataclass(slots=True, eq=False)
@@ -48,12 +48,12 @@
             grown = max(0, self.context.now - backend.started) / settings.warm_up_time
         return settings.initial_capacity + (1 - settings.initial_capacity) * grown
 
-    def answered(self, backend: BackendState) -> None:
+    def record_answer(self, backend: BackendState) -> None:
         """A backend answered this gateway; warm ones set the pace."""
         if self.is_warming_up(backend):
             return
         self.warm_answers += 1
-        if self.context.now - self.counted_from > PACE_MEMORY:
+        if self.context.now - self.counted_from > HALVING_INTERVAL:
             self.warm_answers /= 2
             self.selections /= 2
             self.counted_from = (self.counted_from + self.context.now) // 2
--- a/kestrelbend/gateway/errors.py
+++ b/kestrelbend/gateway/errors.py
@@ -1,12 +1,12 @@
-"""The base of the typed errors of the gateway in service (the tier's is `tier/errors.py`)."""
+"""Base class of the gateway's exceptions; `tier/errors.py` has the one of the serving tier."""
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """An error of the gateway in service; its text says what went wrong where, and what is expected.
+    """An error of the gateway; its text says what went wrong, where, and what was expected.
 
-    `code` names the kind of error for machines; it does not change once it was given out.
+    `code` is a machine-readable identifier of the kind of error; it is stable once released.
     """
 
     code: str = "gateway"
--- a/kestrelbend/gateway/hosting.py
+++ b/kestrelbend/gateway/hosting.py
@@ -1,10 +1,11 @@
-"""Runs the decisions' generators; what every front end shares.
+"""Runs the generators of the gateway's decisions; shared by all front ends.
 
-A front end (the gateway in service, the simulator's adapter, the emulator) derives from `Host`, turns its
-protocol's ids into objects before it calls in here, and carries out each effect in the method of that name.
+A front end (the network gateway, the simulator adapter, the emulator) derives from `Host`.  It translates the
+ids of its protocol into objects before it calls the event methods, and implements one method per effect.
 
-Invariant: one event is worked on at a time, and `Gateway.now` is set before it.  A generator is resumed only
-by what it waits for: its alarm, the end of one of its deliveries, the reply to its counter call or its probe.
+Invariant: events are handled one at a time, and `Gateway.now` is set before each.  A generator is resumed
+only by what it waits for: its timer, the end of one of its deliveries, or the reply to its counter call or
+its probe.
 """
 
 from __future__ import annotations
@@ -17,51 +18,49 @@
 from .decisions import BackendState, CustomerState, Gateway
 from .keys import stable_hash
 
-MIN_SWEEP_SIZE = 1024  # customers known before those that may be forgotten are first looked for
+MIN_SWEEP_SIZE = 1024  # customers held before the first sweep for those that can be dropped
 
 EndpointRow: TypeAlias = "tuple[Any, str, str, int, i.EndpointState, float, int | None]"
-"""A backend as discovery tells it: (id, zone, kind, group, state, weight, start in microseconds or None)."""
+"""A backend as discovery reports it: (id, zone, kind, group, state, weight, start time in us or None)."""
 
 
 class Task:
-    """A running generator and the handle of the alarm that it waits for, if any."""
+    """A running generator and the handle of the timer that it waits for, if any."""
 
     __slots__ = ("generator", "inv", "timer")
 
     def __init__(self, generator: i.Effects[Any], inv: i.Invocation | None = None) -> None:
         self.generator = generator
-        self.inv = inv  # that it serves; None for the generators beside invocations
+        self.inv = inv  # the invocation it serves; None for background generators
         self.timer: Any = None
 
 
 class Host:
-    """One gateway: its decisions, its objects by the ids of the other side, its running tasks."""
+    """One gateway instance: its decisions, its objects by their external ids, and its running tasks."""
 
-    gateway_type: type[Gateway] = Gateway  # the emulator compares with others
+    gateway_type: type[Gateway] = Gateway  # the emulator substitutes other implementations to compare
 
     def __init__(self, settings: Mapping[str, Any], seed: int | str, now: int) -> None:
         self.settings = settings
         self.gateway = self.gateway_type(settings, seed, now)
         self.operations: dict[str, i.Operation] = {op.name: op for op in settings["operations"]}
         self.plans: dict[str, i.Plan] = {plan.name: plan for plan in settings["plans"]}
-        self.backends: dict[Hashable, BackendState] = {}  # by id, also those no longer listed
+        self.backends: dict[Hashable, BackendState] = {}  # by id, including those no longer listed
         self.backend_ids: dict[BackendState, Any] = {}
-        self.listed: dict[Hashable, BackendState] = {}  # what discovery lists, in any state
-        self.customers: dict[tuple[str, str], CustomerState] = {}  # by plan and name
+        self.listed: dict[Hashable, BackendState] = {}  # those that discovery lists, in any state
+        self.customers: dict[tuple[str, str], CustomerState] = {}  # by plan and customer name
         self.sweep_at = MIN_SWEEP_SIZE
         self.tasks: dict[i.Invocation, Task] = {}
-        self.pending_counter_calls: defaultdict[int, deque[Task]] = defaultdict(
-            deque
-        )  # counter calls in flight, by name
+        self.pending_counter_calls: defaultdict[int, deque[Task]] = defaultdict(deque)  # by counter name
         self.pending_probes: defaultdict[i.Backend, deque[Task]] = defaultdict(deque)
 
     def start(self) -> None:
-        """Start the background tasks; once."""
+        """Start the background tasks; call once."""
         for generator in self.gateway.background.tasks():
             self.run(Task(generator))
 
     def run(self, task: Task, value: Any = None) -> None:
-        """Resume a task with the answer to its last effect, until it waits or ends."""
+        """Resume a task with the result of its last effect, and run it until it waits or ends."""
         task.timer = None
         while True:
             try:
@@ -102,19 +101,22 @@
                 case i.Log(text, about):
                     self.log(text, self.backend_ids.get(about, getattr(about, "name", "")))
                 case _:
-                    raise TypeError(f"not an effect: {effect!r}")
+                    raise TypeError(f"unknown effect: {effect!r}")
 
     def resume(self, inv: i.Invocation, value: i.Delivery | None = None) -> None:
-        """Resume an invocation that pauses; one that waits for a count sees `inv.done` by itself."""
+        """Resume an invocation that is paused.
+
+        One that waits for a counter reply is left alone; it checks `inv.done` when the reply arrives.
+        """
         task = self.tasks.get(inv)
         if task is not None and task.timer is not None:
             self.cancel_timer(task.timer)
             self.run(task, value)
 
-    # Events, as the front end tells them.
+    # Events, called by the front end.
 
     def start_invocation(self, inv: i.Invocation) -> None:
-        """A request came in."""
+        """A request arrived."""
         self.tasks[inv] = task = Task(self.gateway.invocation(inv), inv)
         self.run(task)
 
@@ -128,9 +130,9 @@
         actual: float,
         used: float | None = None,
     ) -> None:
-        """A delivery ended after `took` microseconds; `final`: its client has its answer by it.
+        """A delivery ended after `duration` microseconds; `final`: it gave the client its final answer.
 
-        `load`, `actual`, `used`: what the answer tells (`Outcomes.ended`).
+        For `load`, `actual` and `used`, which the answer may carry, see `Outcomes.ended`.
         """
         delivery.result = result
         delivery.duration = duration
@@ -141,13 +143,13 @@
         self.release_if_complete(inv)
 
     def client_disconnected(self, inv: i.Invocation) -> None:
-        """Its client waits no longer."""
+        """The client of an invocation disconnected or gave up."""
         if not inv.done:
             inv.done = True
             self.resume(inv)
 
     def counter_replied(self, name: int, result: i.Result, total: float) -> None:
-        """The reply to a counter call; replies for one name come in the order of the calls."""
+        """A counter call was answered; replies for one name arrive in the order of the calls."""
         if self.pending_counter_calls.get(name):
             task = self.pending_counter_calls[name].popleft()
             if not self.pending_counter_calls[name]:
@@ -157,12 +159,12 @@
     def probed(
         self, backend: i.Backend, result: i.Result, duration: int, load: dict[str, float] | None
     ) -> None:
-        """The reply to a probe, after `took` microseconds."""
+        """A probe ended after `duration` microseconds."""
         if self.pending_probes.get(backend):
             self.run(self.pending_probes[backend].popleft(), i.Probed(result, duration, load))
 
     def endpoints_listed(self, entries: Iterable[EndpointRow], complete: bool) -> None:
-        """What discovery told; `complete`: backends that are not among them are gone."""
+        """Discovery reported backends; `complete`: those not in `entries` no longer exist."""
         if complete:
             for backend in self.listed.values():
                 backend.state = i.EndpointState.GONE
@@ -188,16 +190,16 @@
         return backend
 
     def discovery_failed(self) -> None:
-        """A call to discovery failed, or its watch ended."""
+        """A call to discovery failed, or its watch stream ended."""
         self.gateway.endpoints_changed(list(self.listed.values()), True)
 
-    # Objects.
+    # State lookup.
 
     def customer_state(self, plan: str, name: str, spread: int) -> CustomerState:
-        """What is known of a customer; `spread`: how many gateways it may reach, 0: all."""
+        """The state of a customer, created if new; `spread`: gateways that its requests may reach, 0: all."""
         customer = self.customers.get((plan, name))
         if customer is None:
-            if len(self.customers) >= self.sweep_at:  # they would fill the memory in the end
+            if len(self.customers) >= self.sweep_at:  # bounds memory use
                 may_forget = self.gateway.may_forget
                 self.customers = {k: known for k, known in self.customers.items() if not may_forget(known)}
                 self.sweep_at = max(MIN_SWEEP_SIZE, 2 * len(self.customers))
@@ -206,59 +208,59 @@
         return customer
 
     def _invocation_ended(self, inv: i.Invocation) -> None:
-        """The generator has ended; ids stay while deliveries are in flight."""
+        """The generator of an invocation ended; its ids are kept while deliveries are in flight."""
         if not inv.done:
-            raise RuntimeError("an invocation ended without an answer")
+            raise RuntimeError("the generator of an invocation ended without a final answer")
         self.tasks.pop(inv, None)
         self.release_if_complete(inv)
 
     def release_if_complete(self, inv: i.Invocation) -> None:
-        """Nothing more can come of it: the front end may forget its ids."""
+        """Release an invocation's ids once its generator and all its deliveries have ended."""
         if inv not in self.tasks and all(d.result is not None for d in inv.deliveries):
             self.released(inv)
 
-    # Effects, which the front end carries out.
+    # Effects, implemented by the front end.
 
     def deliver(self, delivery: i.Delivery) -> None:
-        """Send it to its backend; `delivery_ended` tells what became of it."""
+        """Send a delivery to its backend; the front end calls `delivery_ended` when it ends."""
         raise NotImplementedError
 
     def cancel(self, delivery: i.Delivery) -> None:
-        """Stop waiting for it; `delivery_ended` follows."""
+        """Stop waiting for a delivery; `delivery_ended` follows."""
         raise NotImplementedError
 
     def throttle(self, inv: i.Invocation, retry_after: int) -> None:
-        """Answer its client: rejected, to come back after so many microseconds (0: no advice)."""
+        """Answer the client: rejected, retry after `retry_after` microseconds (0: not stated)."""
         raise NotImplementedError
 
     def fail(self, inv: i.Invocation) -> None:
-        """Answer its client: errored."""
+        """Answer the client with an error."""
         raise NotImplementedError
 
     def set_timer(self, task: Task, until: int) -> Any:
-        """Run the task at a time in microseconds; a handle, never None."""
+        """Run the task at `until`, in microseconds; returns a handle, never None."""
         raise NotImplementedError
 
     def cancel_timer(self, timer: Any) -> None:
-        """The task of this handle was resumed by something else."""
+        """Cancel a timer whose task was resumed by another event."""
         raise NotImplementedError
 
     def count(self, name: int, amount: float, lifetime: int) -> None:
-        """Call the counter service; `counter_replied` follows, or its time-out."""
+        """Call the counter service; `counter_replied` follows, also after a timeout."""
         raise NotImplementedError
 
     def probe(self, backend: Any) -> None:
-        """Ask a backend for its load; `probed` follows."""
+        """Request a load report from a backend; `probed` follows."""
         raise NotImplementedError
 
     def subscribe(self) -> None:
-        """Ask discovery for its changes from now on."""
+        """Subscribe to changes at discovery."""
         raise NotImplementedError
 
     def log(self, text: str, about: Any) -> None:
-        """A line for staff about the backend of an id, the customer of a name, or "" for nothing."""
+        """Log a line for operators; `about`: a backend's id, a customer's name, or "" if general."""
         raise NotImplementedError
 
     def released(self, inv: i.Invocation) -> None:
-        """Forget an invocation's ids."""
+        """Drop the ids of an invocation that has completed."""
         raise NotImplementedError
--- a/kestrelbend/gateway/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -1,7 +1,8 @@
-"""Types between the decisions and whatever front end hosts them: facts in, effects and answers out.
+"""Types shared by the gateway's decisions and the front ends that host them.
 
-A host (`kestrelbend.gateway.hosting`) turns its protocol into these objects and resumes the generators of
-`kestrelbend.gateway.decisions`.  Nothing is decided here.  Times are whole microseconds on the host's clock.
+A host (`kestrelbend.gateway.hosting`) translates its protocol into these objects and resumes the generators
+of `kestrelbend.gateway.decisions`, which yield effects for the host to carry out.  This module contains no
+decision logic.  Times and durations are whole microseconds; times are read from the host's clock.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 
 class RepeatEffect(Enum):
-    """What a repeat of an operation may do."""
+    """Whether an operation may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"
+    TOKENED = "tokened"  # backends deduplicate repeats by an idempotency token
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class TokenScope(Enum):
-    """Which backends drop the repeats of a tokened invocation."""
+    """Which backends share the idempotency tokens of an invocation, and so drop its repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,7 +33,7 @@
 
 
 class EndpointState(Enum):
-    """A backend's state, as discovery tells it."""
+    """A backend's state, as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -40,40 +41,40 @@
 
 
 class Result(Enum):
-    """How a delivery, a probe or a call to the counter service ended."""
+    """Outcome of a delivery, a probe or a call to the counter service."""
 
     SUCCEEDED = "succeeded"
     ERRORED = "errored"
-    REJECTED = "rejected"  # turned away unseen
+    REJECTED = "rejected"  # refused without being processed
     TIMED_OUT = "timed out"
-    UNREACHABLE = "unreachable"  # no connection in time
-    BROKEN = "broken"  # connection dropped while out
+    UNREACHABLE = "unreachable"  # no connection was made in time
+    BROKEN = "broken"  # the connection was lost while waiting for the answer
     CANCELLED = "cancelled"
-    VOID = "void"  # never sent
+    VOID = "void"  # not sent at all
 
     @property
     def never_ran(self) -> bool:
-        """Whether the backend certainly did no work for it."""
+        """Whether the backend is known to have done no work for it."""
         return self in (Result.REJECTED, Result.UNREACHABLE, Result.VOID)
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """A kind of invocation, as the settings state it."""
+    """A type of invocation, as configured."""
 
     name: str
     effect: RepeatEffect
     scope: TokenScope
-    token_lifetime: int  # how long backends know a token again, from its first delivery
+    token_lifetime: int  # how long backends remember a token, from its first delivery
     objective: int  # latency target
-    timeout: int  # of the client, at most
-    late_value: float  # part of the billed value left after the objective
+    timeout: int  # the longest a client waits
+    late_value: float  # fraction of the billed value that remains after the objective
     streamed: bool
-    value: float = 1.0  # billed value, before the plan's price
+    value: float = 1.0  # billed value, before multiplication by the plan's price
 
     @property
     def repeats_anywhere(self) -> bool:
-        """Whether any backend may be sent a repeat, whatever became of the attempts before."""
+        """Whether a repeat may go to any backend, whatever the outcome of earlier attempts."""
         return (
             self.effect is RepeatEffect.IDEMPOTENT
             or self.effect is RepeatEffect.TOKENED
@@ -83,60 +84,60 @@
 
 @dataclass(slots=True, eq=False)
 class Plan:
-    """The terms that a customer has bought, as the settings state them."""
+    """The service terms that a customer has bought, as configured."""
 
     name: str
-    rate: float  # units a second; 0: no quota on the rate
+    rate: float  # units per second; 0: no rate quota
     burst: float  # units that may be used at once
-    max_in_flight: int  # deliveries in flight at once; 0: no cap
+    max_in_flight: int  # concurrent deliveries; 0: no cap
     price: float
-    excess_value: float  # part of its value that an invocation beyond the quota earns
-    excess_cost: float  # part of its value that it costs
-    limit_rate: float  # units a second that are never passed; 0: no hard limit
+    excess_value: float  # fraction of its value that an invocation beyond the quota earns
+    excess_cost: float  # fraction of its value that such an invocation costs
+    limit_rate: float  # hard limit in units per second; 0: none
     limit_burst: float
     limit_slack: float
-    number: int = 0  # among the settings' plans
+    number: int = 0  # index in the list of configured plans
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One backend as discovery last described it."""
+    """A backend as discovery last reported it."""
 
     zone: str = ""
     kind: str = ""
     group: int = 0
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started: int | None = None  # latest start; None: long past
-    key: int = 0  # a stable hash of its id: the same at every gateway
+    started: int | None = None  # time of the latest start; None: long ago
+    key: int = 0  # stable hash of its id, equal at every gateway
 
 
 @dataclass(slots=True, eq=False)
 class Customer:
-    """A customer of a plan."""
+    """A customer and its plan."""
 
     name: str
     plan: Plan
-    spread: int  # how many gateways its invocations may reach
+    spread: int  # number of gateways that its invocations may reach
 
 
 @dataclass(slots=True, eq=False)
 class Delivery:
-    """One attempt of an invocation at one backend."""
+    """One attempt to have an invocation executed by one backend."""
 
     inv: Invocation
     backend: BackendState
     sent_at: int
     deadline: int
     number: int
-    begin_by: int  # no first byte of it may go from then on
+    begin_by: int  # its first byte must be sent before this time
     result: Result | None = None
     duration: int = 0
-    overdue: bool = False  # out past the latency objective
+    overdue: bool = False  # unanswered beyond the latency objective
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a backend has, or may have, worked on it; true while it is in flight."""
+        """Whether the backend has or may have executed it; true while it is in flight."""
         return self.result is None or not self.result.never_ran
 
 
@@ -147,36 +148,36 @@
     op: Operation
     customer: CustomerState
     arrived_at: int
-    deadline: int  # the client gives up then
-    units: float  # a guess where units are settled after the answer
-    retry: bool  # marked by the client as a repeat
-    done: bool = False  # has its final answer, or its client left, or its stream began
+    deadline: int  # when the client gives up
+    units: float  # an estimate where the answer states the actual units
+    retry: bool  # the client marked it as a retry
+    done: bool = False  # answered, abandoned by its client, or its stream has begun
     streaming: bool = False
-    counted: float | None = None  # its units in the customer's total, and the window of that total
+    counted: float | None = None  # units added to the customer's total in quota window `window`; None: none
     window: int = 0
     deliveries: list[Delivery] = field(default_factory=list)
 
 
-# Effects: what a generator of the module yields.
+# Effects, yielded by the generators of the decisions.
 
 
 @dataclass(slots=True)
 class Deliver:
-    """Start a delivery; resumed at once."""
+    """Start a delivery; the generator is resumed at once."""
 
     delivery: Delivery
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for a delivery; resumed at once."""
+    """Stop waiting for a delivery; the generator is resumed at once."""
 
     delivery: Delivery
 
 
 @dataclass(slots=True)
 class Throttle:
-    """Final answer: refused, harmless to repeat; resumed at once."""
+    """Give the final answer: rejected, safe to retry; the generator is resumed at once."""
 
     inv: Invocation
     retry_after: int
@@ -184,21 +185,25 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: errored, no promise; resumed at once."""
+    """Give the final answer: error, may have been executed; the generator is resumed at once."""
 
     inv: Invocation
 
 
 @dataclass(slots=True)
 class Pause:
-    """Resumed with a Delivery of this invocation that ended, or None: time is up, woken, or done."""
+    """Wait until a time.
+
+    Resumed with a Delivery of this invocation that ended, else with None: the time was reached, the generator
+    was woken, or the invocation is done.
+    """
 
     until: int
 
 
 @dataclass(slots=True)
 class Count:
-    """Add `amount` to a named counter that expires after `lifetime` microseconds; resumed with a Counted."""
+    """Add to a named counter that expires after `lifetime` microseconds; resumed with a Counted."""
 
     name: int
     amount: float
@@ -207,7 +212,7 @@
 
 @dataclass(slots=True)
 class Counted:
-    """The reply to a `Count`: the number's total after the addition."""
+    """The reply to a `Count`: the counter's total after the addition."""
 
     result: Result
     total: float
@@ -215,14 +220,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a backend how it does; resumed with a Probed."""
+    """Request a load report from a backend; resumed with a Probed."""
 
     backend: Backend
 
 
 @dataclass(slots=True)
 class Probed:
-    """The reply to a `Probe`; `load` is the backend's report, None if it told none."""
+    """The reply to a `Probe`; `load` is the backend's report, None if it sent none."""
 
     result: Result
     duration: int
@@ -231,26 +236,29 @@
 
 @dataclass(slots=True)
 class Spawn:
-    """Run another generator beside this one; resumed at once."""
+    """Run another generator concurrently; this one is resumed at once."""
 
     generator: Effects[Any]
 
 
 @dataclass(slots=True)
 class Wake:
-    """Resume the paused generator of an invocation with None; resumed at once."""
+    """Resume the paused generator of an invocation with None; this one is resumed at once."""
 
     inv: Invocation
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for its changes from now on; resumed at once.  It answers by `endpoints_changed`."""
+    """Subscribe to changes at discovery, which arrive as calls of `Gateway.endpoints_changed`.
+
+    The generator is resumed at once.
+    """
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for staff about a backend, a customer or nothing in particular; resumed at once."""
+    """Log a line for operators, `about` a backend, a customer or None; the generator is resumed at once."""
 
     text: str
     about: Any = None
@@ -259,62 +267,62 @@
 HostEffect: TypeAlias = (
     Deliver | Cancel | Throttle | Fail | Pause | Count | Probe | Spawn | Wake | Subscribe | Log
 )
-"""All that a generator of the decisions may yield."""
+"""Everything that a generator of the decisions may yield."""
 
 Returned = TypeVar("Returned")
 Effects: TypeAlias = Generator[HostEffect, Any, Returned]
-"""A generator of the decisions; what it is resumed with depends on the effect."""
+"""A generator that yields effects and returns a value; what it is resumed with depends on the effect."""
 
 BackgroundTask: TypeAlias = Effects[None]
 
 
 class QuotaShare(Protocol):
-    """What the gateways together found out about one customer's use."""
+    """One customer's usage at all gateways, set against its quota."""
 
-    fraction: float  # of its first attempts that its quota has units for
-    retries_in_budget: bool  # whether its marked retries are within their budget
+    fraction: float  # part of its first attempts that its quota has units for
+    retries_in_budget: bool  # whether its marked retries are within their retry budget
 
 
 class UsageExchange(Protocol):
-    """Where gateways tell each other of their customers' use (`kestrelbend.gateway.usage_sharing`)."""
+    """Exchanges customers' usage between gateways (`kestrelbend.gateway.usage_sharing`)."""
 
     def record_request(self, key: int, plan: int, units: float, retry: bool) -> None:
-        """An invocation asked for its customer's quota."""
+        """Record that an invocation asked for units of its customer's quota."""
 
     def record_admission(self, key: int, plan: int, units: float) -> None:
-        """An invocation was sent to a backend."""
+        """Record that an invocation was sent to a backend."""
 
     def quota_share(self, key: int, now_us: int) -> QuotaShare | None:
-        """What is known of a customer; None where nothing recent is known of any."""
+        """A customer's share; None where there is no recent information on any customer."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """The settings that decisions read; spans are microseconds."""
+    """The settings that the decisions read; durations are microseconds."""
 
     operations: Sequence[Operation]
-    gateways: int  # that serve together
-    gateway: int  # this one's number among them
-    tick: int  # the finest step of its clock
-    counter_allowed: bool  # whether there is a counter service
+    gateways: int  # number of gateways in the fleet
+    gateway: int  # index of this one among them
+    tick: int  # resolution of the clock
+    counter_allowed: bool  # whether the counter service may be used
     counter_timeout: int
-    usage_period: int  # of the use that answers tell of; 0: they tell none
-    may_advise: bool  # whether a rejection may tell when to come back
+    usage_period: int  # over which answers report a customer's usage; 0: they report none
+    may_advise: bool  # whether a rejection may state when to retry
     may_cancel: bool
-    may_hedge: bool  # two deliveries of one invocation at once
-    max_deliveries: int  # of one invocation
+    may_hedge: bool  # hedged requests: concurrent deliveries of one invocation
+    max_deliveries: int  # per invocation
     may_probe: bool
-    load_reports: str  # "none", "probe" or "answers": where backends' load reports come from
-    must_subscribe: bool  # discovery tells its changes only to who asks for them
-    subscribe_within: int
-    warm_up_time: int  # after a start; slow start ends then
-    initial_capacity: float  # part of its capacity that a backend has right after its start, at least
-    overload_span: int  # rule 4: sent `overload_factor` of its capacity for so long, a backend falls over
+    load_reports: str  # source of backends' load reports: "none", "probe" or "answers"
+    must_subscribe: bool  # discovery reports changes only to subscribers
+    subscribe_within: int  # time that a gateway has to subscribe
+    warm_up_time: int  # after a start, until slow start ends
+    initial_capacity: float  # minimum part of its full capacity that a backend has right after its start
+    overload_span: int  # rule 4: a backend that gets `overload_factor` times its capacity for so long fails
     overload_factor: float
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> GatewaySettings:
-        """From the names of `kestrelbend.gateway.settings`."""
+        """Build from a mapping with the names of `kestrelbend.gateway.settings`."""
         return cls(
             operations=settings["operations"],
             gateways=settings["gateways"],
--- a/kestrelbend/gateway/routing/pool.py
+++ b/kestrelbend/gateway/routing/pool.py
@@ -26,7 +26,7 @@
 SEND_INTERVAL = 2 * SECOND  # a member should be sent to about so often
 MIN_MEMBERS = 8  # so that a lost zone leaves some
 MAX_CANDIDATES = 24  # members looked at for one delivery
-PACE_MEMORY = 10 * SECOND  # sends are counted over about so long
+HALVING_INTERVAL = 10 * SECOND  # sends are counted over about so long
 # The pool follows its pace by such steps, or connections would come and go.
 GROWTH_STEP = 1.25
 SHRINK_STEP = 0.6
@@ -90,7 +90,7 @@
             return self.members
         return random.sample(self.members, MAX_CANDIDATES)
 
-    def ejected(self) -> int:
+    def ejected_count(self) -> int:
         """How many would be members, were they not ejected."""
         return self.nominal_size - len(self.members)
 
@@ -128,7 +128,7 @@
         """The members that the present pace asks for; None while the present number will do."""
         span = now - self.counted_from
         wanted = max(MIN_MEMBERS, self.sends / max(SEND_INTERVAL, span) * SEND_INTERVAL)
-        if span > PACE_MEMORY:
+        if span > HALVING_INTERVAL:
             self.sends /= 2
             self.counted_from = (self.counted_from + now) // 2
         wanted = min(wanted, max(MIN_MEMBERS, len(self.order)))
--- a/kestrelbend/lab/baselines.py
+++ b/kestrelbend/lab/baselines.py
@@ -59,11 +59,11 @@
         raise NotImplementedError
 
     def pick(self, inv):
-        if not self.credits.available() or not self.rules.may_go(inv):
+        if not self.credits.available() or not self.rules.may_deliver(inv):
             return None
         self.slow_start.selections += 1
         tried = {d.backend for d in inv.deliveries}
-        able = [backend for backend in self.pool.members if self.rules.may_take(inv, backend)]
+        able = [backend for backend in self.pool.members if self.rules.may_deliver_to(inv, backend)]
         return self.drawn([backend for backend in able if backend not in tried] or able)
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -283,7 +283,7 @@
 
 def test_uncalled_deliveries_out_survive_a_new_window():
     f, store = front(contracts__0__concurrency=8, contracts__0__refill=0), {}
-    f.gateway.counter.failures, f.gateway.counter.silent_until = 9, f.now + 50 * MS
+    f.gateway.counter.failures, f.gateway.counter.no_call_before = 9, f.now + 50 * MS
     f.accept(1)
     f.now += 60 * MS
     f.accept(2)
@@ -420,7 +420,7 @@
 
 def test_use_told_in_answers_thins_a_flood_without_a_counter_and_lets_go_again():
     f = front(instances=50, familyInfo__metering=1000)
-    f.gateway.counter.call_fraction, f.gateway.counter.failures, f.gateway.counter.silent_until = (
+    f.gateway.counter.call_fraction, f.gateway.counter.failures, f.gateway.counter.no_call_before = (
         0.5,
         9,
         f.now + 10**9,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -605,7 +605,7 @@
             assert (await world.ask())[0] == 502
             await world.until(lambda: not world.owner.tasks)
             monkeypatch.undo()
-            monkeypatch.setattr(Outcomes, "wake", broken)  # on behalf of one, by another
+            monkeypatch.setattr(Outcomes, "wake_waiting", broken)  # on behalf of one, by another
             assert (await world.ask())[0] == 200 and counters["faults"] >= 3
 
     run(test())
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,7 +6,7 @@
 
 from kestrelbend.gateway.decisions import BackendState
 from kestrelbend.gateway.keys import stable_hash
-from kestrelbend.gateway.routing.pool import MIN_MEMBERS, PACE_MEMORY, Pool
+from kestrelbend.gateway.routing.pool import MIN_MEMBERS, HALVING_INTERVAL, Pool
 
 
 def targets(count):
@@ -98,7 +98,7 @@
                 changes.append(width)
         wanted = max(MIN_MEMBERS, 2 * pace)
         assert 0.7 * wanted <= pool.size <= 1.7 * wanted
-    assert len(changes) < 25 and PACE_MEMORY < now
+    assert len(changes) < 25 and HALVING_INTERVAL < now
 
 
 def test_benched_and_cold_ones_are_made_up_for():
@@ -109,6 +109,6 @@
         t.ejected_until = 50
     cold = set(pool.order[5:15])
     pool.refill(0, lambda t: 0.25 if t in cold else 1.0)
-    assert pool.ejected() == 5 and len(pool.members) == 28 and pool.nominal_size == 33
+    assert pool.ejected_count() == 5 and len(pool.members) == 28 and pool.nominal_size == 33
     pool.refill(50, lambda t: 1.0)
     assert pool.members == pool.order[:20] and pool.sharing_gateways() == 40
