--- a/kestrelbend/gateway/decisions/__init__.py
+++ b/kestrelbend/gateway/decisions/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision of one gateway, with every table and tuned value: pure generators that yield effects.
+"""The decision logic of one gateway, with its state and tuning constants: generators that yield effects.
 
-One module a concern: `admission` asks `quota`, `retry_budget`, `rate_limits`, `concurrency` and `sampling`
-whether an invocation may go on; `delivery` sends it by `selection` among the backends that `slow_start`,
-`ejection` and `credits` leave, under the rules of `attempts`; `outcomes` learns from what came back.
-`docs/design.md` tells why.
+Each module has one concern.  `admission` admits an invocation by `quota`, `retry_budget`, `rate_limits`,
+`concurrency` and `sampling`.  `delivery` sends it to a backend chosen by `selection`, within the limits of
+`slow_start`, `ejection` and `credits` and the rules of `attempts`.  `outcomes` updates state from results.
+The reasons are in `docs/design.md`.
 """
 
 from .gateway import Gateway
--- a/kestrelbend/gateway/decisions/admission.py
+++ b/kestrelbend/gateway/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether an invocation may go on, by its plan's quota, cap, rate limit and retry budget."""
+"""Admission control: quota, concurrency cap, hard rate limit and retry budget of an invocation's plan."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from .retry_budget import RetryBudget
 from .sampling import CounterSampling
 
-MIN_FREE_FRACTION = 1 / 4  # of all credits that must be free for an invocation beyond its quota
+MIN_FREE_FRACTION = 1 / 4  # fraction of all credits that must be free to admit an invocation beyond its quota
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why an invocation is not admitted, as far as it matters."""
+    """The reason for a rejection, as far as the caller needs it."""
 
-    retry_after: int  # microseconds; 0: no advice
-    beyond_quota: bool  # then its plan may let it in all the same
+    retry_after: int  # microseconds; 0: not stated to the client
+    beyond_quota: bool  # the plan may still admit it for a charge
 
 
 @dataclass(slots=True, eq=False)
 class Admission:
-    """Asks each part in turn; an invocation goes on when all agree."""
+    """Applies every check in turn; an invocation is admitted if all of them pass."""
 
     context: Context
     limits: RateLimits
@@ -40,14 +40,14 @@
     credits: Credits
 
     def admit(self, inv: Invocation) -> Effects[int | None]:
-        """None admits it; else the microseconds after which its client should come back."""
+        """None if admitted, else the microseconds after which the client should retry (0: not stated)."""
         rejection = yield from self._rejection(inv)
         if rejection is None or rejection.beyond_quota and self._is_profitable_beyond_quota(inv):
             return None
         return rejection.retry_after
 
     def _is_profitable_beyond_quota(self, inv: Invocation) -> bool:
-        """Where the plan earns more by it than it costs, and enough is free."""
+        """Whether the plan earns more by it than it costs, and enough credits are free."""
         plan = inv.customer.plan
         if plan.excess_value <= plan.excess_cost or self.credits.backlog.waiting:
             return False
@@ -57,10 +57,10 @@
         return Rejection(self.budget.retry_after(inv, seconds), True)
 
     def _rejection(self, inv: Invocation) -> Effects[Rejection | None]:
-        """Why it may not go on, None where it may.
+        """The reason to reject the invocation, None to admit it.
 
-        In turn: rate limit; sampling alone, where that acts; the latest total; the cap; the call; the retry
-        budget.
+        Checks, in this order: hard rate limit; sampling, which replaces the rest where it applies; the latest
+        total; the concurrency cap; a counter call; the retry budget.
         """
         customer, plan = inv.customer, inv.customer.plan
         if plan.limit_rate and (missing := inv.units - self.limits.available(customer)) > 0:
@@ -73,8 +73,8 @@
         short = self.quota.shortage(customer, self.budget.units_needed(inv))
         if short > 0:
             return self._beyond_quota(inv, short / plan.rate)
-        spared = inv.retry and self.context.random.random() >= self.counter.call_fraction
-        if plan.max_in_flight and (spared or (yield from self.caps.wait_for_slot(inv))):
+        skip_call = inv.retry and self.context.random.random() >= self.counter.call_fraction
+        if plan.max_in_flight and (skip_call or (yield from self.caps.wait_for_slot(inv))):
             return self._beyond_quota(inv)
         rejection = yield from self._count(inv)
         if rejection is not None:
@@ -85,7 +85,7 @@
         return None
 
     def _count(self, inv: Invocation) -> Effects[Rejection | None]:
-        """Count it at the counter service where the total matters, else by what was last seen."""
+        """Count the units at the counter service if the total is needed, else locally by the latest total."""
         customer, plan = inv.customer, inv.customer.plan
         units = 0.0
         if plan.rate:
@@ -98,13 +98,14 @@
             customer.calls_in_flight -= 1
             return (yield from self._check_total(inv))
         if plan.max_in_flight and customer.in_flight >= local_cap(customer):
-            inv.counted = None  # no total: keep to a part of the cap
+            inv.counted = None  # without a total this gateway keeps to its part of the cap
             return self._beyond_quota(inv)
-        self.quota.count_locally(customer, units, 1)  # no call: admitted, but so that a flood still ends
+        # Admitted without a call, but counted, so that a flood is still stopped.
+        self.quota.count_locally(customer, units, 1)
         return None
 
     def _needs_total(self, inv: Invocation) -> bool:
-        """A crowded counter rejects calls blindly; spare it those for whom the total matters least."""
+        """Whether to call: an overloaded counter rejects at random, so less important calls are left out."""
         customer, plan = inv.customer, inv.customer.plan
         if self.context.now < customer.no_call_before:
             return False
--- a/kestrelbend/gateway/decisions/attempts.py
+++ b/kestrelbend/gateway/decisions/attempts.py
@@ -1,8 +1,8 @@
-"""The rules for deliveries: every send asks `may_send`, the only place where the five rules are kept.
+"""The five rules for deliveries.  Every send is checked by `may_send`, the only place that enforces them.
 
-1 one answer in time; 2 no effect twice; 3 no delivery to a backend that drains; 4 none too many to one that
-warms up; 5 hard rate limits.  A retry follows only the end of the attempt before, unless hedged requests are
-allowed.
+1: one answer, in time.  2: no effect is executed twice.  3: no delivery to a draining backend.  4: no
+overload of a backend that is warming up.  5: hard rate limits.  A retry starts only after the previous
+attempt has ended, unless hedged requests are allowed.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRules:
-    """Whether a further delivery may be made, and to which backend."""
+    """Whether an invocation may be delivered (again), and to which backends."""
 
     context: Context
     limits: RateLimits
     slow_start: SlowStart
 
     def may_repeat(self, inv: Invocation) -> bool:
-        """Rule 2, without a backend in view."""
+        """Rule 2, apart from the choice of a backend."""
         settings = self.context.settings
         ran = [d for d in inv.deliveries if d.may_have_run]
         if len(inv.deliveries) >= settings.max_deliveries:
@@ -37,8 +37,8 @@
         return self.context.now < self.begin_by(inv)
 
     def begin_by(self, inv: Invocation) -> int:
-        """Microseconds by which a further delivery has to begin: while backends remember the token of the
-        first."""
+        """Time in microseconds before which a further delivery has to begin: the deadline, or earlier if
+        backends forget the idempotency token of an earlier delivery before it."""
         until = inv.deadline
         if inv.op.effect is RepeatEffect.TOKENED:
             lifetime = inv.op.token_lifetime - self.context.settings.tick
@@ -48,7 +48,7 @@
         return until
 
     def may_deliver(self, inv: Invocation) -> bool:
-        """Rules 1, 2 and 5, without a backend in view."""
+        """Rules 1, 2 and 5, apart from the choice of a backend."""
         if inv.done or self.context.now >= inv.deadline or not self.may_repeat(inv):
             return False
         if inv.deliveries or not inv.customer.plan.limit_rate:
@@ -56,7 +56,7 @@
         return self.limits.available(inv.customer) >= inv.units
 
     def may_deliver_to(self, inv: Invocation, backend: BackendState) -> bool:
-        """Rules 2, 3 and 4 for one backend."""
+        """Rules 2, 3 and 4 for a given backend."""
         if backend.state is not EndpointState.READY:
             return False
         if inv.deliveries and inv.op.effect is RepeatEffect.TOKENED and inv.op.scope is not TokenScope.ALL:
@@ -67,11 +67,11 @@
 
     @staticmethod
     def _shares_tokens(delivery: Delivery, scope: TokenScope, backend: BackendState) -> bool:
-        """Whether a backend drops the repeat of a delivery."""
+        """Whether a backend recognises the token of a delivery, and so drops its repeat."""
         if scope is TokenScope.ZONE:
             return delivery.backend.zone == backend.zone
         return delivery.backend.group == backend.group
 
     def may_send(self, inv: Invocation, backend: BackendState) -> bool:
-        """All rules at once."""
+        """All five rules."""
         return self.may_deliver(inv) and self.may_deliver_to(inv, backend)
--- a/kestrelbend/gateway/decisions/background.py
+++ b/kestrelbend/gateway/decisions/background.py
@@ -1,4 +1,4 @@
-"""Background tasks of a gateway: load reports of backends that warm up, and the subscription at discovery."""
+"""Background tasks of a gateway: load probes of backends that warm up, and the discovery subscription."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from .slow_start import SlowStart
 from .state import BackendState
 
-PROBE_INTERVAL = SECOND // 2  # of a backend that warms up, by all gateways together
-SATURATED_BUSY_FRACTION = 0.9  # the busy share that leaves no capacity
-CHECKS_PER_DEADLINE = 8  # looks at the subscription in the time within which discovery is to be asked
+PROBE_INTERVAL = SECOND // 2  # per warming backend, by all gateways together
+SATURATED_BUSY_FRACTION = 0.9  # above this busy fraction a backend has no spare capacity
+CHECKS_PER_DEADLINE = 8  # checks of the subscription within the time allowed to subscribe
 
 
 @dataclass(slots=True, eq=False)
 class BackgroundTasks:
-    """Started once; they run as long as the gateway."""
+    """Tasks that are started once and run as long as the gateway."""
 
     context: Context
     pool: Pool
@@ -25,7 +25,7 @@
     subscribed: bool = False
 
     def tasks(self) -> list[BackgroundTask]:
-        """Generators, to be run beside the invocations."""
+        """The generators to run concurrently with the invocations."""
         settings, tasks = self.context.settings, []
         if settings.may_probe and settings.load_reports == "probe":
             tasks.append(self._probe_warming_up())
@@ -34,8 +34,8 @@
         return tasks
 
     def _probe_warming_up(self) -> Effects[None]:
-        """Where load reports come by probes alone.  All gateways together probe about as often as one alone
-        would, drawn here by chance: else probes grow with gateways times backends."""
+        """Probe warming backends, where load reports come by probes alone.  Each gateway probes at random, so
+        that all together probe as often as one would: else probes grow as gateways times backends."""
         while True:
             for backend in filter(self.slow_start.is_warming_up, list(self.pool.members)):
                 if self.context.random.random() * self.pool.sharing_gateways() < 1:
@@ -47,7 +47,7 @@
         self.load_reported(backend, probed.load)
 
     def load_reported(self, backend: BackendState, load: dict[str, float] | None) -> None:
-        """A backend told of its load (None: it did not)."""
+        """Record a backend's load report (None: it sent none)."""
         if load:
             backend.saturated = load.get("queued", 0) >= 1 or load.get("busy", 0) > SATURATED_BUSY_FRACTION
 
--- a/kestrelbend/gateway/decisions/backlog.py
+++ b/kestrelbend/gateway/decisions/backlog.py
@@ -1,4 +1,4 @@
-"""Invocations that wait for a credit at some backend, the most valuable first."""
+"""Priority queue of invocations that wait for a credit at any backend."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True, eq=False)
 class Backlog:
-    """Acts only while no credit is free; the cheapest plan is served last in overload."""
+    """Invocations waiting for a credit, most valuable first, so that overload hits the cheapest plans."""
 
     waiting: list[Invocation] = field(default_factory=list)
 
     @staticmethod
     def value(inv: Invocation) -> float:
-        """Billed value, less for a customer that is known to ask for more than its rate."""
+        """Billed value, reduced for a customer whose known demand exceeds its rate."""
         return inv.customer.plan.price * inv.op.value * inv.customer.admitted_fraction()
 
     def ahead_of(self, inv: Invocation) -> int:
-        """How many others are served before it."""
+        """Number of other invocations that are served before this one."""
         return sum(other is not inv and self.value(other) >= self.value(inv) for other in self.waiting)
 
     def join(self, inv: Invocation) -> None:
-        """Wait, unless it does already."""
+        """Add an invocation, unless it is queued already."""
         if inv not in self.waiting:
             self.waiting.append(inv)
             self.waiting.sort(key=self.value, reverse=True)
 
     def leave(self, inv: Invocation) -> None:
-        """Wait no longer, if it did."""
+        """Remove an invocation, if it is queued."""
         if inv in self.waiting:
             self.waiting.remove(inv)
--- a/kestrelbend/gateway/decisions/context.py
+++ b/kestrelbend/gateway/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one gateway have in common: settings, time, chance and what peers tell of use."""
+"""State shared by all decision modules of a gateway: settings, clock, random source, usage exchange."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True)
 class Context:
-    """Shared by the parts of one gateway's decisions."""
+    """Settings, clock, random source and usage exchange of one gateway."""
 
     settings: GatewaySettings
-    random: Random  # the one source of chance: the order of draws is part of the behaviour
+    random: Random  # the only random source; the order of draws determines the behaviour
     now: int  # microseconds on the host's clock, set by the host before each event
     started_at: int  # microseconds on the same clock
-    usage: UsageExchange | None = None  # where gateways tell each other of their customers' use
+    usage: UsageExchange | None = None  # exchanges customers' usage between gateways
--- a/kestrelbend/gateway/decisions/counter.py
+++ b/kestrelbend/gateway/decisions/counter.py
@@ -1,4 +1,4 @@
-"""Calls to the counter service: when to make one, and how crowded or silent the service is."""
+"""Calls to the counter service, adapted to its overload and outages."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from ..interface import Count, Counted, Effects, Invocation, Log, Result
 from .context import SECOND, Context
 
-SILENT_AFTER_FAILURES = 3  # calls in a row without an answer
-SILENT_RETRY_INTERVAL = SECOND // 4  # between calls to a silent service
-BACKOFF_FACTOR = 0.6  # a failed or late call cuts the fraction that is called for
-RECOVERY_FACTOR = 1.025  # a good one restores it
+SILENT_AFTER_FAILURES = 3  # consecutive calls without an answer
+SILENT_RETRY_INTERVAL = SECOND // 4  # between calls to a service that does not answer
+BACKOFF_FACTOR = 0.6  # on a failed or late call, of the fraction of calls made
+RECOVERY_FACTOR = 1.025  # on a successful call, of the same fraction
 MIN_CALL_FRACTION = 0.02
-TIMEOUT_FRACTION = 0.15  # of the shortest latency target that a total may take
-DEADLINE_MARGIN_TICKS = 4  # ticks before the client's time in which an answer would be of no use
+TIMEOUT_FRACTION = 0.15  # of the shortest latency target, allowed for a call
+DEADLINE_MARGIN_TICKS = 4  # of the client's deadline; a later reply is of no use
 
 
 @dataclass(slots=True, eq=False)
 class CounterCalls:
-    """The state of the service as this gateway sees it."""
+    """Health of the counter service as seen by this gateway, and the calls to it."""
 
     context: Context
-    timeout: int = 0  # microseconds that one call may take
-    failures: int = 0  # in a row
-    no_call_before: int = 0  # microseconds; no call before then while it is silent
-    # A call is made for customers with less than this part of their burst remaining or, where a customer's
-    # gateways are many, for this part of its invocations.
+    timeout: int = 0  # microseconds allowed for one call
+    failures: int = 0  # consecutive
+    no_call_before: int = 0  # microseconds; while the service is silent
+    # Calls are made for customers with less than this part of their burst remaining or, for a customer that
+    # reaches many gateways, for this part of its invocations.
     call_fraction: float = 1.0
 
     def __post_init__(self) -> None:
@@ -34,11 +34,11 @@
         self.timeout = max(settings.counter_timeout, int(TIMEOUT_FRACTION * target))
 
     def is_silent(self) -> bool:
-        """Whether the last calls had no answer."""
+        """Whether the service has stopped answering."""
         return self.failures >= SILENT_AFTER_FAILURES
 
     def may_call(self, inv: Invocation) -> bool:
-        """Whether to ask it; never when its answer might come after the client gave up (rule 1)."""
+        """Whether a call may be made; never when the reply may come after the client's deadline (rule 1)."""
         settings, now = self.context.settings, self.context.now
         return (
             settings.counter_allowed
@@ -47,14 +47,14 @@
         )
 
     def add(self, name: int, amount: float, lifetime: int) -> Effects[Counted]:
-        """Add to a named number that the service forgets after `lifetime` microseconds; its total, 0 if none
-        came."""
+        """Add to a named counter that expires after `lifetime` microseconds; the reply's total is 0 if the
+        call failed."""
         called_at = self.context.now
         reply: Counted = yield Count(name, amount, lifetime)
         if reply.result is Result.SUCCEEDED:
             if self.failures >= SILENT_AFTER_FAILURES:
                 yield Log("counter service answers again", None)
-            # A late total is still true, but the service is crowded.
+            # A late total is still valid, but it means that the service is overloaded.
             late = self.context.now - called_at > self.context.settings.counter_timeout
             self.failures = 0
             factor = BACKOFF_FACTOR if late else RECOVERY_FACTOR
@@ -62,7 +62,7 @@
             return reply
         reply.total = 0.0
         self.call_fraction = max(MIN_CALL_FRACTION, self.call_fraction * BACKOFF_FACTOR)
-        if reply.result is not Result.REJECTED:  # that would be a crowded one, not a silent one
+        if reply.result is not Result.REJECTED:  # a rejection means overload, not silence
             self.failures += 1
             if self.failures == SILENT_AFTER_FAILURES:
                 yield Log("counter service silent: quotas go by what was last seen", None)
--- a/kestrelbend/gateway/decisions/delivery.py
+++ b/kestrelbend/gateway/decisions/delivery.py
@@ -1,4 +1,4 @@
-"""The delivery loop of one admitted invocation: deliveries, retries, waiting and its final answer."""
+"""The delivery loop of an admitted invocation: waiting, deliveries, retries and the final answer."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from .slow_start import SlowStart
 from .state import BackendState
 
-MAX_WAIT_FRACTION = 0.2  # of the latency target to wait for a credit
-ANSWER_MARGIN_TICKS = 2  # ticks before the client's time at which it gets its answer (rule 1)
+MAX_WAIT_FRACTION = 0.2  # of the latency target, to wait for a credit
+ANSWER_MARGIN_TICKS = 2  # before the client's deadline, when it gets its answer at the latest (rule 1)
 
 
 @dataclass(slots=True, eq=False)
 class DeliveryLoop:
-    """Each send passes `deliver`, each answer `close` or `reject`."""
+    """Serves invocations.  Every send goes through `deliver`; `close` and `reject` give the final answers."""
 
     context: Context
     pool: Pool
@@ -34,13 +34,14 @@
     budget: RetryBudget
 
     def serve(self, inv: Invocation) -> Effects[None]:
-        """Deliver it until it is done or its time is up."""
+        """Deliver and retry an invocation until it is done or its time is up."""
         target = inv.op.objective
-        give_up = inv.deadline - ANSWER_MARGIN_TICKS * self.context.settings.tick
-        in_time = inv.arrived_at + target if not inv.op.late_value else give_up  # later answers earn nothing
+        answer_by = inv.deadline - ANSWER_MARGIN_TICKS * self.context.settings.tick
+        # Without a late value, an answer after the latency target earns nothing.
+        useful_until = inv.arrived_at + target if not inv.op.late_value else answer_by
         while not inv.done:
             in_flight = [d for d in inv.deliveries if d.result is None]
-            if self.context.now >= self._end(inv, give_up, in_time):
+            if self.context.now >= self._end(inv, answer_by, useful_until):
                 yield from self.close(inv)
                 break
             for d in in_flight:
@@ -48,15 +49,15 @@
                     yield from self.outcomes.mark_overdue(d)
             if in_flight:
                 due = [d.sent_at + target for d in in_flight if not d.overdue]
-                yield Pause(min(at for at in (give_up, in_time, *due) if at > self.context.now))
+                yield Pause(min(at for at in (answer_by, useful_until, *due) if at > self.context.now))
                 continue
-            if not self.rules.may_repeat(inv) or inv.deliveries and self.context.now >= in_time:
+            if not self.rules.may_repeat(inv) or inv.deliveries and self.context.now >= useful_until:
                 yield from self.close(inv)
                 break
             backend = self.selection.pick(inv)
-            if backend and (yield from self.deliver(inv, backend, give_up)):
+            if backend and (yield from self.deliver(inv, backend, answer_by)):
                 continue
-            wait_until = self._wait_until(inv, give_up)
+            wait_until = self._wait_until(inv, answer_by)
             if wait_until is None:
                 yield from self.close(inv)
                 break
@@ -67,16 +68,16 @@
         self.credits.backlog.leave(inv)
 
     @staticmethod
-    def _end(inv: Invocation, give_up: int, in_time: int) -> int:
-        """At its customer's cap a late one holds the place of another in vain."""
+    def _end(inv: Invocation, answer_by: int, useful_until: int) -> int:
+        """When to stop; at its customer's cap a late invocation would hold a slot that another could use."""
         at_cap = 0 < inv.customer.plan.max_in_flight <= inv.customer.total_in_flight
-        return min(in_time, give_up) if at_cap else give_up
+        return min(useful_until, answer_by) if at_cap else answer_by
 
-    def _wait_until(self, inv: Invocation, give_up: int) -> int | None:
-        """Microseconds until which it may wait for a credit; None where its turn is not expected by then."""
+    def _wait_until(self, inv: Invocation, answer_by: int) -> int | None:
+        """Time in microseconds until which to wait for a credit; None if its turn is not expected by then."""
         interval = self.credits.answer_interval(inv.op, self.credits.capacity())
         began = max([inv.arrived_at, *(d.sent_at + d.duration for d in inv.deliveries)])
-        until = min(give_up, began + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
+        until = min(answer_by, began + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
         turn = self.credits.backlog.ahead_of(inv) + 1
         return until if self.context.now + turn * interval <= until else None
 
@@ -86,7 +87,7 @@
                 yield Cancel(d)
 
     def deliver(self, inv: Invocation, backend: BackendState, until: int) -> Effects[bool]:
-        """The one way to a backend: all five rules are kept here.  Whether it was sent."""
+        """Send to a backend, if all five rules allow it; the only place that sends.  Whether it was sent."""
         if not self.rules.may_send(inv, backend):
             return False
         if not inv.deliveries:
@@ -106,20 +107,20 @@
         return True
 
     def _spend_units(self, inv: Invocation) -> None:
-        """Of the rate limit, once for each invocation; peers hear of it."""
+        """Spend units of the hard rate limit, once per invocation, and share the usage with peers."""
         customer, plan = inv.customer, inv.customer.plan
         customer.limit_units -= inv.units
         if self.context.usage and plan.rate:
             self.context.usage.record_admission(usage_key(customer), plan.number, inv.units)
 
     def close(self, inv: Invocation) -> Effects[None]:
-        """Give up: rejected where nothing can have run, or a repeat is harmless; else errored."""
+        """Give up: reject if nothing can have been executed or a repeat is safe, else answer an error."""
         if inv.op.repeats_anywhere or not any(d.may_have_run for d in inv.deliveries):
             yield from self.reject(inv, self.budget.retry_after(inv))
         elif not inv.done:
             yield Fail(inv)
 
     def reject(self, inv: Invocation, retry_after: int) -> Effects[None]:
-        """The final answer, unless it has one; `retry_after` in microseconds, 0: no advice."""
+        """Reject, unless it has its final answer; `retry_after` in microseconds, 0: not stated."""
         if not inv.done:
             yield Throttle(inv, retry_after)
--- a/kestrelbend/gateway/decisions/gateway.py
+++ b/kestrelbend/gateway/decisions/gateway.py
@@ -1,10 +1,10 @@
-"""The decisions of one gateway, put together.
+"""Entry point for hosts: composes the decision modules of one gateway.
 
-A host makes one `Gateway` for each gateway that runs, with backends as `BackendState` and customers as
-`CustomerState`; it sets `now` before each event.  It starts the generators of `background.tasks()` once, one
-`invocation(inv)` for each that comes in, and runs `outcomes.ended(...)` to its end for each delivery that
-ended, before the invocation itself is resumed.  It calls `endpoints_changed` when discovery told something.
-What is yielded and what comes back is in `kestrelbend/gateway/interface.py`.
+A host creates one `Gateway` per gateway instance, represents backends as `BackendState` and customers as
+`CustomerState`, and sets `now` before each event.  It starts the generators of `background.tasks()` once, and
+`invocation(inv)` for each request.  When a delivery ends it runs `outcomes.ended(...)` to completion, then
+resumes the invocation.  It calls `endpoints_changed` for each report of discovery.  The effects and their
+results are defined in `kestrelbend/gateway/interface.py`.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 
 class Gateway:
-    """Composes the parts; each owns its state."""
+    """The decision modules of one gateway; each owns its state."""
 
-    admission_type = Admission  # the laboratory compares with others
+    admission_type = Admission  # the baselines of the emulator substitute others
     selection_type = BackendSelection
 
     def __init__(self, settings: Mapping[str, Any], seed: int | str, now: int) -> None:
@@ -64,7 +64,7 @@
 
     @property
     def now(self) -> int:
-        """Microseconds on the host's clock."""
+        """Current time in microseconds on the host's clock."""
         return self.context.now
 
     @now.setter
@@ -72,7 +72,7 @@
         self.context.now = now
 
     def endpoints_changed(self, backends: list[BackendState], failed: bool) -> None:
-        """All backends that discovery lists, in any state; `failed`: its subscription or the call ended."""
+        """Take all backends that discovery lists, in any state; `failed`: the subscription or call failed."""
         self.background.subscribed = self.background.subscribed and not failed
         ready = [backend for backend in backends if backend.state is EndpointState.READY]
         for backend in ready:
@@ -82,7 +82,7 @@
         self.credits.refill_pool()
 
     def invocation(self, inv: Invocation) -> Effects[None]:
-        """One invocation, from its arrival to its final answer."""
+        """Process one invocation, from its arrival to its final answer."""
         customer = inv.customer
         retry_after = yield from self.admission.admit(inv)
         if retry_after is not None or inv.done:
@@ -101,7 +101,7 @@
             yield Wake(customer.queue[0])
 
     def may_forget(self, customer: CustomerState) -> bool:
-        """Whether a new state of this customer would know as much."""
+        """Whether dropping this customer's state loses nothing: a new one would be equivalent."""
         end = ((customer.window or 0) + 1) * window_length(customer.plan) + MAX_LIFETIME
         if customer.in_flight or self.context.now <= end:
             return False
--- a/kestrelbend/gateway/decisions/latency.py
+++ b/kestrelbend/gateway/decisions/latency.py
@@ -1,25 +1,25 @@
-"""A histogram of answer times, relative to the latency target of their operation."""
+"""Histogram of answer times relative to the latency target of their operation."""
 
 from __future__ import annotations
 
-BIN_COUNT = 24  # the last one takes all that is slower
+BIN_COUNT = 24  # the last bin also takes all slower answers
 BINS_PER_TARGET = 12
-HALVED_AT = 256  # answers; then each bin is halved, so that older ones weigh less
+HALVED_AT = 256  # answers; then all bins are halved, so that older answers weigh less
 
 
 class LatencyHistogram:
-    """Answer times as fractions of the latency target (1.0: just in time)."""
+    """Answer times as fractions of the latency target (1.0: exactly on target)."""
 
     __slots__ = ("bins", "count", "sum", "_median")
 
     def __init__(self) -> None:
         self.bins = [0] * BIN_COUNT
-        self.count = 0  # of answers in the bins
-        self.sum = 0.0  # of the bins' middles, in bins
-        self._median: float | None = 0.0  # None: not known since the last answer
+        self.count = 0  # answers in the bins
+        self.sum = 0.0  # of the answers' bin midpoints, in bins
+        self._median: float | None = 0.0  # None: to be recomputed
 
     def add(self, fraction: float) -> None:
-        """Count an answer that took this fraction of its latency target."""
+        """Add an answer that took `fraction` of its latency target."""
         i = min(BIN_COUNT - 1, int(fraction * BINS_PER_TARGET))
         self.bins[i] += 1
         self.count += 1
@@ -31,7 +31,7 @@
             self.sum = sum((i + 0.5) * n for i, n in enumerate(self.bins))
 
     def median(self) -> float:
-        """Fraction of the latency target; 0 before the first answer."""
+        """Median as a fraction of the latency target; 0 before the first answer."""
         if self._median is None:
             self._median = self._interpolated_median()
         return self._median
@@ -43,8 +43,8 @@
             if n and below + n >= half:
                 return (i + (half - below) / n) / BINS_PER_TARGET
             below += n
-        raise AssertionError("no answer was counted")
+        raise AssertionError("median of an empty histogram")
 
     def mean(self, prior: float) -> float:
-        """Fraction of the latency target, with one answer at `prior` added: a few answers say little."""
+        """Mean fraction of the latency target; one answer at `prior` is added to steady the mean of a few."""
         return (self.sum / BINS_PER_TARGET + prior) / (self.count + 1)
--- a/kestrelbend/gateway/decisions/quota.py
+++ b/kestrelbend/gateway/decisions/quota.py
@@ -1,4 +1,4 @@
-"""Each customer's quota: windows and names at the counter service, totals, and what stands in for them."""
+"""Customers' quotas: windows and counters at the counter service, and estimates where a total is missing."""
 
 from __future__ import annotations
 
@@ -11,43 +11,41 @@
 from .counter import CounterCalls
 from .state import CustomerState
 
-WINDOW_BURSTS = (
-    3  # length of a window, in the time that the rate takes to fill the burst; the design starts at 1
-)
-MAX_LIFETIME = 60 * SECOND  # the counter service forgets a number by then
-CAP_WINDOW = 10 * SECOND  # window under a concurrency cap
-IN_FLIGHT_PER_UNIT = 1000  # deliveries in flight ride on a total as thousandths of a unit
-MAX_EXACT_TOTAL = 1e7  # the counter service gives seven digits
-MANY_GATEWAYS_CAP_FACTOR = 4  # spread over a cap from which a cap is not counted
-MAX_CALL_DELAY = SECOND  # after a call that the service rejected, when no other is let through
+WINDOW_BURSTS = 3  # window length, in times that the rate takes to fill the burst; the design starts at 1
+MAX_LIFETIME = 60 * SECOND  # maximum lifetime of a counter at the counter service
+CAP_WINDOW = 10 * SECOND  # maximum window length under a concurrency cap
+IN_FLIGHT_PER_UNIT = 1000  # a total carries deliveries in flight as thousandths of a unit
+MAX_EXACT_TOTAL = 1e7  # the counter service returns seven significant digits
+MANY_GATEWAYS_CAP_FACTOR = 4  # a cap is not counted for a customer whose spread exceeds so many times the cap
+MAX_CALL_DELAY = SECOND  # after a rejected call, when the service rejects all
 UNITS_SMOOTHING = 0.01  # weight of one invocation in the mean units
-USAGE_KEY_MASK = 0xFFFFFFFF  # customers are told apart by 32 bits among the gateways
+USAGE_KEY_MASK = 0xFFFFFFFF  # gateways identify customers to each other by 32 bits
 
 
 def window_length(plan: Plan) -> int:
-    """Microseconds of a quota window."""
+    """Length of a quota window in microseconds."""
     length = int(WINDOW_BURSTS * plan.burst / plan.rate * SECOND) if plan.rate else CAP_WINDOW
     return max(SECOND, min(length, CAP_WINDOW if plan.max_in_flight else MAX_LIFETIME * 9 // 10))
 
 
 def counter_lifetime(plan: Plan) -> int:
-    """Microseconds that the counter service keeps a window's number."""
+    """Lifetime of a window's counter at the counter service, in microseconds."""
     return min(MAX_LIFETIME, window_length(plan) * 11 // 10)
 
 
 def counts_in_flight(plan: Plan) -> bool:
-    """Whether a total has digits left for deliveries in flight."""
+    """Whether totals have enough digits to carry deliveries in flight."""
     fits = plan.burst * (WINDOW_BURSTS + 1) * IN_FLIGHT_PER_UNIT < MAX_EXACT_TOTAL
     return bool(plan.max_in_flight) and fits and 2 * plan.max_in_flight < IN_FLIGHT_PER_UNIT
 
 
 def counter_name(customer: CustomerState, what: str, window: int) -> int:
-    """The number's name at the counter service, the same at every gateway."""
+    """Name of a counter at the counter service, the same at every gateway."""
     return stable_hash(f"{customer.plan.name} {customer.name} {what} {window}")
 
 
 def usage_key(customer: CustomerState) -> int:
-    """The customer's key among the gateways."""
+    """The key by which gateways identify a customer to each other."""
     if customer.usage_key is None:
         customer.usage_key = stable_hash(f"{customer.plan.name} {customer.name}") & USAGE_KEY_MASK
     return customer.usage_key
@@ -55,27 +53,27 @@
 
 @dataclass(slots=True, eq=False)
 class Quota:
-    """What is left of each customer's quota, by the latest total and what was admitted since."""
+    """The remaining quota of each customer, from the latest total and the invocations admitted since."""
 
     context: Context
     counter: CounterCalls
-    mean_units: float = 1.0  # of an invocation
+    mean_units: float = 1.0  # per invocation, exponentially smoothed
 
     def observe_request(self, inv: Invocation) -> None:
-        """Note an invocation that asks for its quota, whatever becomes of it."""
+        """Record that an invocation asked for quota, whether or not it is admitted."""
         plan = inv.customer.plan
         self.mean_units += UNITS_SMOOTHING * (inv.units - self.mean_units)
         if self.context.usage and plan.rate:
             self.context.usage.record_request(usage_key(inv.customer), plan.number, inv.units, inv.retry)
 
     def has_many_gateways(self, customer: CustomerState) -> bool:
-        """Whether its gateways are so many that its total here is old when it comes again."""
+        """Whether it reaches so many gateways that the latest total here is stale by its next invocation."""
         plan = customer.plan
         store = plan.burst if plan.rate else MANY_GATEWAYS_CAP_FACTOR * plan.max_in_flight or math.inf
         return customer.spread * self.mean_units > store
 
     def shortage(self, customer: CustomerState, units: float) -> float:
-        """Units missing to admit `units`, by the latest total; not above 0 if there is enough."""
+        """Units missing to admit `units`, by the latest total; 0 or less if there are enough."""
         if customer.remaining is None or not customer.plan.rate:
             return 0.0
         return units - min(customer.plan.burst, self._refilled(customer, customer.remaining))
@@ -84,7 +82,7 @@
         return remaining + customer.plan.rate * (self.context.now - customer.remaining_at) / SECOND
 
     def enter_window(self, customer: CustomerState) -> int:
-        """The present window; what is in flight but counted under the last one's name is let go."""
+        """The current window; deliveries in flight counted in the previous window are no longer tracked."""
         window = self.context.now // window_length(customer.plan)
         if window != customer.window:
             customer.window = window
@@ -93,9 +91,9 @@
         return window
 
     def report(self, customer: CustomerState, units: float, in_flight: int) -> Effects[None]:
-        """Add to the customer's total, and learn from it what remains and how many are in flight.
+        """Add to the customer's total, and update remaining units and deliveries in flight from the reply.
 
-        One number holds whole units and, under a concurrency cap, deliveries in flight in thousandths.
+        One counter holds whole units and, under a concurrency cap, deliveries in flight in thousandths.
         """
         window = self.enter_window(customer)
         in_flight = in_flight + customer.unreported_in_flight if counts_in_flight(customer.plan) else 0
@@ -120,7 +118,7 @@
     def _report_failed(
         self, customer: CustomerState, reply: Counted, units: float, unreported: float, in_flight: int
     ) -> None:
-        if reply.result is Result.TIMED_OUT:  # it may have counted: take it so, the next total tells
+        if reply.result is Result.TIMED_OUT:  # assume it was counted; the next total will tell
             customer.total += units + unreported
             self.count_locally(customer, units, 0)
         else:
@@ -140,9 +138,9 @@
             customer.remaining = min(plan.burst, limit - (total - units)) - units
         else:
             used = total - customer.total - unreported
-            if used < -customer.total / 2:  # the service came back empty
+            if used < -customer.total / 2:  # the service restarted without its data
                 used = max(units, total - unreported)
-            # Others' use since the last total is taken as even, so refill is cut off only after it.
+            # Usage elsewhere since the last total is assumed even, so the refill is capped only after it.
             refilled = self._refilled(customer, customer.remaining)
             customer.remaining = min(plan.burst, refilled + customer.assumed_elsewhere - used)
         customer.remaining_at = now
@@ -150,7 +148,7 @@
         customer.assumed_elsewhere = 0.0
 
     def count_locally(self, customer: CustomerState, units: float, in_flight: int) -> None:
-        """Without a total, the customer's other gateways are taken to admit as much as this one."""
+        """Count without a total; the customer's other gateways are each assumed to admit as much."""
         customer.unreported += units
         customer.unreported_in_flight += in_flight
         if customer.remaining is None:
@@ -163,7 +161,7 @@
         customer.remaining_at = self.context.now
 
     def release(self, inv: Invocation) -> Effects[None]:
-        """It is no longer in flight; under the name of a past window it stands until that is forgotten."""
+        """Count it as no longer in flight; the counter of a past window keeps it until that expires."""
         customer = inv.customer
         if customer.plan.max_in_flight and inv.window == self.enter_window(customer):
             customer.unreported_in_flight -= 1
@@ -171,7 +169,7 @@
                 yield Spawn(self.report(customer, 0, 0))
 
     def refund(self, inv: Invocation) -> Effects[None]:
-        """Take back what was counted for an invocation that is not forwarded."""
+        """Refund the units counted for an invocation that is not forwarded."""
         customer, units = inv.customer, inv.counted
         inv.counted = None
         if units is None:
@@ -180,15 +178,15 @@
         if customer.remaining is not None:
             customer.remaining += units
         yield from self.release(inv)
-        # In a wide set the next call is far off, and what was rejected stood as used with all others.
+        # With many gateways the next call is far off; until then the others see the refunded units as used.
         called = self.counter.call_fraction >= 1 and self.context.settings.counter_allowed
         if units and customer.unreported < 0 and called and self.has_many_gateways(customer):
             yield Spawn(self.report(customer, 0, 0))
 
     def correct(self, inv: Invocation, units: float) -> None:
-        """The answer told what it really used."""
+        """Correct the counted units to those that the answer states as used."""
         customer = inv.customer
         if units and customer.plan.rate and inv.counted is not None:
             customer.unreported += units - inv.counted
-            if customer.remaining is not None:  # a first total may be late, its window past
+            if customer.remaining is not None:  # None if the first total came after its window
                 customer.remaining -= units - inv.counted
--- a/kestrelbend/gateway/decisions/retry_budget.py
+++ b/kestrelbend/gateway/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of each customer, and the advice when to come back (the source: `docs/design.md`)."""
+"""Retry budgets of customers, and the Retry-After advice in rejections (see `docs/design.md`)."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .credits import Credits
 from .quota import Quota, counter_lifetime, counter_name
 
-RETRY_SHARE = 0.20  # marked retries over the quota total; beyond it they are rejected
-RETRY_FLOOR = 3  # the total, in seconds of the plan's rate, that must be exceeded before
-RETRY_RESERVE = 0.5  # part of the burst that a retry must leave to first attempts
-RETRY_AFTER_FRACTION = 0.2  # of the latency target, at least; the design starts at 1 s
+RETRY_SHARE = 0.20  # marked retries over the quota total; further ones are rejected
+RETRY_FLOOR = 3  # seconds of the plan's rate; the budget applies only once the total exceeds them
+RETRY_RESERVE = 0.5  # fraction of the burst that a retry must leave to first attempts
+RETRY_AFTER_FRACTION = 0.2  # of the latency target, minimum advice; the design starts at 1 s
 
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Holds marked retries to a share of their customer's use."""
+    """Limits marked retries to a share of their customer's usage."""
 
     context: Context
     counter: CounterCalls
@@ -26,13 +26,14 @@
     credits: Credits
 
     def units_needed(self, inv: Invocation) -> float:
-        """Near the limit a first attempt, with all its time before it, goes before a marked retry."""
+        """Units that must remain; more for a marked retry, so that near the limit first attempts go first."""
         return inv.units + (RETRY_RESERVE * inv.customer.plan.burst if inv.retry else 0.0)
 
     def is_exceeded(self, inv: Invocation) -> Effects[bool]:
-        """Count a marked retry; true where it is beyond the budget.
+        """Count a marked retry; True if it exceeds the budget.
 
-        While credits are free and nobody waits the budget spares retries, and while calls fail the counter.
+        While credits are free and no invocation waits, retries are not limited; while calls to the counter
+        service fail as well, they are not counted either.
         """
         customer, plan, waiting = inv.customer, inv.customer.plan, self.credits.backlog.waiting
         waited = bool(waiting)
@@ -48,7 +49,7 @@
         return customer.total > RETRY_FLOOR * plan.rate and reply.total > RETRY_SHARE * customer.total
 
     def retry_after(self, inv: Invocation, seconds: float = 0.0) -> int:
-        """Microseconds after which its client should come back: when there are units, in `seconds`, or soon
-        enough to be in time; 0 where no advice may be given."""
+        """Microseconds after which the client should retry: when units are available, in `seconds`, but at
+        least a fraction of the latency target; 0 if rejections may not state it."""
         wait = max(int(RETRY_AFTER_FRACTION * inv.op.objective), int(seconds * SECOND))
         return wait * self.context.settings.may_advise
--- a/kestrelbend/gateway/decisions/sampling.py
+++ b/kestrelbend/gateway/decisions/sampling.py
@@ -1,8 +1,8 @@
-"""Quotas while the counter service takes fewer calls than there are invocations.
+"""Quotas while the counter service accepts fewer calls than there are invocations.
 
-A part of the invocations is called for, each with the units of those not called for too, so that the total
-stays right on average.  Acts for sets of gateways so wide that a customer's latest total is old
-(`Quota.has_many_gateways`).
+Calls are made for a random sample of invocations.  Each call also adds the units of invocations without a
+call, so that the total is right on average.  Used for customers that reach so many gateways that their latest
+total is stale (`Quota.has_many_gateways`).
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from .quota import Quota, counter_lifetime, counter_name, usage_key, window_length
 from .state import CustomerState
 
-SAMPLE_FRACTION = 0.1  # of the burst that a sampled call stands for, at half of the calls
-UNKNOWN_CUSTOMER_FACTOR = 3.0  # so many times as often for a customer whose demand is not known
-OVER_RATE_FACTOR = 2.0  # and for one whose demand is over its rate
-INITIAL_DEMAND = 1.0  # of its rate, for a customer not met before
-DEMAND_MEMORY = 0.6  # in times that the rate takes to fill the burst: the weight of what was known before
+SAMPLE_FRACTION = 0.1  # of the burst; units that a sampled call represents when half of the calls are made
+UNKNOWN_CUSTOMER_FACTOR = 3.0  # multiplies the call probability for a customer of unknown demand
+OVER_RATE_FACTOR = 2.0  # the same for a customer whose demand exceeds its rate
+INITIAL_DEMAND = 1.0  # of its rate, for a customer not seen before
+DEMAND_MEMORY = 0.6  # weight of the previous estimate, in times that the rate takes to fill the burst
 MIN_USAGE_SHARE = 0.01
 
 
 @dataclass(slots=True, eq=False)
 class CounterSampling:
-    """Admits by what is known of each customer's demand."""
+    """Admits invocations by the estimated demand of their customer."""
 
     context: Context
     counter: CounterCalls
@@ -36,14 +36,14 @@
     credits: Credits
 
     def admits(self, inv: Invocation) -> Effects[bool]:
-        """Whether the customer's quota has units for it.  What is rejected stays counted, the part goes on
-        that there are units for, and a marked retry needs a total."""
+        """Whether the customer's quota has units for it.  Rejected invocations stay counted.  The fraction of
+        invocations is admitted that there are units for; a marked retry needs a total that fits."""
         customer, plan = inv.customer, inv.customer.plan
-        customer.remaining = None  # it must be learned anew when all are called for again
+        customer.remaining = None  # to be measured again once calls are made for all invocations
         usage = self.context.usage if plan.rate else None
-        shared = usage.quota_share(usage_key(customer), self.context.now) if usage else None
-        if shared is not None:
-            return (yield from self._admits_by_usage(inv, shared))
+        share = usage.quota_share(usage_key(customer), self.context.now) if usage else None
+        if share is not None:
+            return (yield from self._admits_by_usage(inv, share))
         random, fraction = self.context.random.random, customer.admitted_fraction()
         if inv.retry and (fraction < 1 or random() >= self.counter.call_fraction):
             return False
@@ -61,7 +61,7 @@
         return bool(fits) if inv.retry else fits is not False
 
     def _call_probability(self, inv: Invocation, fraction: float) -> float:
-        """The probability of a call for this invocation."""
+        """Probability of a counter call for this invocation."""
         units = SAMPLE_FRACTION * (1 / self.counter.call_fraction - 1) * inv.customer.plan.burst
         if inv.retry or not units:
             return 1.0
@@ -72,34 +72,34 @@
             factor = OVER_RATE_FACTOR
         return min(1.0, factor * inv.units / units)
 
-    def _admits_by_usage(self, inv: Invocation, shared: QuotaShare) -> Effects[bool]:
-        """By what all gateways told each other recently.  The counter goes on counting, for gateways that no
-        such message reaches and for when there is none."""
+    def _admits_by_usage(self, inv: Invocation, share: QuotaShare) -> Effects[bool]:
+        """Admit by the usage recently exchanged between gateways.  Calls to the counter continue for gateways
+        that the exchange does not reach, and for when it fails."""
         customer, plan = inv.customer, inv.customer.plan
-        customer.demand = plan.rate / max(shared.fraction, MIN_USAGE_SHARE)
+        customer.demand = plan.rate / max(share.fraction, MIN_USAGE_SHARE)
         saturated = self.credits.is_saturated()
-        if inv.retry and (shared.fraction < 1 or saturated and not shared.retries_in_budget):
+        if inv.retry and (share.fraction < 1 or saturated and not share.retries_in_budget):
             return False
         if plan.max_in_flight and customer.in_flight >= plan.max_in_flight:
             return False
         random = self.context.random.random
-        if random() >= shared.fraction:
+        if random() >= share.fraction:
             return False
         if self.counter.may_call(inv) and random() < self.counter.call_fraction:
             yield Spawn(self._sample(inv, self.counter.call_fraction, 1.0))
         return True
 
     def _sample(self, inv: Invocation, sampled: float, fraction: float) -> Effects[bool | None]:
-        """Count for those not called for too, and learn the customer's demand.
+        """Add units also for invocations without a call, and update the customer's demand.
 
-        `sampled`: the part of all invocations that calls like this one stand for; `fraction`: the part of the
-        customer's invocations that got here.  Whether there are units for this one, None where that stays
-        unknown.
+        `sampled`: the fraction of all invocations for which such calls are made; `fraction`: the fraction of
+        the customer's invocations that reach this point.  Returns whether there are units for this one, None
+        if unknown.
         """
         context, customer, plan = self.context, inv.customer, inv.customer.plan
         added = inv.units / sampled
         window, length = self.quota.enter_window(customer), window_length(plan)
-        if plan.max_in_flight:  # whole ones: deliveries in flight may stand behind the point
+        if plan.max_in_flight:  # whole units: the decimals may carry deliveries in flight
             added = math.floor(added + context.random.random())
         name = counter_name(customer, "units", window)
         reply = yield from self.counter.add(name, added, counter_lifetime(plan))
@@ -110,12 +110,12 @@
         seconds = max(1, context.now - window * length) / SECOND
         total = reply.total - added + inv.units
         self.update_demand(customer, total / seconds, seconds)
-        # A customer that was short before is taken to have begun this window short.
+        # A customer whose demand exceeded its rate is assumed to have begun this window with an empty burst.
         used, refill = total - plan.burst * fraction, plan.rate * seconds
         return used <= refill or context.random.random() * used * fraction < refill
 
     def update_demand(self, customer: CustomerState, demand: float, seconds: float) -> None:
-        """A demand in units a second, as seen over so many seconds, beside what was known of it."""
+        """Merge a demand in units per second, measured over `seconds`, into the estimate."""
         plan = customer.plan
         known = customer.demand or INITIAL_DEMAND * plan.rate
         weight = DEMAND_MEMORY * plan.burst / plan.rate
--- a/kestrelbend/gateway/decisions/slow_start.py
+++ b/kestrelbend/gateway/decisions/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: what a backend that has just started may get, by all gateways together (rule 4).
+"""Slow start: limits deliveries of all gateways to a backend that has just started (rule 4).
 
-Invariant: the deliveries of any number of gateways that know nothing of each other stay, in any span, below
-what the rule allows of the part of its capacity that the backend must have reached.
+Invariant: over any overload span, the deliveries of any number of gateways that do not communicate stay below
+the load that rule 4 allows for the minimum capacity that the backend has reached by then.
 """
 
 from __future__ import annotations
@@ -13,21 +13,20 @@
 from .context import SECOND, Context
 from .state import BackendState, SlowStartQuota
 
-ALLOWED_FRACTION = (
-    0.7  # of what the rule allows, for all gateways: slots of which a span meets five, and chance
-)
-DRAWN_FRACTION = 0.5  # where that is less than one delivery and drawn for each selection
-SLOTS_PER_SPAN = 4
-HALVING_INTERVAL = 10 * SECOND  # answers and selections are halved after so long
+# Of the load that rule 4 allows, for all gateways: a span can overlap five slots, and draws vary at random.
+ALLOWED_FRACTION = 0.7
+DRAWN_FRACTION = 0.5  # of it, where that is under one delivery per slot and each selection draws
+SLOTS_PER_SPAN = 4  # slots that an overload span is divided into
+HALVING_INTERVAL = 10 * SECOND  # interval at which the counts of answers and selections are halved
 
 
 @dataclass(slots=True, eq=False)
 class SlowStart:
-    """The pace of warm backends here, and what those that warm up may get of it."""
+    """Answer rate of warm backends at this gateway, and the resulting limits of those that warm up."""
 
     context: Context
     pool: Pool
-    # Counted since `counted_from`, halved now and then.
+    # Counted since `counted_from`, halved at intervals.
     warm_answers: float = 0.0
     selections: float = 0.0
     counted_from: int = 0  # microseconds
@@ -36,20 +35,20 @@
         self.counted_from = self.context.now
 
     def is_warming_up(self, backend: BackendState) -> bool:
-        """Whether its latest start is not long past."""
+        """Whether its latest start is less than the warm-up time ago."""
         started, now = backend.started, self.context.now
         return started is not None and now - started < self.context.settings.warm_up_time
 
     def expected_capacity(self, backend: BackendState) -> float:
-        """The part of its capacity that it must have reached by now."""
+        """Minimum fraction of its full capacity that it has reached by now."""
         settings = self.context.settings
-        grown = 1.0
+        progress = 1.0
         if backend.started is not None and self.is_warming_up(backend):
-            grown = max(0, self.context.now - backend.started) / settings.warm_up_time
-        return settings.initial_capacity + (1 - settings.initial_capacity) * grown
+            progress = max(0, self.context.now - backend.started) / settings.warm_up_time
+        return settings.initial_capacity + (1 - settings.initial_capacity) * progress
 
     def record_answer(self, backend: BackendState) -> None:
-        """A backend answered this gateway; warm ones set the pace."""
+        """Count an answer of a backend, unless it is warming up."""
         if self.is_warming_up(backend):
             return
         self.warm_answers += 1
@@ -59,13 +58,14 @@
             self.counted_from = (self.counted_from + self.context.now) // 2
 
     def may_send(self, backend: BackendState) -> bool:
-        """Whether a backend that is warming up may get one more.
+        """Whether a backend that is warming up may get one more delivery.
 
-        What this gateway gets answered by a warm backend is its share of what that can do; one that warms up
-        gets that share of the part that it must have reached: counted in each quarter span or, where that is
-        less than one, drawn for each selection, so that the sum over any number of gateways holds.
+        The rate at which a warm backend answers this gateway is the gateway's share of a backend's capacity.
+        A warming backend gets the same share of the capacity that it has reached: as a limit per slot or, if
+        that is under one delivery, by a random draw per selection, so that the sum over all gateways holds.
         """
-        if not backend.in_pool:  # others' parts would come on top of those of the gateways that keep to it
+        # The gateways that have it in their pool share the whole limit.
+        if not backend.in_pool:
             return False
         settings, now, quota = self.context.settings, self.context.now, backend.slow_start
         quarter = max(1, settings.overload_span // SLOTS_PER_SPAN)
@@ -73,7 +73,7 @@
         if slot != quota.slot:
             quota.slot = slot
             self._begin_slot(backend, quota, settings, quarter)
-        if backend.saturated and backend.in_flight:  # by its own report: one at a time
+        if backend.saturated and backend.in_flight:  # it reported saturation: one delivery at a time
             return False
         if quota.probability is None:
             return quota.sent < quota.limit
@@ -91,7 +91,7 @@
         allowed = settings.overload_factor * expected * self.warm_answers / slots / max(1, warm)
         quota.sent = 0
         quota.limit = int(ALLOWED_FRACTION * allowed + self.context.random.random())
-        # With nothing answered yet, one from all gateways together.
+        # Before the first answers, one delivery from all gateways together.
         drawn = max(DRAWN_FRACTION * allowed, 1 / settings.gateways)
         quota.probability = None
         if ALLOWED_FRACTION * allowed < 1:
--- a/kestrelbend/gateway/decisions/state.py
+++ b/kestrelbend/gateway/decisions/state.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of each backend and of each customer."""
+"""State that a gateway keeps for each backend and each customer."""
 
 from __future__ import annotations
 
@@ -10,39 +10,38 @@
 
 @dataclass(slots=True)
 class SlowStartQuota:
-    """What a backend that is warming up may get from this gateway (`slow_start`)."""
+    """Deliveries that a warming backend may get from this gateway (`slow_start`)."""
 
-    slot: int | None = None  # number of the present quarter span since its start
+    slot: int | None = None  # index of the current slot since the backend's start
     sent: int = 0  # deliveries in this slot
     limit: int = 0  # deliveries allowed in it
-    probability: float | None = 0.0  # of each selection, where the limit is under one; None: the limit counts
-    drawn_at: int | None = None  # microseconds of the latest draw, which holds for that instant
-    drawn: bool = False  # whether that draw allows a delivery
+    probability: float | None = 0.0  # per selection, where the limit is under one; None: the limit applies
+    drawn_at: int | None = None  # microseconds; time of the latest draw, which is valid for that instant
+    drawn: bool = False  # whether the draw allows a delivery
 
 
 @dataclass(slots=True, eq=False)
 class BackendState(Backend):
-    """A backend, with what this gateway has seen of it since its latest start."""
+    """A backend, with what this gateway has observed since its latest start."""
 
-    in_flight: int = 0  # credits spent there
-    in_pool: bool = False  # whether it may be selected; kept by the pool
-    capacity: float = 0.0  # credits that this gateway has there
+    in_flight: int = 0  # credits in use there
+    in_pool: bool = False  # whether it is a pool member; maintained by the pool
+    capacity: float = 0.0  # this gateway's credits there
     failure_evidence: float = 0.0  # log-likelihood ratio, unhealthy over healthy
     ejected_until: int = 0  # microseconds
-    ejections: int = 0  # in a row
-    saturated: bool = False  # by its own load report
+    ejections: int = 0  # consecutive
+    saturated: bool = False  # according to its load report
     latencies: LatencyHistogram = field(default_factory=LatencyHistogram)
-    failure_rates: dict[Operation | Plan, float] = field(
-        default_factory=dict
-    )  # recent, by what was asked of it
+    # Exponentially smoothed, by operation and by plan.
+    failure_rates: dict[Operation | Plan, float] = field(default_factory=dict)
     slow_start: SlowStartQuota = field(default_factory=SlowStartQuota)
-    observed_start: int | None = None  # the start since when all this was seen
+    observed_start: int | None = None  # the start to which these observations belong
 
     def __post_init__(self) -> None:
         self.observed_start = self.started
 
     def reset(self) -> None:
-        """It has started anew: what was seen before says nothing; what is in flight still counts."""
+        """Discard the observations after a restart; deliveries in flight still count."""
         self.capacity = 0.0
         self.failure_evidence = 0.0
         self.ejected_until = 0
@@ -56,29 +55,29 @@
 
 @dataclass(slots=True, eq=False)
 class CustomerState(Customer):
-    """A customer, with what this gateway knows of its use by all gateways."""
+    """A customer, with its usage at all gateways as far as this gateway knows."""
 
     # Quota.
-    remaining: float | None = None  # units: limit less total as of `remaining_at`; None: no total seen yet
+    remaining: float | None = None  # units: limit minus total as of `remaining_at`; None: no total yet
     remaining_at: int = 0  # microseconds
-    window: int | None = None  # number of the quota window
-    total: float = 0.0  # units, the latest total seen in this window
-    unreported: float = 0.0  # units that the counter service was not told of; negative: to take back
-    assumed_elsewhere: float = 0.0  # units taken off `remaining` for other gateways, until the next total
-    no_call_before: int = 0  # microseconds; the service rejected its latest call
-    demand: float | None = None  # units a second that it asks for at all gateways; None: not known
-    usage_key: int | None = None  # its key among the gateways
-    # Rate limit.
-    limit_units: float = 0  # dealt to this gateway and not used
-    limit_allocated: int | None = None  # units dealt so far; None: none was asked for yet
+    window: int | None = None  # index of the quota window
+    total: float = 0.0  # units, the latest total received in this window
+    unreported: float = 0.0  # units not yet reported to the counter service; negative: to be refunded
+    assumed_elsewhere: float = 0.0  # units subtracted from `remaining` for others, until the next total
+    no_call_before: int = 0  # microseconds; set when the service rejected the latest call
+    demand: float | None = None  # units per second requested at all gateways; None: unknown
+    usage_key: int | None = None  # key by which gateways identify it to each other
+    # Hard rate limit.
+    limit_units: float = 0  # allocated to this gateway and unused
+    limit_allocated: int | None = None  # units allocated so far; None: not computed yet
     # Concurrency cap.
-    in_flight: int = 0  # invocations here
-    total_in_flight: int = 0  # at all gateways, as last seen
-    calls_in_flight: int = 0  # invocations whose counter call is out
-    unreported_in_flight: int = 0
-    at_cap_until: int = 0  # microseconds
-    queue: list[Invocation] = field(default_factory=list)  # those that wait for a place, in turn
+    in_flight: int = 0  # invocations at this gateway
+    total_in_flight: int = 0  # at all gateways, by the latest total
+    calls_in_flight: int = 0  # invocations with a counter call in flight
+    unreported_in_flight: int = 0  # change of `in_flight` not yet reported
+    at_cap_until: int = 0  # microseconds; no slot is assumed free before then
+    queue: list[Invocation] = field(default_factory=list)  # those that wait for a slot, in order
 
     def admitted_fraction(self) -> float:
-        """The part of its demand that its rate has units for."""
+        """The fraction of its demand that its rate covers."""
         return min(1.0, self.plan.rate / self.demand) if self.demand and self.plan.rate else 1.0
--- a/kestrelbend/gateway/routing/__init__.py
+++ b/kestrelbend/gateway/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which backends a gateway keeps to.  No I/O; the rules themselves are `gateway.decisions`."""
+"""The subset of backends that a gateway uses.  No I/O; `gateway.decisions` has the delivery rules."""
