--- a/kestrelbend/gateway/simulator_adapter/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -240,7 +240,7 @@
     return f"lose {instance} {invocation}"
 
 
-def set_timer(instance: str, handle: int, after: int) -> str:
+def arm_timer(instance: str, handle: int, after: int) -> str:
     """Ask for a `reminder` after so long."""
     return f"arm {instance} {handle} {_milliseconds(after)}"
 
--- a/kestrelbend/gateway/simulator_adapter/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -60,7 +60,7 @@
         self._latest_handle += 1
         handle = self._latest_handle
         self.timers[handle] = (task, until)
-        self.out.append(codec.set_timer(self.name, handle, max(0, until - self.gateway.now)))
+        self.out.append(codec.arm_timer(self.name, handle, max(0, until - self.gateway.now)))
         return handle
 
     def cancel_timer(self, timer: int) -> None:
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -86,7 +86,7 @@
         simulator.throttle("gw-1", 9, 250000),
         simulator.throttle("gw-1", 9, 0),
         simulator.fail("gw-1", 9),
-        simulator.set_timer("gw-1", 88, 1234),
+        simulator.arm_timer("gw-1", 88, 1234),
         simulator.count("gw-1", "a name", 1.23456789, 60000000),
         simulator.probe("gw-1", 3),
         simulator.subscribe("gw-1"),
