--- a/kestrelbend/tier/control/__init__.py
+++ b/kestrelbend/tier/control/__init__.py
@@ -1,8 +1,9 @@
-"""What a control process serves, one concern a module; `roles/control.py` joins them.
+"""The services of a control process, one per module; `roles/control.py` combines them.
 
-backend_reports           backends' heartbeats and ends, to their acknowledgement
-member_summaries          which processes report to which control node
-directory_stream          the directory, to all processes that subscribe
-shard_placer              placements, decided by the owner of the configuration's shard
-retirement, store_facts   emptying storage nodes, and what is recorded of their disks
+backend_reports           heartbeats and departures of backends, up to their acknowledgement
+member_summaries          exchange among control nodes of the processes that report to each
+directory_stream          the directory streamed to all subscribed processes
+shard_placer              shard placements, decided by the owner of the configuration shard
+retirement                retiring of storage nodes: their replicas are moved away
+store_facts               what is recorded of disks, and of the shards that have left a retiring node
 """
--- a/kestrelbend/tier/control/backend_reports.py
+++ b/kestrelbend/tier/control/backend_reports.py
@@ -1,9 +1,10 @@
-"""Backends' reports of themselves: into the registry, and on to the other control nodes and the gateways.
+"""Processes backends' own reports: records them in the registry and publishes them to nodes and gateways.
 
-Invariant: a backend's report that it leaves is acknowledged only by a node in contact, once the processes of
-a majority of the configuration's voters hold it.  Any other majority has one of them, and whoever connects
-to that one gets it; a gateway in contact is connected to all of them.  A plain heartbeat is accepted by any
-node: it promises nothing, and after a loss of all control nodes the gateways' readiness waits for it.
+Invariant: a backend's report that it is draining or has ended is acknowledged only by a node in contact, once
+the processes of a majority of the configuration shard's voters hold it.  Any other majority includes one of
+these processes, and whoever connects to that one receives the report; a gateway in contact is connected to
+all of them.  A plain heartbeat is accepted by any node: its acknowledgement guarantees nothing, and after a
+loss of all control nodes the gateways become ready only once backends have reported.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 from ..discovery.report import HeartbeatRejected, RejectionCode
 from ..discovery.tombstones import MAX_TOMBSTONES
 
-REPLY_TIMEOUT_S = 0.85  # backends go on to another node after a second
-RETRY_INTERVAL_S = 0.1  # between two checks whether a report may be acknowledged
+REPLY_TIMEOUT_S = 0.85  # below the second after which backends try another node
+RETRY_INTERVAL_S = 0.1  # between checks whether a report may be acknowledged
 
 MayAcknowledge = Callable[[set[str]], bool]
-"""Whether this node is in contact and, with these other control nodes, is a majority."""
+"""Whether this node is in contact and forms a majority together with these other control nodes."""
 
 
 class BackendReports:
-    """Takes what backends report, and what other control nodes send of them; `now` is in seconds."""
+    """Handles reports of backends and updates from other control nodes; `now` returns seconds."""
 
     def __init__(
         self,
@@ -40,20 +41,20 @@
         self._exchange = exchange
         self._now = now
         self._may_acknowledge = may_acknowledge
-        self._published_change = 0  # the registry's number that subscribers were brought to
-        self._reported: set[str] = set()  # who reported here since the other control nodes were notified
-        self._majority_states: dict[str, int] = {}  # of backends that leave, as a majority holds them
+        self._published_change = 0  # the registry's change number up to which changes were published
+        self._reported_here: set[str] = set()  # backends that reported here since the last update to peers
+        self._majority_states: dict[str, int] = {}  # states that a majority holds, of non-ready backends
 
     async def heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
-        """A heartbeat; one of a backend that drains is acknowledged once a majority holds it."""
+        """Handles a heartbeat; that of a draining backend is acknowledged once a majority holds it."""
         return await self._publish_outcome(self._registry.heartbeat(identity, report, self._now()))
 
     async def leave(self, identity: str) -> ReportOutcome:
-        """A backend has ended."""
+        """Handles a backend's report that it has ended."""
         return await self._publish_outcome(self._registry.leave(identity, self._now()))
 
     def merge(self, backends: Iterable[Backend]) -> None:
-        """Takes what another control node sent."""
+        """Merges an update from another control node."""
         now = self._now()
         for backend in backends:
             self._registry.merge(backend, now)
@@ -61,21 +62,21 @@
             self._publish(self._take_changes())
 
     def publish_pending_changes(self) -> None:
-        """Publishes, all together, the backends of which nothing changed but that they are there."""
+        """Publishes all pending changes at once, also those of nothing but counters."""
         self._publish(self._take_changes())
 
     def expire_unresponsive(self, in_contact_s: float, heartbeat_interval_s: float) -> None:
-        """Presumes unresponsive backends departed, where this node has been in contact for long enough."""
+        """Presumes unresponsive backends departed, if this node has been in contact for long enough."""
         now = self._now()
         self._registry.expire(now, heartbeat_interval_s, now - in_contact_s)
         self._exchange.notify_gateways(self._take_changes())
 
     async def _publish_outcome(self, outcome: Backend | HeartbeatRejected) -> ReportOutcome:
-        """Publishes what the registry made of a report, and says whether the report may be acknowledged."""
+        """Publishes the result of a report, and returns whether the report may be acknowledged."""
         if isinstance(outcome, HeartbeatRejected):
             is_full = outcome.code is RejectionCode.REGISTRY_FULL
             return ReportOutcome.UNAVAILABLE if is_full else ReportOutcome.MALFORMED
-        self._reported.add(outcome.identity)
+        self._reported_here.add(outcome.identity)
         nothing_urgent = self._registry.urgent_change_number <= self._published_change
         if nothing_urgent and outcome.state == BackendState.READY:
             return ReportOutcome.ACCEPTED
@@ -89,14 +90,14 @@
         return ReportOutcome.ACCEPTED
 
     def _publish(self, changes: list[Backend]) -> None:
-        """To the gateways all of it, to the other control nodes what backends themselves reported here."""
+        """Sends all changes to the gateways, and to the other control nodes those reported here directly."""
         self._exchange.notify_gateways(changes)
-        reported_here = [backend for backend in changes if backend.identity in self._reported]
+        reported_here = [backend for backend in changes if backend.identity in self._reported_here]
         self._exchange.notify_peers(reported_here)
-        self._reported.clear()
+        self._reported_here.clear()
 
     async def _publish_leaving(self, leaving: Backend, changes: list[Backend]) -> ReportOutcome:
-        """Sends everybody that a backend leaves, also where that is known here: others may not know it."""
+        """Publishes a draining or departed backend, even if known here already: others may not know it."""
         deadline = self._now() + REPLY_TIMEOUT_S
         others = [backend for backend in changes if backend.identity != leaving.identity]
         holders = await self._exchange.notify_all([*others, leaving])
@@ -115,14 +116,14 @@
         return self._majority_states.get(leaving.identity, 0) >= leaving.state
 
     def _record_majority(self, leaving: Backend) -> None:
-        """Records what a majority holds, of the `MAX_TOMBSTONES` backends that left last."""
+        """Records the state that a majority holds, for at most the `MAX_TOMBSTONES` latest backends."""
         self._majority_states.pop(leaving.identity, None)
         self._majority_states[leaving.identity] = leaving.state
         while len(self._majority_states) > MAX_TOMBSTONES:
             del self._majority_states[next(iter(self._majority_states))]
 
     def _take_changes(self) -> list[Backend]:
-        """What has changed in the registry since this was last called."""
+        """Returns the registry's changes since the last call and marks them as published."""
         changes = self._registry.changes_since(self._published_change)
         self._published_change = changes.change_number
         return list(changes.backends)
--- a/kestrelbend/tier/control/member_summaries.py
+++ b/kestrelbend/tier/control/member_summaries.py
@@ -1,18 +1,18 @@
-"""How control nodes tell each other who reports to them: changes alone, in their connection's order.
+"""Exchanges among control nodes which processes report to each: only changes, in order on a connection.
 
-A member that was published earlier, and is neither unresponsive nor departed, counts as heard at each
-summary, so a calm tier costs a few bytes with each heartbeat interval.  A new connection begins with a
-complete summary.
+A member that was published earlier and is neither unresponsive nor departed counts as live at each summary,
+so a tier without changes costs a few bytes per heartbeat interval.  A new connection begins with a complete
+summary.
 
-Of one member, at the node that it reports to:
+States of one member at the node that it reports to:
 
     unpublished --heartbeat--> published --`UNRESPONSIVE_S` without one--> published as unresponsive
                                   ^  |                                            |
                     heartbeat, or |  +---`LIVENESS_TIMEOUT_S` without one---> departed <------+
                     a change in it
 
-Invariant: nothing is published of a process but what its own heartbeats to this node said, so that nothing
-goes round between control nodes after its process has ended.
+Invariant: a node publishes of a process only what the process's own heartbeats to this node contained, so
+that its entry does not circulate between control nodes after the process has ended.
 """
 
 from __future__ import annotations
@@ -26,38 +26,38 @@
 from ..protocol.codec import encode
 from ..protocol.peer_connection import PeerConnection
 
-UNRESPONSIVE_S = 0.3  # without a heartbeat, from which on its age is published: more than between two
-PROGRESS_S = 5.0  # between two publications of nothing but how far a member's replicas have come
+UNRESPONSIVE_S = 0.3  # age from which a heartbeat counts as late; longer than the heartbeat interval
+PROGRESS_INTERVAL_S = 5.0  # minimum time between updates of only the indexes of a member's replicas
 MS_PER_S = 1000
 
 
 @attrs.frozen
 class _Published:
-    """What was published of a member last; `lasting` leaves out what changes with each heartbeat."""
+    """The heartbeat last published of a member; `static_part` is the heartbeat `without_progress`."""
 
     heartbeat: Heartbeat
-    lasting: Heartbeat
-    at: float
+    static_part: Heartbeat
+    published_at: float
 
-    def differs(self, heartbeat: Heartbeat, lasting: Heartbeat, now: float) -> bool:
-        """Whether a later heartbeat, and what lasts of it, is to be published now."""
-        if lasting != self.lasting:
+    def needs_update(self, heartbeat: Heartbeat, static_part: Heartbeat, now: float) -> bool:
+        """Whether a later heartbeat, with the given static part, is to be published now."""
+        if static_part != self.static_part:
             return True
-        return now - self.at >= PROGRESS_S and heartbeat.shards != self.heartbeat.shards
+        return now - self.published_at >= PROGRESS_INTERVAL_S and heartbeat.shards != self.heartbeat.shards
 
 
 class MemberSummaries:
-    """Sends this node's summaries, and takes those of the others into the table; times are in seconds."""
+    """Sends this node's summaries and merges those of other nodes into the table; times are in seconds."""
 
     def __init__(self, sender: str, members: MemberTable) -> None:
         self._sender = sender
         self._members = members
         self._published: dict[str, _Published] = {}  # by address
-        self._up_to_date: set[PeerConnection] = set()  # connections that hold all that was published
-        self._reported: dict[PeerConnection, dict[str, int]] = {}  # incarnations by address
+        self._up_to_date: set[PeerConnection] = set()  # connections on which all published changes were sent
+        self._reported_incarnations: dict[PeerConnection, dict[str, int]] = {}  # incarnations by address
 
     def send(self, connections: Iterable[PeerConnection], now: float) -> None:
-        """Brings the other control nodes up to date; one encoding serves all that are."""
+        """Sends changes, or a complete summary on new connections; changes are encoded only once."""
         changes = encode(self._changes(now))
         for connection in connections:
             if connection in self._up_to_date:
@@ -68,22 +68,22 @@
 
     @property
     def sender_count(self) -> int:
-        """How many connections brought summaries and stand."""
-        return len(self._reported)
+        """The number of open connections on which summaries were received."""
+        return len(self._reported_incarnations)
 
     def connection_lost(self, connection: PeerConnection) -> None:
-        """A connection ended; the sender's next one begins with a complete summary."""
+        """Drops the state of a connection that ended; the next one begins with a complete summary."""
         self._up_to_date.discard(connection)
-        self._reported.pop(connection, None)
+        self._reported_incarnations.pop(connection, None)
 
     def merge(self, connection: PeerConnection, summary: MemberSummary, now: float) -> None:
-        """Takes in another node's summary, from the connection that it came by."""
+        """Merges another node's summary, received on this connection, into the table."""
         if summary.complete:
-            self._reported[connection] = {}
-        reported = self._reported.setdefault(connection, {})
+            self._reported_incarnations[connection] = {}
+        reported = self._reported_incarnations.setdefault(connection, {})
         for heartbeat in summary.heartbeats:
             reported[heartbeat.member.address] = heartbeat.member.incarnation
-        ages = {late.address: late.heartbeat_age_ms / MS_PER_S for late in summary.unresponsive}
+        ages = {member.address: member.heartbeat_age_ms / MS_PER_S for member in summary.unresponsive}
         for heartbeat in summary.heartbeats:
             age = ages.get(heartbeat.member.address, 0.0)
             self._members.record_relayed(heartbeat, now - age)
@@ -93,7 +93,7 @@
             self._members.confirm_live(address, incarnation, now - ages.get(address, 0.0))
 
     def _changes(self, now: float) -> MemberSummary:
-        """What is to be published since the last summary; it counts as published from here on."""
+        """Returns the changes since the last summary and records them as published."""
         live = self._members.direct_reporters(now)
         heartbeats = [heartbeat for heartbeat in live.values() if self._publish_if_due(heartbeat, now)]
         departed = tuple(address for address in self._published if address not in live)
@@ -126,15 +126,15 @@
 
     def _publish_if_due(self, heartbeat: Heartbeat, now: float) -> bool:
         address = heartbeat.member.address
-        lasting = without_progress(heartbeat)
+        static_part = without_progress(heartbeat)
         published = self._published.get(address)
-        if published is not None and not published.differs(heartbeat, lasting, now):
+        if published is not None and not published.needs_update(heartbeat, static_part, now):
             return False
-        self._published[address] = _Published(heartbeat, lasting, now)
+        self._published[address] = _Published(heartbeat, static_part, now)
         return True
 
 
 def without_progress(heartbeat: Heartbeat) -> Heartbeat:
-    """A heartbeat without what changes all the time: its number, and how far replicas have come."""
+    """Returns a heartbeat without its sequence and the replicas' indexes, which change all the time."""
     shards = tuple(report.without_indexes() for report in heartbeat.shards)
     return attrs.evolve(heartbeat, sequence=0, shards=shards)
--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -1,7 +1,8 @@
-"""The emptying of storage nodes, as the operator orders it and requests its state.
+"""Retires storage nodes by order of the operator: their replicas are moved away.
 
-Invariant: nothing is answered here but what the configuration's confirmed owner has said: a state by
-committed facts, a rejection by one that has owned for long enough to have heard of every live store.
+Invariant: every answer comes from the confirmed owner of the configuration shard.  A state is based on
+committed facts; a rejection is given only by a node that has been the owner for long enough to know every
+live store.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from ..membership.placement import group_size
 from ..membership.table import MemberTable
 
-ALL_STORES_HEARD_S = 2.0  # of ownership, after which every live store has been heard of
-SHORT_FAULT_S = 30.0  # for which an unresponsive store counts among those that will remain
+ALL_STORES_HEARD_S = 2.0  # time as the owner after which heartbeats of all live stores have arrived
+SHORT_FAULT_S = 30.0  # how long an unresponsive store still counts as one that will remain
 
-OUTCOMES = {
+OUTCOME_BY_STATUS = {
     OK: RetireOutcome.ACCEPTED,
     NOT_FOUND: RetireOutcome.UNKNOWN_NODE,
     CONFLICT: RetireOutcome.TOO_FEW_LEFT,
@@ -26,9 +27,9 @@
 
 
 class Retirement:
-    """Takes the orders, and says how far they have come.
+    """Accepts orders to retire storage nodes and reports their progress.
 
-    `now` gives seconds of a steady clock; `owned_for(now)` is this node's time as the owner.
+    `now` returns seconds of a monotonic clock; `owned_for(now)` is how long this node has been the owner.
     """
 
     def __init__(
@@ -41,23 +42,23 @@
     ) -> None:
         self._configuration = configuration
         self._members = members
-        self._size = group_size(tolerated_nodes)
+        self._group_size = group_size(tolerated_nodes)
         self._now = now
         self._owned_for = owned_for
         configuration.owner_check = self.rejection
 
     async def start(self, node: str) -> RetireOutcome:
-        """Begins to empty a store."""
+        """Starts to move all replicas away from a store."""
         outcome = await self._configuration.order(ConfigOrder(OrderKind.RETIRE, 0, node.encode()))
-        return OUTCOMES.get(outcome.status, RetireOutcome.UNAVAILABLE)
+        return OUTCOME_BY_STATUS.get(outcome.status, RetireOutcome.UNAVAILABLE)
 
     async def state(self, node: str) -> RetireState:
-        """COMPLETE once every shard is known to have left the node, by the confirmed owner's state."""
+        """Returns COMPLETE once every shard has left the node according to the confirmed owner's state."""
         outcome = await self._configuration.order(ConfigOrder(OrderKind.RETIRE_STATE, 0, node.encode()))
         return RetireState(outcome.reason) if outcome.status == OK else RetireState.UNAVAILABLE
 
     def rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
-        """As the owner: why a store can't be emptied, or that this can't be said yet."""
+        """Returns, at the owner, why a store cannot be retired; `NOT_OWNER` if that is not known yet."""
         if order.kind != OrderKind.RETIRE:
             return None
         now = self._now()
@@ -67,18 +68,18 @@
         return rejection
 
     def rejection_by_known_members(self, node: str, now: float) -> ConfigOutcome | None:
-        """Why a store can't be emptied, by what has been heard until now; it may not be all."""
+        """Returns why a store cannot be retired, judged by the members known so far, which may not be all."""
         state = self._configuration.state
         if not state.stores.is_store(node):
             if any(member.node == node and member.serves_storage for member in self._members.members(now)):
-                return NOT_OWNER  # it is being recorded
-            return ConfigOutcome(NOT_FOUND, state.version, "no store of this name was ever here")
-        if len(self._remaining_without(node, now)) < self._size:
-            return ConfigOutcome(CONFLICT, state.version, "too few would be left")
+                return NOT_OWNER  # the store is live but not recorded yet
+            return ConfigOutcome(NOT_FOUND, state.version, "no store with this name has been recorded")
+        if len(self._remaining_without(node, now)) < self._group_size:
+            return ConfigOutcome(CONFLICT, state.version, "too few nodes would remain")
         return None
 
     def _remaining_without(self, node: str, now: float) -> set[str]:
-        """The nodes that can hold replicas, now or after a short fault, without this one."""
+        """Returns the other nodes that can hold replicas, now or after a short fault."""
         stores = self._configuration.state.stores
         heard = self._members.members(now, within=SHORT_FAULT_S)
         remaining = {member.node for member in heard if member.replica}
--- a/kestrelbend/tier/control/shard_placer.py
+++ b/kestrelbend/tier/control/shard_placer.py
@@ -1,15 +1,15 @@
-"""Who should hold which shard: decided by the owner of the configuration's shard, kept as entries of it.
+"""Places shards on replicas: decided by the owner of the configuration shard, committed to that shard.
 
 One pass of the placer, at each heartbeat:
 
     not the owner ------------------------------> nothing
-    owner ---> learners and voters of the configuration's own group
+    owner ---> set learners and target voters of the configuration shard's own group
           ---> after `FIRST_HEARTBEATS_S`, and while no earlier orders are being committed:
-               unknown disks, then due placements, then what is proved to be emptied
+               record unknown disks, then due placements, then shards that have left retiring nodes
 
-Invariant: a placement of a budget shard is proposed by nobody but the owner, and counts once it is committed;
-every disk that it names is recorded before.  The budgets are founded on a complete group or not at all.
-All times are this node's steady clock, in seconds.
+Invariant: only the owner proposes a placement of a budget shard, and the placement takes effect once it is
+committed; every disk that it names is recorded before.  The first placement of the budget shards needs enough
+disks for a complete group.  All times are seconds of this node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 from ..membership.table import MemberTable
 from .store_facts import due_emptied_orders, unknown_disk_orders
 
-LEAVING_ABSENCE_S = SPARE_TIMEOUT_S + 0.1  # a process that leaves counts as absent for at least this long
-STORE_JOIN_WAIT_S = 2.5  # for stores to come before budgets are founded on what is there
-FIRST_HEARTBEATS_S = 0.5  # for heartbeats to come in, from the beginning of an ownership
+LEAVING_ABSENCE_S = SPARE_TIMEOUT_S + 0.1  # minimum absence counted for a leaving process
+STORE_JOIN_WAIT_S = 2.5  # how long the first placement of budget shards waits for enough stores
+FIRST_HEARTBEATS_S = 0.5  # how long a new owner waits for heartbeats before it proposes orders
 
 Spawn = Callable[[Coroutine[Any, Any, None]], object]
-"""Runs a coroutine beside the others."""
+"""Starts a coroutine as a concurrent task."""
 
 
 class ShardPlacer:
-    """Moves the shards to where they should be, while the configuration's shard is owned here."""
+    """Updates shard placements while this node owns the configuration shard."""
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
     ) -> None:
         self._configuration = configuration
         self._members = members
-        self._size = group_size(tolerated_nodes)
+        self._group_size = group_size(tolerated_nodes)
         self._spawn = spawn
         self._owner_since = 0.0
         self._owned_epoch: int | None = None
-        self._proposing = False  # orders of an earlier pass are being committed
+        self._proposing = False  # whether orders of an earlier pass are being committed
 
     def run(self, now: float) -> None:
-        """Takes the steps that are due now."""
+        """Runs one pass."""
         self._record_ownership(now)
         if self._owned_epoch is None:
             return
@@ -71,13 +71,13 @@
         orders = self._due_orders(now)
         if orders:
             self._proposing = True
-            self._spawn(self._decide_all(orders))
+            self._spawn(self._submit_orders(orders))
 
     def owned_for(self, now: float) -> float:
-        """For how long the configuration's shard has been owned here; 0 where it isn't."""
+        """Returns how long this node has owned the configuration shard; 0 if it does not."""
         replica = self._configuration.replica
-        is_same = replica.is_leader and replica.term == self._owned_epoch
-        return now - self._owner_since if is_same else 0.0
+        still_owner = replica.is_leader and replica.term == self._owned_epoch
+        return now - self._owner_since if still_owner else 0.0
 
     def _record_ownership(self, now: float) -> None:
         replica = self._configuration.replica
@@ -87,14 +87,14 @@
             self._owner_since = now
 
     def _due_orders(self, now: float) -> list[ConfigOrder]:
-        """Disks first: a placement counts on its voters' nodes being known."""
+        """Returns the orders due now; disks come first, as a placement needs its voters' nodes recorded."""
         state = self._configuration.state
         disks = unknown_disk_orders(state, self._members.members(now))
-        placements = [self._placement_order(placed) for placed in self._due_placements(now)]
+        placements = [self._placement_order(placement) for placement in self._due_placements(now)]
         return disks + placements + due_emptied_orders(state, self._members.reports())
 
     def _place_configuration(self, now: float) -> None:
-        """Sets the learners of the configuration's own group, and the voters that it moves towards."""
+        """Sets the learners and the target voters of the configuration shard's own group."""
         replica = self._configuration.replica
         stores = self._configuration.state.stores
         learners = candidates(self._members.staying(now), (), stores_first=False)
@@ -102,7 +102,7 @@
         available = candidates(self._members.staying(now), stores.retiring, stores_first=False)
         voters = next_voters(
             tuple(replica.voters),
-            self._size,
+            self._group_size,
             available,
             lambda voter: self._absence(voter, now),
             [voter for voter in replica.voters if stores.must_be_emptied(voter)],
@@ -110,10 +110,10 @@
         replica.set_target(voters, term=replica.term)
 
     def _absence(self, replica_id: str, now: float) -> float:
-        """For how long a replica has been away.
+        """Returns for how many seconds a replica has been absent.
 
-        One that was never heard of here may still be starting, as may this process; one that leaves may come
-        back, but a spare need not wait for that.
+        No absence is counted from before this ownership: a replica without a heartbeat here may still be
+        starting, as may this process.  A leaving replica may come back, but a spare need not wait for that.
         """
         absence = min(self._members.heartbeat_age(replica_id, now), self.owned_for(now))
         return max(absence, LEAVING_ABSENCE_S) if self._members.is_leaving(replica_id) else absence
@@ -121,15 +121,15 @@
     def _due_placements(self, now: float) -> list[ShardPlacement]:
         state = self._configuration.state
         available = candidates(self._members.staying(now), state.retiring, stores_first=True)
-        placed_shards = {placed.shard for placed in state.placements}
+        placed_shards = {placement.shard for placement in state.placements}
         if not placed_shards.issuperset(budget_shards()):
             stores = [candidate for candidate in available if candidate.preference == PREFERRED]
-            if len(stores) < self._size and self.owned_for(now) < STORE_JOIN_WAIT_S:
+            if len(stores) < self._group_size and self.owned_for(now) < STORE_JOIN_WAIT_S:
                 return []
-            return initial_budget_placements(placed_shards, self._size, available)
+            return initial_budget_placements(placed_shards, self._group_size, available)
         return due_placements(
             state.placements,
-            self._size,
+            self._group_size,
             available,
             self._members,
             state.retiring,
@@ -138,11 +138,11 @@
         )
 
     @staticmethod
-    def _placement_order(placed: ShardPlacement) -> ConfigOrder:
-        return ConfigOrder(OrderKind.PLACEMENT, 0, encode_placement(placed))
+    def _placement_order(placement: ShardPlacement) -> ConfigOrder:
+        return ConfigOrder(OrderKind.PLACEMENT, 0, encode_placement(placement))
 
-    async def _decide_all(self, orders: list[ConfigOrder]) -> None:
-        """One after the other: each counts on those before it."""
+    async def _submit_orders(self, orders: list[ConfigOrder]) -> None:
+        """Submits orders one after the other, as each depends on the earlier ones."""
         try:
             for order in orders:
                 outcome = await self._configuration.decide(order)
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -1,7 +1,8 @@
-"""What the owner of the configuration's shard has to record about disks: which there are, and what is empty.
+"""Orders by which the owner of the configuration shard records disks, and shards that have left a node.
 
-Invariant: a disk is recorded before a shard is placed on it, so that its node follows from a replica's name;
-a shard is recorded as departed from a node only by its own owner's report of a committed group.
+Invariant: a disk is recorded before a shard is placed on it, so that the node of a replica is known from the
+replica's name.  That a shard has left a retiring node is recorded only from a report of a committed group by
+the shard's own owner.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def unknown_disk_orders(state: ConfigurationState, members: Iterable[Member]) -> list[ConfigOrder]:
-    """The orders that record the members' disks where that wasn't done."""
+    """Returns orders to record those disks of the members that are not recorded yet."""
     disks = [
         KnownDisk(member.node, member.replica, member.serves_storage) for member in members if member.replica
     ]
@@ -25,8 +26,8 @@
 
 
 def due_emptied_orders(state: ConfigurationState, reports: dict[str, ShardReport]) -> list[ConfigOrder]:
-    """The orders that record which shards have departed from nodes that are to be emptied."""
-    shards = [CONFIGURATION_SHARD, *(placed.shard for placed in state.placements)]
+    """Returns orders to record which shards have left retiring nodes."""
+    shards = [CONFIGURATION_SHARD, *(placement.shard for placement in state.placements)]
     orders = []
     for node in state.retiring:
         for shard in shards:
@@ -40,7 +41,10 @@
 
 
 def emptied_evidence(node: str, report: ShardReport) -> Emptied | None:
-    """What a report proves of a shard's group: nothing unless it is its owner's and the group is stable."""
+    """Returns the fact that a shard has left a node, if the report is by the shard's owner in a stable group.
+
+    Whether the group really has no voter on the node is checked by the store records (`may_record`).
+    """
     if report.replica != report.owner or not report.stable or not report.committed_voters:
         return None
     return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from kestrelbend.tier.control.member_summaries import PROGRESS_S, MemberSummaries
+from kestrelbend.tier.control.member_summaries import PROGRESS_INTERVAL_S, MemberSummaries
 from kestrelbend.tier.membership.messages import Heartbeat, Member, ShardReport
 from kestrelbend.tier.membership.table import LIVENESS_TIMEOUT_S, MemberTable
 from kestrelbend.tier.protocol.codec import decode, encode
@@ -95,7 +95,7 @@
         self.run_for(1.0, ["c1"])
         connection = self.connection("c1", "c2")
         connection.messages.clear()
-        self.run_for(4 * PROGRESS_S, ["c1"])
+        self.run_for(4 * PROGRESS_INTERVAL_S, ["c1"])
         published = [message for message in connection.messages if message.heartbeats]
         self.assertEqual(4, len(published))
 
