--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -163,7 +163,7 @@
             node.records += [record for _, record in node.unsynced[:kept]]
             node.unsynced, node.deferred_events, node.replica = [], [], None
 
-    def wipe(self, name):
+    def erase_disk(self, name):
         self.lose_power(name)
         node = self.nodes[name]
         node.records = []
--- a/tests/tier/test_replication_placement.py
+++ b/tests/tier/test_replication_placement.py
@@ -242,8 +242,8 @@
                     lambda c=cluster: c.leader().replica.is_stable(c.now), within=CATCHUP_S
                 )
                 self.assertTrue(became_stable)
-                cluster.wipe(leaving)
-                cluster.wipe(target[0])
+                cluster.erase_disk(leaving)
+                cluster.erase_disk(target[0])
                 self.commit_command(cluster, b"after", within=3.0)
                 self.assertEqual(written, cluster.invariants.commands()[: len(written)])
 
@@ -376,7 +376,7 @@
 
     @staticmethod
     def erase_third_disk(cluster):
-        cluster.wipe("c")
+        cluster.erase_disk("c")
         cluster.run(1.0)
         cluster.start("c")
 
--- a/tests/tier/test_replication_search.py
+++ b/tests/tier/test_replication_search.py
@@ -1,4 +1,4 @@
-"""A seeded search: machines, links and disks fail by chance, the shard's promises hold, and calm heals.
+"""Random faults of machines, links and disks by seed: the invariants hold, and the shard recovers afterwards.
 
 `python -m tests.tier.test_replication_search FIRST LAST` runs seeds; each failure names its own.
 """
@@ -11,7 +11,7 @@
 from tests.tier.replication_harness import Cluster
 
 SEEDS = 200
-HURRIED = Timing(  # more leaders and snapshots in the same time
+SHORT_TIMEOUTS = Timing(  # more elections and snapshots in the same time
     heartbeat=0.04,
     election_timeout=0.2,
     rank_step=0.04,
@@ -23,23 +23,23 @@
     snapshot_retry=0.3,
     tail_entries=0,
 )
-STORM_S = 4.0
+FAULT_PHASE_S = 4.0
 COMPACTION_CHANCE = 0.1
-PROGRESS_S = 2.0  # after calm, until a command must be committed
+RECOVERY_S = 2.0  # after the last fault is repaired, until a command must be committed
 
 
-class Storm:
-    """One seed's troubles: at every tick something may break, or be mended."""
+class FaultInjectionRun:
+    """The run of one seed: at every tick a fault may be injected or repaired."""
 
     def __init__(self, seed):
         names = "abcde" if seed % 3 == 0 else "abc"
         others = "xy" if seed % 2 else ""
-        timing = HURRIED if seed % 5 else Timing()
+        timing = SHORT_TIMEOUTS if seed % 5 else Timing()
         self.cluster = Cluster(names, others, seed, timing)
         self.random = self.cluster.random
-        self.lost_disks = 0
+        self.erased_disks = 0
         self.proposed = 0
-        self.harshness = self.random.choice((0.05, 0.15, 0.4))
+        self.fault_probability = self.random.choice((0.05, 0.15, 0.4))
         self.cluster.links.loss = self.random.choice((0.0, 0.02, 0.2))
         self.cluster.links.duplication = self.random.choice((0.0, 0.1))
         self.cluster.links.delay_jitter = self.random.choice((0.0, 0.01, 0.15))
@@ -48,16 +48,16 @@
 
     def run(self):
         self.cluster.run(self.random.choice((0.3, 1.0)))
-        end = self.cluster.now + STORM_S
+        end = self.cluster.now + FAULT_PHASE_S
         while self.cluster.now < end:
-            if self.random.random() < self.harshness:
-                self.trouble()
-            self.work()
+            if self.random.random() < self.fault_probability:
+                self.inject_or_repair_fault()
+            self.submit_commands()
             self.cluster.run(0.02)
         self.check_progress()
         self.check_group()
 
-    def work(self):
+    def submit_commands(self):
         node = self.random.choice(list(self.cluster.nodes.values()))
         if node.is_running and self.random.random() < COMPACTION_CHANCE:
             self.cluster.compact(node.name)
@@ -68,8 +68,8 @@
                 self.cluster.propose(b"command %d" % self.proposed, node)
             self.cluster.confirm_read(node)
 
-    def trouble(self):
-        """Breaks something, or mends something broken."""
+    def inject_or_repair_fault(self):
+        """Injects a fault at a random machine, or repairs one."""
         cluster = self.cluster
         node = self.random.choice([*cluster.nodes.values(), cluster.leader() or cluster.nodes["a"]])
         name = node.name
@@ -82,15 +82,15 @@
         elif cluster.links.cut and self.random.random() < 0.5:
             cluster.heal()
         else:
-            self.break_one(name)
+            self.inject_fault(name)
 
-    def break_one(self, name):
+    def inject_fault(self, name):
         cluster = self.cluster
         kinds = (
-            "power",
-            "bounce",
-            "bounce",
-            "bounce",
+            "lose_power",
+            "restart",
+            "restart",
+            "restart",
             "freeze",
             "stall",
             "isolate",
@@ -99,10 +99,10 @@
             "set_target",
             "set_target",
         )
-        kind = self.random.choice((*kinds, "blackout", "wipe"))
-        if kind == "power":
+        kind = self.random.choice((*kinds, "lose_all_power", "erase_disk"))
+        if kind == "lose_power":
             cluster.lose_power(name)
-        elif kind == "bounce":
+        elif kind == "restart":
             cluster.lose_power(name)
             cluster.start(name)
         elif kind == "freeze":
@@ -117,25 +117,25 @@
             cluster.transfer()
         elif kind == "set_target":
             self.set_target()
-        elif kind == "blackout":
-            self.blackout()
-        elif kind == "wipe":
-            self.wipe(name)
+        elif kind == "lose_all_power":
+            self.lose_all_power()
+        elif kind == "erase_disk":
+            self.erase_disk(name)
 
-    def blackout(self):
-        """Power is lost everywhere, at times with one disk for good."""
+    def lose_all_power(self):
+        """All machines lose power and restart; sometimes one disk is erased as well."""
         names = list(self.cluster.nodes)
         self.cluster.lose_power(*names)
         if self.random.random() < 0.5:
-            self.wipe(self.random.choice(names))
+            self.erase_disk(self.random.choice(names))
         for name in names:
             self.cluster.start(name)
 
-    def wipe(self, name):
-        """A disk is lost: no second one before the group has replaced the first."""
-        if self.lost_disks == 0:
-            self.lost_disks += 1
-            self.cluster.wipe(name)
+    def erase_disk(self, name):
+        """Erases a disk, at most once in a run: the group may not have replaced the first one yet."""
+        if self.erased_disks == 0:
+            self.erased_disks += 1
+            self.cluster.erase_disk(name)
             self.cluster.start(name)
 
     def set_target(self):
@@ -143,8 +143,8 @@
         self.random.shuffle(names)
         self.cluster.set_target(names[: self.random.choice((3, 3, 4, 5))])
 
-    def calm(self):
-        """All machines run, links and disks are sound; lost disks stay lost."""
+    def repair_all(self):
+        """Starts all machines and repairs links and disks; erased disks stay erased."""
         cluster = self.cluster
         cluster.heal()
         cluster.links.loss = cluster.links.duplication = 0.0
@@ -159,49 +159,49 @@
 
     def check_progress(self):
         cluster = self.cluster
-        self.calm()
-        end = cluster.now + PROGRESS_S
-        command = b"after the storm"
+        self.repair_all()
+        end = cluster.now + RECOVERY_S
+        command = b"after the faults"
         while cluster.now < end and not cluster.committed(command):
             cluster.propose(command)
             cluster.run(0.02)
-        assert cluster.committed(command), f"no progress in {PROGRESS_S} s of calm"
+        assert cluster.committed(command), f"no progress in {RECOVERY_S} s without faults"
 
     def check_group(self):
-        """In calm, the group becomes its target, and all of it holds the whole history."""
+        """After the faults, the group becomes its target, and all its voters apply all committed entries."""
         cluster = self.cluster
         names = self.random.sample(list(cluster.nodes), 3)
         target = tuple(cluster.nodes[name].identity for name in names)
         cluster.set_target(names)
-        assert cluster.run_until(lambda: cluster.invariants.group == target, PROGRESS_S), (
-            "not the group wished for"
+        assert cluster.run_until(lambda: cluster.invariants.group == target, RECOVERY_S), (
+            "the target group was not reached"
         )
         cluster.run(0.5)
-        assert cluster.leader().identity in target, "a leader outside of the group"
+        assert cluster.leader().identity in target, "the leader is not in the group"
         for name in names:
-            held = cluster.nodes[name].applied_index
-            assert held == len(cluster.invariants.committed_entries), f"{name} lags in calm"
+            applied = cluster.nodes[name].applied_index
+            assert applied == len(cluster.invariants.committed_entries), f"{name} lags without faults"
 
 
 def failures(first, last):
-    """The seeds that broke a promise, with what they broke."""
+    """The seeds that violated an invariant, with the violations."""
     found = []
     for seed in range(first, last):
         try:
-            Storm(seed).run()
-        except AssertionError as broken:
-            found.append(f"seed {seed}: {broken}")
+            FaultInjectionRun(seed).run()
+        except AssertionError as violation:
+            found.append(f"seed {seed}: {violation}")
     return found
 
 
-class SeededSearch(testtools.TestCase):
-    def test_no_seed_breaks_a_promise(self):
+class SeededSearchTest(testtools.TestCase):
+    def test_random_faults_preserve_the_invariants_for_every_seed(self):
         self.assertEqual([], failures(0, SEEDS))
 
 
 if __name__ == "__main__":
     first, last = int(sys.argv[1]), int(sys.argv[2])
-    broken = failures(first, last)
-    print(*broken, sep="\n")
-    print(f"{last - first} seeds, {len(broken)} failed")
-    sys.exit(bool(broken))
+    violations = failures(first, last)
+    print(*violations, sep="\n")
+    print(f"{last - first} seeds, {len(violations)} failed")
+    sys.exit(bool(violations))
