--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -1,4 +1,4 @@
-"""What a replica holds on its disk while snapshots are taken and installed, and who may lead by it."""
+"""What a replica's disk holds while snapshots are taken and installed, and which replica is elected by it."""
 
 import random
 
@@ -11,28 +11,28 @@
 from kestrelbend.tier.storage import DiskJournal
 from tests.tier.memory_disk import MemoryDisk, PowerLoss
 from tests.tier.replication_harness import Cluster
-from tests.tier.test_snapshots import SMALL_CHUNKS, cluster_with_a_member_away, is_current
+from tests.tier.test_snapshots import SMALL_CHUNKS, cluster_with_a_stopped_replica, is_caught_up
 
 GROUP = ("a", "b", "c")
 TIMING = Timing(tail_entries=2)
 
 
-class Disk:
-    """A log with its writes: any may be done later, or be lost with the power."""
+class LogAndDisk:
+    """A log with its writes: any of them may complete later or be lost in a power loss."""
 
-    def __init__(self, chance):
-        self.chance = chance
+    def __init__(self, rng):
+        self.rng = rng
         self.log = ReplicaLog(DurableState(snapshot=Snapshot(voters=GROUP)))
         self.commit = 0
         self.term = 1
         self.ticket = 0
-        self.written = [record_of((), Snapshot(voters=GROUP))]
-        self.waiting = []
+        self.written_records = [record_of((), Snapshot(voters=GROUP))]
+        self.pending_writes = []
 
     def step(self):
-        self.chance.choice(
+        self.rng.choice(
             (self.append, self.append, self.replace, self.advance, self.compact, self.install, self.write)
-            + (self.finish, self.finish)
+            + (self.complete_write, self.complete_write)
         )()
 
     def append(self):
@@ -42,25 +42,25 @@
         return Entry(index, self.term, EntryKind.COMMAND, b"%d of %d" % (index, self.term))
 
     def replace(self):
-        """Another leader's entries come in place of what is not committed."""
+        """Entries of another leader replace uncommitted ones."""
         if self.log.last_index > self.commit:
             self.term += 1
-            first = self.chance.randint(self.commit + 1, self.log.last_index)
+            first = self.rng.randint(self.commit + 1, self.log.last_index)
             self.log.replace_from([self.entry(index) for index in range(first, first + 3)])
 
     def advance(self):
-        self.commit = self.chance.randint(self.commit, self.log.last_index)
+        self.commit = self.rng.randint(self.commit, self.log.last_index)
 
     def compact(self):
         if self.commit > self.log.snapshot.index:
-            index = self.chance.randint(self.log.snapshot.index + 1, self.commit)
+            index = self.rng.randint(self.log.snapshot.index + 1, self.commit)
             self.log.compact(index, b"state %d" % index, TIMING, index)
 
     def install(self):
-        """A leader's snapshot, of an entry that the log holds, or of one that it lacks or holds otherwise."""
-        index = self.commit + self.chance.randint(1, 6)
+        """Installs a leader's snapshot at an entry that the log holds, lacks, or holds with another term."""
+        index = self.commit + self.rng.randint(1, 6)
         term = self.log.term_at(index)
-        if term is None or self.chance.random() < 0.5:
+        if term is None or self.rng.random() < 0.5:
             self.term += 1
             term = self.term
         self.log.install_snapshot(Snapshot(index, term, GROUP, b"state %d" % index), self.commit)
@@ -69,26 +69,26 @@
     def write(self):
         if self.log.has_unwritten():
             self.ticket += 1
-            self.waiting.append((self.ticket, record_of(*self.log.begin_write(self.ticket))))
+            self.pending_writes.append((self.ticket, record_of(*self.log.begin_write(self.ticket))))
 
-    def finish(self):
-        if self.waiting:
-            ticket, record = self.waiting.pop(0)
-            self.written.append(record)
+    def complete_write(self):
+        if self.pending_writes:
+            ticket, record = self.pending_writes.pop(0)
+            self.written_records.append(record)
             self.log.end_write(ticket)
 
     def check(self):
-        """What counts as durable is on the disk, whatever part of the waiting writes is there too."""
-        for kept in range(len(self.waiting) + 1):
-            records = self.written + [record for _, record in self.waiting[:kept]]
+        """Durable entries are on the disk, whichever prefix of the pending writes is there too."""
+        for kept in range(len(self.pending_writes) + 1):
+            records = self.written_records + [record for _, record in self.pending_writes[:kept]]
             held = replay(records)
             entries = {entry.index: entry for entry in held.entries}
             indexes = list(range(held.snapshot.index + 1, held.snapshot.index + 1 + len(held.entries)))
-            assert list(entries) == indexes, "a hole on the disk"
+            assert list(entries) == indexes, "the disk holds entries with a gap"
             for index in range(self.log.base_index + 1, self.log.durable_index + 1):
                 term = self.log.term_at(index)
                 if index > held.snapshot.index:
-                    assert entries[index].term == term, f"{index} is another one on the disk"
+                    assert entries[index].term == term, f"the disk holds another entry at {index}"
             assert held.snapshot.index + len(held.entries) >= self.log.durable_index
 
 
@@ -96,15 +96,15 @@
     return DurableRecord("shard", "a", 1, "", tuple(entries), snapshot)
 
 
-class DurabilityPromises(testtools.TestCase):
-    def test_whatever_is_taken_installed_replaced_or_lost_the_disk_holds_what_counts_as_durable(self):
+class SnapshotDurabilityTest(testtools.TestCase):
+    def test_the_disk_holds_all_durable_entries_after_any_sequence_of_log_changes_and_losses(self):
         for seed in range(600):
-            disk = Disk(random.Random(seed))
+            disk = LogAndDisk(random.Random(seed))
             for _ in range(40):
                 disk.step()
                 disk.check()
 
-    def test_compacting_unwritten_entries_keeps_them_until_they_are_written(self):
+    def test_compaction_keeps_unwritten_entries_until_they_are_written(self):
         log = ReplicaLog(DurableState(snapshot=Snapshot(voters=GROUP)))
         for index in range(1, 6):
             log.append(Entry(index, 1, EntryKind.COMMAND))
@@ -115,7 +115,7 @@
         log.end_write(1)
         self.assertEqual(5, log.durable_index)
 
-    def test_a_large_record_torn_anywhere_is_gone_as_a_whole_and_nothing_before_it(self):
+    def test_a_large_record_torn_at_any_point_is_dropped_whole_and_earlier_records_are_kept(self):
         state = bytes(range(256)) * 64
         records = [
             record_of((Entry(1, 1, EntryKind.COMMAND, b"first"),), None),
@@ -125,7 +125,7 @@
         endings = 0
         for step in range(10):
             disk = MemoryDisk()
-            journal_on(disk, []).maintain()  # the files are made ahead
+            journal_on(disk, []).maintain()  # creates the files in advance
             acknowledged = []
             disk.fail_at = step
             try:
@@ -158,22 +158,25 @@
     return journal
 
 
-class LeadingStories(testtools.TestCase):
-    def test_a_member_with_a_part_of_a_snapshot_never_leads_by_its_old_log(self):
+class SnapshotElectionTest(testtools.TestCase):
+    def test_a_replica_with_a_partial_snapshot_is_not_elected_by_its_old_log(self):
         for share in range(1, 12):
-            cluster = cluster_with_a_member_away()
+            cluster = cluster_with_a_stopped_replica()
             cluster.links.bandwidth = 20_000
             cluster.start("c")
             cluster.run(0.1 * share)
             cluster.lose_power("a")
             self.assertTrue(cluster.run_until(cluster.leader, 3.0))
             cluster.propose(b"after the loss")
-            self.assertTrue(cluster.run_until(lambda w=cluster: w.committed(b"after the loss"), 5.0), share)
-            self.assertTrue(cluster.run_until(lambda w=cluster: is_current(w), 1.0), share)
+            self.assertTrue(
+                cluster.run_until(lambda simulated=cluster: simulated.committed(b"after the loss"), 5.0),
+                share,
+            )
+            self.assertTrue(cluster.run_until(lambda simulated=cluster: is_caught_up(simulated), 1.0), share)
             self.assertEqual("b", cluster.leader().name)
 
-    def test_a_member_that_lost_an_installed_snapshot_with_the_power_votes_for_the_others_alone(self):
-        cluster = cluster_with_a_member_away()
+    def test_a_replica_that_lost_an_installed_snapshot_in_a_power_loss_is_not_elected(self):
+        cluster = cluster_with_a_stopped_replica()
         cluster.stall_disk("c")
         cluster.start("c")
         cluster.stall_disk("c")
@@ -185,10 +188,10 @@
         cluster.start("c")
         self.assertTrue(cluster.run_until(cluster.leader, 3.0))
         self.assertEqual("b", cluster.leader().name)
-        self.assertTrue(cluster.run_until(lambda: is_current(cluster), 3.0))
+        self.assertTrue(cluster.run_until(lambda: is_caught_up(cluster), 3.0))
 
-    def test_an_installed_snapshot_that_is_not_written_counts_for_no_majority(self):
-        cluster = cluster_with_a_member_away()
+    def test_an_installed_snapshot_that_is_not_durable_counts_for_no_majority(self):
+        cluster = cluster_with_a_stopped_replica()
         cluster.start("c")
         cluster.stall_disk("c")
         cluster.run(1.0)
@@ -198,7 +201,7 @@
         cluster.run(0.3)
         self.assertFalse(cluster.committed(b"only on one disk"))
 
-    def test_a_restarted_member_that_is_alone_with_an_older_one_leads_with_all_that_was_acknowledged(self):
+    def test_a_restarted_replica_beside_an_older_one_leads_with_all_acknowledged_entries(self):
         for seed in range(12):
             cluster = Cluster("abc", timing=SMALL_CHUNKS, seed=seed)
             cluster.run(1.0)
@@ -214,4 +217,4 @@
             cluster.start("c")
             self.assertTrue(cluster.run_until(cluster.leader, 3.0))
             self.assertEqual("b", cluster.leader().name)
-            self.assertTrue(cluster.run_until(lambda world=cluster: is_current(world), 3.0))
+            self.assertTrue(cluster.run_until(lambda simulated=cluster: is_caught_up(simulated), 3.0))
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -1,4 +1,4 @@
-"""A store that was away comes back to the largest state there is, over the narrowest link, under load."""
+"""A restarted store catches up with the largest possible state, over the slowest link, under load."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from kestrelbend.tier.fleet.fleet import Size
 from tests.tier.fleet_story import FleetStory
 
-NARROW = 15_000_000 / 8  # bytes a second
+NARROW_LINK_RATE = 15_000_000 / 8  # bytes per second
 CATCH_UP_S = 4.0
-MOST_SILENCE_S = 0.3  # an election follows after 0.45
+MAX_SILENCE_S = 0.3  # an election follows after 0.45 s
 SHARD = "budget-0"
-FILLED = MAX_ACTIVE_PROGRAMS - 300  # the rest are those of the day
-TURNS = 64
-TAIL = 520  # entries, more than are kept before a snapshot
-FORGOTTEN_S = 11.0  # longer than entries are kept for who is away
+FILLED_PROGRAMS = MAX_ACTIVE_PROGRAMS - 300  # leaves room for the programs of the running fleet
+TURNS_PER_PROGRAM = 64
+TAIL_COMMANDS = 520  # more entries than are kept before a snapshot
+STOPPED_S = 11.0  # longer than entries are kept for a stopped follower
 
 
 def full_table():
-    """The saved form of a table whose programs in use have all that a program may have."""
+    """The snapshot of a table whose active programs hold as much state as a program may hold."""
     table = BudgetTable()
-    for number in range(MAX_IDLE_PROGRAMS + FILLED):
+    for number in range(MAX_IDLE_PROGRAMS + FILLED_PROGRAMS):
         name = f"program-{number:012d}-of-earlier-days"
-        turns = TURNS if number >= MAX_IDLE_PROGRAMS else 1
+        turns = TURNS_PER_PROGRAM if number >= MAX_IDLE_PROGRAMS else 1
         for turn in range(turns):
             session, reservation = f"session-{turn:08d}", f"reservation-{number}-{turn:08d}"
             table.reserve(Reserve(name, session, reservation, turn, 100, 10**9, True))
@@ -31,18 +31,18 @@
     return table.snapshot()
 
 
-def hosts_of(world, shard):
+def store_hosts(world, shard):
     processes = world.fleet.processes("store")
     return [p.instance.host for p in processes if p.instance.host.replica(shard) is not None]
 
 
-def owner_of(world, shard):
-    return next((host for host in hosts_of(world, shard) if host.replica(shard).is_leader), None)
+def leading_host(world, shard):
+    return next((host for host in store_hosts(world, shard) if host.replica(shard).is_leader), None)
 
 
-async def propose_many(world, count, pause):
+async def propose_commands(world, count, pause):
     for number in range(count):
-        host = owner_of(world, SHARD)
+        host = leading_host(world, SHARD)
         reserve = Reserve("load", f"s{number % 8}", f"load {world.fleet.now()}", number, 1, 0, True)
         if host is not None:
             host.propose(SHARD, encode_commands((), (reserve,)), lambda outcome: None, world.fleet.now())
@@ -50,63 +50,73 @@
         await asyncio.sleep(pause)
 
 
-async def fill(world, state):
-    """Puts the programs of earlier days in front of those of today, on all replicas after the same entry."""
-    hosts = hosts_of(world, SHARD)
+async def fill_tables(world, state):
+    """Puts the filled table's programs before the present ones, on all replicas after the same entry."""
+    hosts = store_hosts(world, SHARD)
     while len({host.replica(SHARD).applied_index for host in hosts}) > 1:
         await asyncio.sleep(0.005)
     for host in hosts:
         table = host.state_machine(SHARD).table
-        earlier = BudgetTable()
-        earlier.restore(state)
-        earlier.snapshot()
-        table._active = {**earlier._active, **table._active}
-        table._idle._programs = {**earlier._idle._programs, **table._idle._programs}
+        filled_table = BudgetTable()
+        filled_table.restore(state)
+        filled_table.snapshot()
+        table._active = {**filled_table._active, **table._active}
+        table._idle._programs = {**filled_table._idle._programs, **table._idle._programs}
         host.replica(SHARD).compact(host.replica(SHARD).applied_index, table.snapshot())
 
 
-class TestLargestState(FleetStory):
-    def test_a_store_catches_up_within_its_time_and_nobody_is_voted_out(self):
-        async def story(world):
+class TestLargestSnapshot(FleetStory):
+    def test_a_store_catches_up_in_time_and_the_leader_is_not_replaced(self):
+        async def scenario(world):
             fleet = world.fleet
-            store = next(m for m in fleet.stores() if not owns(m, SHARD))
+            store = next(m for m in fleet.stores() if not leads(m, SHARD))
             fleet.kill(store)
-            await asyncio.sleep(FORGOTTEN_S)
-            await propose_many(world, TAIL, 0.002)
-            await fill(world, state)
-            owner = owner_of(world, SHARD)
-            epoch, size = owner.replica(SHARD).term, len(owner.state_machine(SHARD).snapshot())
-            fleet.network.limit_bandwidth(store.spec.ip, NARROW)
+            await asyncio.sleep(STOPPED_S)
+            await propose_commands(world, TAIL_COMMANDS, 0.002)
+            await fill_tables(world, state)
+            leader_host = leading_host(world, SHARD)
+            initial_term, size = (
+                leader_host.replica(SHARD).term,
+                len(leader_host.state_machine(SHARD).snapshot()),
+            )
+            fleet.network.limit_bandwidth(store.spec.ip, NARROW_LINK_RATE)
             fleet.start(store)
-            began = fleet.now()
-            load = asyncio.create_task(propose_many(world, 1_000, 0.01))
-            target = owner.replica(SHARD).commit_index
-            silence = 0.0
-            while applied(store, SHARD) < target and fleet.now() < began + 30:
+            started_at = fleet.now()
+            load = asyncio.create_task(propose_commands(world, 1_000, 0.01))
+            target = leader_host.replica(SHARD).commit_index
+            observed_silence = 0.0
+            while applied_index_at(store, SHARD) < target and fleet.now() < started_at + 30:
                 await asyncio.sleep(0.02)
-                silence = max(silence, longest_silence(store, fleet.now()))
-            took, wire = fleet.now() - began, size / NARROW
-            fleet.log(f"{size} bytes, {wire:.2f} s on the wire, caught up after {took:.2f} s")
-            figures.append((size, round(wire, 2), round(took, 2)))
-            fleet.log(f"the longest time that a replica heard no owner: {silence:.2f} s on the wire")
-            if silence > MOST_SILENCE_S:
-                fleet.report_violation("heartbeats waited behind the snapshot")
-            if took > wire + CATCH_UP_S:
-                fleet.report_violation("the store has not caught up in time")
-            if owner_of(world, SHARD) is not owner or owner.replica(SHARD).term != epoch:
-                fleet.report_violation("the leader was voted out meanwhile")
+                observed_silence = max(observed_silence, max_silence(store, fleet.now()))
+            elapsed, transfer_time = fleet.now() - started_at, size / NARROW_LINK_RATE
+            fleet.log(
+                f"{size} bytes, {transfer_time:.2f} s at the link's rate, caught up after {elapsed:.2f} s"
+            )
+            measurements.append((size, round(transfer_time, 2), round(elapsed, 2)))
+            fleet.log(f"longest time without a leader's message: {observed_silence:.2f} s")
+            if observed_silence > MAX_SILENCE_S:
+                fleet.report_violation("heartbeats were delayed by the snapshot")
+            if elapsed > transfer_time + CATCH_UP_S:
+                fleet.report_violation("the store did not catch up in time")
+            if (
+                leading_host(world, SHARD) is not leader_host
+                or leader_host.replica(SHARD).term != initial_term
+            ):
+                fleet.report_violation("the leader was replaced during the transfer")
             await load
             fleet.network.remove_bandwidth_limit(store.spec.ip)
             await asyncio.sleep(1.0)
 
-        figures = []
+        measurements = []
         state = full_table()
-        self.tell(story, size=Size(control=3, stores=3, gateways=1))
-        self.assertGreater(figures[0][0], 11_000_000)
+        self.tell(scenario, size=Size(control=3, stores=3, gateways=1))
+        self.assertGreater(measurements[0][0], 11_000_000)
 
 
-def longest_silence(machine, now):
-    """Of all replicas there that have heard a leader in this life."""
+def max_silence(machine, now):
+    """The longest time without a leader's message, of the machine's replicas that had contact in this
+    incarnation.
+    """
     process = machine.processes["store"]
     if process.instance is None:
         return 0.0
@@ -115,11 +125,11 @@
     return max([now - one.last_contact for one in replicas if one.last_contact > 0], default=0.0)
 
 
-def owns(machine, shard):
+def leads(machine, shard):
     return machine.processes["store"].instance.host.replica(shard).is_leader
 
 
-def applied(machine, shard):
+def applied_index_at(machine, shard):
     process = machine.processes["store"]
     replica = process.instance.host.replica(shard) if process.instance is not None else None
     return 0 if replica is None else replica.applied_index
