--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -1,7 +1,7 @@
-"""A data plane on virtual time between scripted clients and backends; no sockets, no waiting.
+"""Simulates a data plane between scripted clients and backends on virtual time, without sockets.
 
-Backends speak real bytes: requests are parsed by h11 on their side, answers go through the gateway's own
-`TcpStream` and httpcore.
+Backends exchange real bytes with the gateway: they parse requests with h11, and their responses pass through
+the gateway's own `TcpStream` and httpcore.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Lets time pass at once; nothing is ever readable."""
+    """A selector that advances the virtual clock instead of waiting; nothing is ever readable."""
 
     loop: VirtualLoop
 
     def select(self, timeout=None):
         if timeout is None:
-            raise AssertionError("the story waits for something that never comes")
+            raise AssertionError("the scenario waits for an event that never occurs")
         self.loop.now += max(0.0, timeout)
         return []
 
@@ -68,7 +68,7 @@
             self.pump()
 
     def pump(self) -> None:
-        """Hands over what the backend's window has room for."""
+        """Delivers as many bytes as the backend's receive window allows."""
         window = self._connection.window
         size = len(self._unsent) if window is None else min(window, len(self._unsent))
         data = bytes(self._unsent[:size])
@@ -76,7 +76,7 @@
         if window is not None:
             self._connection.window = window - size
         if data:
-            self._connection.arrived(data)
+            self._connection.deliver(data)
 
     def get_write_buffer_size(self) -> int:
         return len(self._unsent)
@@ -100,8 +100,8 @@
 
 
 @attrs.define
-class Asked:
-    """A request as a backend got it."""
+class BackendRequest:
+    """A request as a backend received it."""
 
     method: str
     target: str
@@ -112,10 +112,10 @@
 
 
 @attrs.define
-class Cut:
-    """A backend that reads so many bytes of the next request, then does this: `close`, `reset`, `silence`."""
+class Interruption:
+    """Makes a backend read this many more bytes and then `close`, `reset` or stop responding (`silence`)."""
 
-    left: int
+    remaining_bytes: int
     ending: str
 
 
@@ -124,8 +124,8 @@
 
     def __init__(self, backend: ScriptedBackend) -> None:
         self._backend = backend
-        self.received = bytearray()  # all bytes that reached the backend's machine
-        self.window: int | None = backend.window  # bytes that it takes before it reads on; None: any number
+        self.received = bytearray()  # all bytes delivered, whether the backend reads them or not
+        self.window: int | None = backend.window  # bytes it still accepts; None: unlimited
         self.silent = False
         self._parser = h11.Connection(h11.SERVER)
         self._woken = asyncio.Event()
@@ -137,29 +137,29 @@
     def wake(self) -> None:
         self._woken.set()
 
-    def arrived(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         self.received += data
         if self.silent:
             return
-        self._parser.receive_data(self._until_cut(data))
+        self._parser.receive_data(self._until_interruption(data))
         self.wake()
 
-    def _until_cut(self, data: bytes) -> bytes:
-        """What the backend reads of `data`; where it stops reading, its cut happens."""
-        cut = self._backend.cut
-        if cut is None:
+    def _until_interruption(self, data: bytes) -> bytes:
+        """Returns the part of `data` that the backend reads; triggers the interruption when it is reached."""
+        interruption = self._backend.interruption
+        if interruption is None:
             return data
-        read = data[: cut.left]
-        cut.left -= len(read)
-        if not cut.left:
-            self._backend.cut = None
+        read = data[: interruption.remaining_bytes]
+        interruption.remaining_bytes -= len(read)
+        if not interruption.remaining_bytes:
+            self._backend.interruption = None
             self.silent = True
-            if cut.ending != "silence":
-                asyncio.get_running_loop().call_soon(getattr(self, cut.ending))
+            if interruption.ending != "silence":
+                asyncio.get_running_loop().call_soon(getattr(self, interruption.ending))
         return read
 
-    def read_on(self) -> None:
-        """Takes all that was sent, from now on."""
+    def open_window(self) -> None:
+        """Accepts all pending and future bytes."""
         self.window = None
         self.transport.pump()
 
@@ -180,14 +180,14 @@
 
     async def serve(self) -> None:
         while True:
-            asked = await self._next()
-            if asked is None:
+            received = await self._next()
+            if received is None:
                 return
-            self._backend.asked.append(asked)
-            await self._backend.handler()(asked)
+            self._backend.requests.append(received)
+            await self._backend.handler()(received)
             self._parser = h11.Connection(h11.SERVER)
 
-    async def _next(self) -> Asked | None:
+    async def _next(self) -> BackendRequest | None:
         request, body = None, b""
         while True:
             event = self._parser.next_event()
@@ -203,29 +203,31 @@
             elif isinstance(event, h11.EndOfMessage):
                 fields = {name.decode(): value.decode() for name, value in request.headers}
                 now = asyncio.get_running_loop().time()
-                return Asked(request.method.decode(), request.target.decode(), fields, body, now, self)
+                return BackendRequest(
+                    request.method.decode(), request.target.decode(), fields, body, now, self
+                )
             else:
                 return None
 
 
-Handler = Callable[[Asked], Awaitable[None]]
+Handler = Callable[[BackendRequest], Awaitable[None]]
 
 
 class ScriptedBackend:
-    """Answers its requests by its scripts, one each; the last script stays."""
+    """A backend that answers each request with its next script; the last script is repeated."""
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
-        self.asked: list[Asked] = []
+        self.requests: list[BackendRequest] = []
         self.connections: list[BackendConnection] = []
         self.refusing = False
         self.unreachable = False
         self.resetting = False
-        self.cut: Cut | None = None
-        self.window: int | None = None  # of its connections
-        self._scripts: list[Handler] = [whole()]
+        self.interruption: Interruption | None = None
+        self.window: int | None = None  # the initial receive window of its connections; None: unlimited
+        self._scripts: list[Handler] = [complete_response()]
 
-    def answers(self, *scripts: Handler) -> ScriptedBackend:
+    def respond_with(self, *scripts: Handler) -> ScriptedBackend:
         self._scripts = list(scripts)
         return self
 
@@ -234,39 +236,41 @@
 
     @property
     def ids(self) -> list[str]:
-        return [asked.fields["x-kestrelbend-request-id"] for asked in self.asked]
+        return [received.fields["x-kestrelbend-request-id"] for received in self.requests]
 
-    def sends_of(self, number: int) -> int:
-        """How often a byte of the try's id was handed to the network for this backend, read or not."""
+    def count_sends(self, number: int) -> int:
+        """How often the id of request `number` was sent to this backend, whether it was read or not."""
         mark = b"try-%d\r\n" % number
         return sum(connection.received.count(mark) for connection in self.connections)
 
 
-def head(asked: Asked, status: int = 200, *lines: bytes, stamp: bool = True) -> bytes:
+def response_head(received: BackendRequest, status: int = 200, *lines: bytes, stamp: bool = True) -> bytes:
     out = [b"HTTP/1.1 %d X" % status]
-    out.append(b"X-Kestrelbend-Request-Id: " + asked.fields["x-kestrelbend-request-id"].encode())
+    out.append(b"X-Kestrelbend-Request-Id: " + received.fields["x-kestrelbend-request-id"].encode())
     if stamp:
         out.append(b"X-Kestrelbend-Server-Stamp: " + STAMP)
     return b"\r\n".join([*out, *lines, b"", b""])
 
 
-def whole(body: bytes = b"whole", status: int = 200, after: float = 0.01, *lines: bytes, behind=b""):
-    """A plain answer with its length, and bytes behind it."""
+def complete_response(
+    body: bytes = b"whole", status: int = 200, after: float = 0.01, *lines: bytes, behind=b""
+):
+    """A plain response with Content-Length, followed by the bytes `behind`."""
 
-    async def script(asked: Asked) -> None:
+    async def script(received: BackendRequest) -> None:
         await asyncio.sleep(after)
         length = b"Content-Length: %d" % len(body)
-        asked.connection.send(head(asked, status, length, *lines) + body + behind)
+        received.connection.send(response_head(received, status, length, *lines) + body + behind)
 
     return script
 
 
-def turned_away(status: int = 503, marked: bool = True):
-    """A refusal; `marked`: it says that the request did not run."""
+def rejection(status: int = 503, marked: bool = True):
+    """A rejection; if `marked`, it states that the request was not executed."""
 
-    async def script(asked: Asked) -> None:
+    async def script(received: BackendRequest) -> None:
         lines = [b"X-Kestrelbend-Not-Executed: 1"] if marked else []
-        asked.connection.send(head(asked, status, b"Content-Length: 0", *lines))
+        received.connection.send(response_head(received, status, b"Content-Length: 0", *lines))
 
     return script
 
@@ -275,12 +279,14 @@
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
-def events(numbers, pause: float = 0.02, ending: str = "end", part: bytes = b""):
-    """A stream of events that ends properly, or by `close`, `reset` or silence after part of an event."""
+def event_stream(numbers, pause: float = 0.02, ending: str = "end", part: bytes = b""):
+    """An event stream that ends properly, or by `close`, `reset` or silence after `part` of an event."""
 
-    async def script(asked: Asked) -> None:
-        connection = asked.connection
-        connection.send(head(asked, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked"))
+    async def script(received: BackendRequest) -> None:
+        connection = received.connection
+        connection.send(
+            response_head(received, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked")
+        )
         for number in numbers:
             await asyncio.sleep(pause)
             connection.send(b"%x\r\n%s\r\n" % (len(event(number)), event(number)))
@@ -297,12 +303,14 @@
     return script
 
 
-def chunks(data: bytes, ending: str, pause: float = 0.0):
-    """Any bytes of a stream, one a chunk, that ends properly (`end`), by `close` or by `reset`."""
+def chunked_stream(data: bytes, ending: str, pause: float = 0.0):
+    """A stream of arbitrary bytes, one per chunk, that ends properly (`end`), by `close` or by `reset`."""
 
-    async def script(asked: Asked) -> None:
-        connection = asked.connection
-        connection.send(head(asked, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked"))
+    async def script(received: BackendRequest) -> None:
+        connection = received.connection
+        connection.send(
+            response_head(received, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked")
+        )
         for number in range(len(data)):
             await asyncio.sleep(pause)
             connection.send(b"1\r\n%s\r\n" % data[number : number + 1])
@@ -315,31 +323,31 @@
     return script
 
 
-def raw(data: bytes, ending: str = "", after: float = 0.01):
-    """Any bytes, then nothing, `close` or `reset`."""
+def raw_response(data: bytes, ending: str = "", after: float = 0.01):
+    """Arbitrary bytes, then nothing, `close` or `reset`."""
 
-    async def script(asked: Asked) -> None:
+    async def script(received: BackendRequest) -> None:
         await asyncio.sleep(after)
-        asked.connection.send(data)
+        received.connection.send(data)
         if ending:
-            getattr(asked.connection, ending)()
+            getattr(received.connection, ending)()
 
     return script
 
 
-def breaks(ending: str = "reset", after: float = 0.01):
-    """No answer at all."""
-    return raw(b"", ending, after)
+def drop_connection(ending: str = "reset", after: float = 0.01):
+    """Ends the connection without a response."""
+    return raw_response(b"", ending, after)
 
 
-def silent():
-    """Takes the request and never answers."""
-    return raw(b"")
+def no_response():
+    """Reads the request and never responds."""
+    return raw_response(b"")
 
 
 @attrs.define
-class Got:
-    """What a client got: `complete` where its answer ended properly."""
+class ClientResponse:
+    """The response a client received; `complete` if it ended properly."""
 
     status: int | None = None
     fields: dict[str, str] = attrs.field(factory=dict)
@@ -350,12 +358,12 @@
     parts: list[tuple[float, bytes]] = attrs.field(factory=list)
 
     @property
-    def stamped(self) -> bool:
+    def has_stamp(self) -> bool:
         return "x-kestrelbend-server-stamp" in self.fields
 
 
 class FakeBudget:
-    """A budget by script; keeps what it was asked and told."""
+    """A budget with a fixed verdict that records reservations and settlements."""
 
     def __init__(self) -> None:
         self.verdict = Verdict.ADMITTED
@@ -403,19 +411,19 @@
 }
 
 
-class World:
-    """Backends, a data plane and clients; also the data plane's routing, backends and network."""
+class Simulation:
+    """Backends, a data plane and clients; implements the data plane's routing, backends and network ports."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
-        weakref.finalize(self, self.loop.close)  # also of a world that is never run
+        weakref.finalize(self, self.loop.close)  # also if the simulation is never run
         self.table: RoutingTable | None = RoutingTable(1, ROUTES, SERVICES, Limits())
         self.budget = FakeBudget()
         self.lifecycle = Lifecycle()
         self.lifecycle.set_ready(True)
         self.scripted: dict[str, ScriptedBackend] = {}
         self.live: dict[str, Backend] = {}
-        self.gone: list[str] = []
+        self.departed: list[str] = []
         self._tasks: set[asyncio.Task] = set()
         self._numbers = 0
         self.configuration_is_current = True
@@ -430,7 +438,7 @@
         )
         self.plane = build_data_plane(dependencies, self.lifecycle, random.Random(1))
 
-    # Ports
+    # The data plane's ports
 
     def current(self) -> RoutingTable | None:
         return self.table
@@ -439,7 +447,7 @@
         return tuple(backend for backend in self.live.values() if backend.service == service)
 
     def mark_departed(self, identity: str) -> None:
-        self.gone.append(identity)
+        self.departed.append(identity)
         self.live.pop(identity, None)
 
     async def connect(self, address: str, timeout_s: float) -> TcpStream:
@@ -457,7 +465,7 @@
         self._tasks.add(asyncio.ensure_future(connection.serve()))
         return connection.stream
 
-    # Scenery
+    # Backends, clients and the run itself
 
     def backend(
         self, identity: str, service: str = "tools", slots: int = 4, zone: str = ZONE
@@ -468,44 +476,44 @@
         self.scripted[address] = ScriptedBackend(backend)
         return self.scripted[address]
 
-    def run(self, story: Awaitable, within_s: float = 600):
-        """Plays a story to its end, and what it left running a little longer."""
+    def run(self, scenario: Awaitable, within_s: float = 600):
+        """Runs a scenario to its end, then cancels the backends' tasks and waits for them."""
 
-        async def play():
+        async def run_scenario():
             try:
-                return await asyncio.wait_for(story, within_s)
+                return await asyncio.wait_for(scenario, within_s)
             finally:
                 for task in self._tasks:
                     task.cancel()
                 await asyncio.gather(*self._tasks, return_exceptions=True)
 
         try:
-            return self.loop.run_until_complete(play())
+            return self.loop.run_until_complete(run_scenario())
         finally:
             self.loop.close()
 
     @property
-    def next_number(self) -> int:
-        """The number of the next try, as in its id `try-NUMBER`."""
+    def next_request_number(self) -> int:
+        """The number of the next request, as in its id `try-NUMBER`."""
         return self._numbers + 1
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         *,
         method: str = "POST",
         body: bytes = b"question",
         fields: dict[str, str] | None = None,
-        leave_after: float | None = None,
+        disconnect_after: float | None = None,
         chunks: tuple[bytes, ...] = (),
-        without: tuple[str, ...] = (),
-        body_after: float = 0.0,
-        reads: bool = True,
-    ) -> Got:
-        """One client's request.
-
-        `leave_after`: it closes its connection then; `body_after`: its body ends then; `reads`: it takes what
-        is sent to it.
+        omitted_headers: tuple[str, ...] = (),
+        body_delay: float = 0.0,
+        reads_response: bool = True,
+    ) -> ClientResponse:
+        """Sends one client's request.
+
+        `disconnect_after`: seconds until the client closes its connection; `body_delay`: seconds until its
+        body is complete; `reads_response`: whether it reads the response body.
         """
         self._numbers += 1
         headers = {
@@ -520,45 +528,47 @@
             "type": "http", "http_version": "1.1", "method": method,
             "path": raw_path, "raw_path": raw_path.encode(),
             "query_string": query.encode(),
-            "headers": [(k.encode(), v.encode()) for k, v in headers.items() if k not in without],
+            "headers": [(k.encode(), v.encode()) for k, v in headers.items() if k not in omitted_headers],
         }  # fmt: skip
         inbox: asyncio.Queue = asyncio.Queue()
         for part in chunks or (body,):
             inbox.put_nowait({"type": "http.request", "body": part, "more_body": True})
         loop = asyncio.get_running_loop()
         end = {"type": "http.request", "body": b"", "more_body": False}
-        if body_after:
-            loop.call_later(body_after, inbox.put_nowait, end)
+        if body_delay:
+            loop.call_later(body_delay, inbox.put_nowait, end)
         else:
             inbox.put_nowait(end)
-        if leave_after is not None:
-            loop.call_later(leave_after, inbox.put_nowait, {"type": "http.disconnect"})
-        got = Got()
-        await self.plane(scope, inbox.get, lambda message: _receive(got, message, reads))
-        got.at = loop.time()
-        return got
+        if disconnect_after is not None:
+            loop.call_later(disconnect_after, inbox.put_nowait, {"type": "http.disconnect"})
+        response = ClientResponse()
+        await self.plane(scope, inbox.get, lambda message: _receive(response, message, reads_response))
+        response.at = loop.time()
+        return response
 
 
-async def _receive(got: Got, message: dict, reads: bool) -> None:
+async def _receive(response: ClientResponse, message: dict, reads_response: bool) -> None:
     now = asyncio.get_running_loop().time()
-    if not reads and message["type"] == "http.response.body":
+    if not reads_response and message["type"] == "http.response.body":
         await asyncio.sleep(FOREVER_S)
     if message["type"] == "http.response.start":
-        assert got.status is None, "two answers"
-        got.status, got.head_at = message["status"], now
-        got.fields = {name.decode(): value.decode() for name, value in message["headers"]}
+        assert response.status is None, "two responses"
+        response.status, response.head_at = message["status"], now
+        response.fields = {name.decode(): value.decode() for name, value in message["headers"]}
     else:
-        assert got.status is not None and not got.complete, "bytes outside an answer"
-        got.body += message["body"]
+        assert response.status is not None and not response.complete, "bytes outside a response"
+        response.body += message["body"]
         if message["body"]:
-            got.parts.append((now, message["body"]))
-        got.complete = not message["more_body"]
+            response.parts.append((now, message["body"]))
+        response.complete = not message["more_body"]
 
 
-def turn(program: str = "p1", budget: int = 1000, most: int = 80, **fields: str) -> dict[str, str]:
-    """The fields of a program's turn."""
+def turn_headers(
+    program: str = "p1", budget: int = 1000, max_tokens: int = 80, **fields: str
+) -> dict[str, str]:
+    """The request headers of a program's turn."""
     return {
         "program": program, "session": "s1", "budget": str(budget), "finish-ms": "5000",
-        "x-kestrelbend-token-count": f"500,{most}", "x-kestrelbend-prefix-hash": "ab:400,cd:100",
+        "x-kestrelbend-token-count": f"500,{max_tokens}", "x-kestrelbend-prefix-hash": "ab:400,cd:100",
         "x-kestrelbend-deadline-ms": "4000", **fields,
     }  # fmt: skip
--- a/tests/tier/test_dataplane_overload.py
+++ b/tests/tier/test_dataplane_overload.py
@@ -1,4 +1,4 @@
-"""Stories of an overload: the limit that answers' times lead to, and who is let in under it."""
+"""Overload: the concurrency limit derived from latencies, and which requests are admitted under it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 import testtools
 
 from kestrelbend.tier.dataplane.concurrency_limit import ResponseLatency, ConcurrencyLimits
-from tests.tier.dataplane_world import World, events, turn
+from tests.tier.dataplane_world import Simulation, event_stream, turn_headers
 
 BASELINE_S = 0.05
 TARGET_S = 0.2
 FAIR_SHARE = 8.0
 
 
-class LimitOfAService(testtools.TestCase):
-    """The limit by itself."""
+class ConcurrencyLimitTest(testtools.TestCase):
+    """The concurrency limit in isolation."""
 
     def setUp(self):
         super().setUp()
         self.limits = ConcurrencyLimits()
         self.now = 100.0
 
-    def answers(self, count, seconds, route="r"):
+    def record_responses(self, count, seconds, route="r"):
         for _ in range(count):
             self.now += 0.02
             self.limits.record_response(
@@ -34,116 +34,126 @@
         for _ in range(count):
             self.limits.begin("s")
 
-    def test_in_calm_times_there_is_none(self):
-        self.answers(50, BASELINE_S)
+    def test_steady_latency_sets_no_limit(self):
+        self.record_responses(50, BASELINE_S)
         self.in_flight(500)
         self.assertTrue(self.limits.admits("s", 0.5))
         self.assertFalse(self.limits.is_limited("s"))
 
-    def test_answers_that_are_slow_but_far_from_their_objective_mean_nothing(self):
-        self.answers(50, 0.01)
-        self.answers(50, 0.06)
+    def test_latency_rise_far_below_the_target_sets_no_limit(self):
+        self.record_responses(50, 0.01)
+        self.record_responses(50, 0.06)
         self.assertFalse(self.limits.is_limited("s"))
 
-    def test_a_service_that_is_always_near_its_objective_has_none(self):
-        self.answers(200, TARGET_S * 0.9)
+    def test_constant_latency_near_the_target_sets_no_limit(self):
+        self.record_responses(200, TARGET_S * 0.9)
         self.assertFalse(self.limits.is_limited("s"))
 
-    def test_answers_that_tell_of_a_queue_lower_it_to_its_floor_at_most(self):
-        self.answers(50, BASELINE_S)
+    def test_queueing_latency_lowers_the_limit_no_further_than_its_floor(self):
+        self.record_responses(50, BASELINE_S)
         self.in_flight(40)
-        self.answers(300, 1.0)
+        self.record_responses(300, 1.0)
         self.assertFalse(self.limits.admits("s", 1.0))
         for _ in range(35):
             self.limits.end("s")
         self.assertTrue(self.limits.admits("s", 1.0))
         self.in_flight(1)
-        self.assertFalse(self.limits.admits("s", 1.0), "six of eight is the floor")
+        self.assertFalse(self.limits.admits("s", 1.0), "the floor is six of eight slots")
 
-    def test_it_rises_while_it_holds_requests_back_and_is_dropped_in_the_end(self):
-        self.answers(50, BASELINE_S)
+    def test_limit_rises_after_recovery_and_is_eventually_removed(self):
+        self.record_responses(50, BASELINE_S)
         self.in_flight(40)
-        self.answers(300, 1.0)
+        self.record_responses(300, 1.0)
         before = self.now
         while not self.limits.admits("s", 1.0):
-            self.answers(1, BASELINE_S)
+            self.record_responses(1, BASELINE_S)
         self.assertTrue(1 < self.now - before < 20, self.now - before)
-        self.answers(1000, BASELINE_S)
+        self.record_responses(1000, BASELINE_S)
         self.assertFalse(self.limits.is_limited("s"))
 
 
-class Overload(testtools.TestCase):
-    """Two backends of two slots that queue without end, and far more turns than they can run."""
+class OverloadTest(testtools.TestCase):
+    """Two backends with two slots and unbounded queues, and far more turns than they can run."""
 
     def setUp(self):
         super().setUp()
-        self.world = World()
+        self.simulation = Simulation()
         self.random = random.Random(7)
         for name in ("i-1", "i-2"):
-            self.world.backend(name, "models", slots=2).answers(self.queueing(asyncio.Semaphore(2)))
+            self.simulation.backend(name, "models", slots=2).respond_with(self.queueing(asyncio.Semaphore(2)))
 
     def queueing(self, slots):
-        async def script(asked):
+        async def script(received):
             async with slots:
-                await events(range(1, 10))(asked)
+                await event_stream(range(1, 10))(received)
 
         return script
 
     async def turns(self, count, seconds, program="p{}"):
         async def one(number):
             await asyncio.sleep(self.random.random() * seconds)
-            fields = turn(program=program.format(number))
-            return await self.world.ask("/turns/x", fields=fields), self.world.loop.time()
+            fields = turn_headers(program=program.format(number))
+            return await self.simulation.send_request("/turns/x", fields=fields), self.simulation.loop.time()
 
         return await asyncio.gather(*(one(number) for number in range(count)))
 
-    def test_what_is_let_in_is_answered_in_time_and_the_rest_told_to_come_back_at_once(self):
-        async def story():
+    def test_under_overload_requests_are_served_or_rejected_with_retry_after(self):
+        async def scenario():
             await self.turns(20, 4, "calm{}")
             await self.turns(100, 4, "first{}")
             return await self.turns(200, 8)
 
-        outcomes = [got for got, _ in self.world.run(story())]
-        served = [got for got in outcomes if got.status == 200]
-        refused = [got for got in outcomes if got.status == 503]
+        outcomes = [response for response, _ in self.simulation.run(scenario())]
+        served = [response for response in outcomes if response.status == 200]
+        refused = [response for response in outcomes if response.status == 503]
         self.assertEqual(200, len(served) + len(refused))
-        self.assertTrue(len(served) > 60, f"{len(served)} of about 160 that there is room for")
-        self.assertTrue(all("retry-after" in got.fields for got in refused))
-        runs = sum(len(scripted.asked) for scripted in self.world.scripted.values())
-        self.assertEqual(runs, sum(settlement.used_tokens > 0 for settlement in self.world.budget.settled))
-
-    def test_a_program_that_was_served_goes_before_new_ones(self):
-        async def known():
+        self.assertTrue(len(served) > 60, f"{len(served)} of about 160 that there is capacity for")
+        self.assertTrue(all("retry-after" in response.fields for response in refused))
+        runs = sum(len(scripted.requests) for scripted in self.simulation.scripted.values())
+        self.assertEqual(
+            runs, sum(settlement.used_tokens > 0 for settlement in self.simulation.budget.settled)
+        )
+
+    def test_previously_served_program_takes_precedence_over_new_programs(self):
+        async def old_program_statuses():
             statuses = []
             for _ in range(30):
                 await asyncio.sleep(0.2)
-                statuses.append((await self.world.ask("/turns/x", fields=turn(program="old"))).status)
+                statuses.append(
+                    (
+                        await self.simulation.send_request("/turns/x", fields=turn_headers(program="old"))
+                    ).status
+                )
             return statuses
 
-        async def story():
+        async def scenario():
             await self.turns(20, 4, "calm{}")
-            await self.world.ask("/turns/x", fields=turn(program="old"))
+            await self.simulation.send_request("/turns/x", fields=turn_headers(program="old"))
             await self.turns(100, 4, "first{}")
-            return await asyncio.gather(known(), self.turns(300, 8))
+            return await asyncio.gather(old_program_statuses(), self.turns(300, 8))
 
-        statuses, outcomes = self.world.run(story())
-        new = sum(got.status == 200 for got, _ in outcomes) / len(outcomes)
+        statuses, outcomes = self.simulation.run(scenario())
+        new = sum(response.status == 200 for response, _ in outcomes) / len(outcomes)
         old = statuses.count(200) / len(statuses)
         self.assertTrue(old > 2 * new, (old, new))
 
-    def test_nothing_waits_longer_than_a_quarter_of_its_objective_to_be_let_in(self):
-        async def story():
+    def test_rejected_requests_wait_less_than_a_quarter_of_the_latency_target(self):
+        async def scenario():
             await self.turns(20, 4, "calm{}")
-            begun = {}
+            started_at = {}
 
             async def one(number):
                 await asyncio.sleep(self.random.random() * 4)
-                begun[number] = self.world.loop.time()
-                return number, await self.world.ask("/turns/x", fields=turn(program=f"p{number}"))
+                started_at[number] = self.simulation.loop.time()
+                return number, await self.simulation.send_request(
+                    "/turns/x", fields=turn_headers(program=f"p{number}")
+                )
 
             results = await asyncio.gather(*(one(number) for number in range(200)))
-            return [got.at - begun[number] for number, got in results if got.status == 503]
+            return [
+                response.at - started_at[number] for number, response in results if response.status == 503
+            ]
 
-        waits = self.world.run(story())
+        waits = self.simulation.run(scenario())
         self.assertTrue(waits)
         self.assertTrue(max(waits) < 0.05, max(waits))
--- a/tests/tier/test_dataplane_requests.py
+++ b/tests/tier/test_dataplane_requests.py
@@ -1,4 +1,4 @@
-"""Stories of requests with plain answers: what is passed on, what is repeated, what is refused."""
+"""Requests with plain responses: what is forwarded, what is retried, what is rejected."""
 
 from __future__ import annotations
 
@@ -6,448 +6,483 @@
 
 import testtools
 
-from tests.tier.dataplane_world import World, breaks, raw, silent, turned_away, whole
+from tests.tier.dataplane_world import (
+    Simulation,
+    drop_connection,
+    raw_response,
+    no_response,
+    rejection,
+    complete_response,
+)
 
 
-class Passing(testtools.TestCase):
-    """What goes on unchanged, and what does not."""
+class ForwardingTest(testtools.TestCase):
+    """What the gateway forwards unchanged and what it changes."""
 
     def setUp(self):
         super().setUp()
-        self.world = World()
+        self.simulation = Simulation()
 
-    def test_method_path_query_body_and_headers_reach_the_backend_unchanged(self):
-        backend = self.world.backend("i-1")
+    def test_method_path_query_body_and_headers_are_forwarded_unchanged(self):
+        backend = self.simulation.backend("i-1")
         fields = {"x-other": "kept", "connection": "x-private", "x-private": "dropped", "te": "trailers"}
-        got = self.world.run(
-            self.world.ask("/read/a%20b?x=1&y=%2F", method="PUT", body=b"\0\1", fields=fields)
+        response = self.simulation.run(
+            self.simulation.send_request("/read/a%20b?x=1&y=%2F", method="PUT", body=b"\0\1", fields=fields)
         )
-        self.assertEqual((200, b"whole", True, True), (got.status, got.body, got.stamped, got.complete))
-        asked = backend.asked[0]
-        self.assertEqual(("PUT", "/read/a%20b?x=1&y=%2F", b"\0\1"), (asked.method, asked.target, asked.body))
-        self.assertEqual("kept", asked.fields["x-other"])
-        self.assertEqual("try-1", asked.fields["x-kestrelbend-request-id"])
-        self.assertEqual("i-1", asked.fields["x-kestrelbend-expect-instance"])
-        self.assertEqual("a.example", asked.fields["host"])
+        self.assertEqual(
+            (200, b"whole", True, True),
+            (response.status, response.body, response.has_stamp, response.complete),
+        )
+        received = backend.requests[0]
+        self.assertEqual(
+            ("PUT", "/read/a%20b?x=1&y=%2F", b"\0\1"), (received.method, received.target, received.body)
+        )
+        self.assertEqual("kept", received.fields["x-other"])
+        self.assertEqual("try-1", received.fields["x-kestrelbend-request-id"])
+        self.assertEqual("i-1", received.fields["x-kestrelbend-expect-instance"])
+        self.assertEqual("a.example", received.fields["host"])
         for name in ("x-private", "connection", "te"):
-            self.assertNotIn(name, asked.fields)
+            self.assertNotIn(name, received.fields)
 
-    def test_a_body_in_chunks_goes_on_in_chunks(self):
-        backend = self.world.backend("i-1")
-        self.world.run(self.world.ask("/pay/x", chunks=(b"one", b"two")))
-        self.assertEqual(b"onetwo", backend.asked[0].body)
-        self.assertEqual("chunked", backend.asked[0].fields["transfer-encoding"])
+    def test_chunked_body_is_forwarded_chunked(self):
+        backend = self.simulation.backend("i-1")
+        self.simulation.run(self.simulation.send_request("/pay/x", chunks=(b"one", b"two")))
+        self.assertEqual(b"onetwo", backend.requests[0].body)
+        self.assertEqual("chunked", backend.requests[0].fields["transfer-encoding"])
 
-    def test_the_deadline_handed_on_is_what_is_left_and_at_most_the_routes_timeout(self):
-        backend = self.world.backend("i-1")
+    def test_forwarded_deadline_is_the_remaining_time_capped_by_the_route_timeout(self):
+        backend = self.simulation.backend("i-1")
 
-        async def story():
-            await self.world.ask("/read/x", fields={"x-kestrelbend-deadline-ms": "900"})
-            await self.world.ask("/read/x", fields={"x-kestrelbend-deadline-ms": "90000"})
-            await self.world.ask("/read/x", fields={"x-kestrelbend-deadline-ms": "soon"})
-            await self.world.ask("/read/x", without=("x-kestrelbend-deadline-ms",))
+        async def scenario():
+            await self.simulation.send_request("/read/x", fields={"x-kestrelbend-deadline-ms": "900"})
+            await self.simulation.send_request("/read/x", fields={"x-kestrelbend-deadline-ms": "90000"})
+            await self.simulation.send_request("/read/x", fields={"x-kestrelbend-deadline-ms": "soon"})
+            await self.simulation.send_request("/read/x", omitted_headers=("x-kestrelbend-deadline-ms",))
 
-        self.world.run(story())
-        left = [int(asked.fields["x-kestrelbend-deadline-ms"]) for asked in backend.asked]
+        self.simulation.run(scenario())
+        left = [int(received.fields["x-kestrelbend-deadline-ms"]) for received in backend.requests]
         self.assertEqual([899, 1999, 1999, 1999], [left[0], *(min(value, 1999) for value in left[1:])])
 
-    def test_a_backends_own_failure_passes_with_its_status_and_stamp(self):
-        self.world.backend("i-1").answers(whole(b"no", 500))
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual((500, b"no", True), (got.status, got.body, got.stamped))
+    def test_backend_failure_is_forwarded_with_its_status_and_stamp(self):
+        self.simulation.backend("i-1").respond_with(complete_response(b"no", 500))
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual((500, b"no", True), (response.status, response.body, response.has_stamp))
 
-    def test_what_is_wrong_with_a_request_is_told_without_a_send(self):
-        backend = self.world.backend("i-1")
-        world = self.world
+    def test_invalid_requests_are_rejected_without_a_send(self):
+        backend = self.simulation.backend("i-1")
+        simulation = self.simulation
 
-        async def story():
+        async def scenario():
             return [
-                (await world.ask("/nowhere/x")).status,
-                (await world.ask("/read/x", fields={"host": "other.example"})).status,
-                (await world.ask("/read/x", without=("x-kestrelbend-request-id",))).status,
-                (await world.ask("/read/x", fields={"content-length": "99999999"})).status,
-                (await world.ask("/read/x", chunks=(b"x" * 4000000, b"x" * 4000000))).status,
-                (await world.ask("/read/x", chunks=(b"x",), fields={"content-length": "1"})).status,
-                (await world.ask("/read/x", fields={"x-large": "x" * 20000})).status,
-                (await world.ask("/lost/x")).status,
-                (await world.ask("/read/x", method="CONNECT")).status,
+                (await simulation.send_request("/nowhere/x")).status,
+                (await simulation.send_request("/read/x", fields={"host": "other.example"})).status,
+                (
+                    await simulation.send_request("/read/x", omitted_headers=("x-kestrelbend-request-id",))
+                ).status,
+                (await simulation.send_request("/read/x", fields={"content-length": "99999999"})).status,
+                (await simulation.send_request("/read/x", chunks=(b"x" * 4000000, b"x" * 4000000))).status,
+                (
+                    await simulation.send_request("/read/x", chunks=(b"x",), fields={"content-length": "1"})
+                ).status,
+                (await simulation.send_request("/read/x", fields={"x-large": "x" * 20000})).status,
+                (await simulation.send_request("/lost/x")).status,
+                (await simulation.send_request("/read/x", method="CONNECT")).status,
             ]
 
-        self.assertEqual([404, 404, 400, 413, 413, 400, 431, 503, 501], world.run(story()))
-        self.assertEqual([], backend.asked)
+        self.assertEqual([404, 404, 400, 413, 413, 400, 431, 503, 501], simulation.run(scenario()))
+        self.assertEqual([], backend.requests)
 
-    def test_connections_are_used_again_and_closed_when_the_backend_says_so(self):
-        kept = self.world.backend("i-1")
+    def test_connections_are_reused_until_the_backend_asks_to_close(self):
+        kept = self.simulation.backend("i-1")
 
-        async def story():
+        async def scenario():
             for _ in range(3):
-                await self.world.ask("/pay/x")
-            kept.answers(whole(b"x", 200, 0.01, b"Connection: close"))
-            await self.world.ask("/pay/x")
-            kept.answers(whole())
-            await self.world.ask("/pay/x")
+                await self.simulation.send_request("/pay/x")
+            kept.respond_with(complete_response(b"x", 200, 0.01, b"Connection: close"))
+            await self.simulation.send_request("/pay/x")
+            kept.respond_with(complete_response())
+            await self.simulation.send_request("/pay/x")
 
-        self.world.run(story())
+        self.simulation.run(scenario())
         self.assertEqual(2, len(kept.connections))
         self.assertTrue(kept.connections[0].gateway_closed)
 
-    def test_a_rested_connection_is_not_used_longer_than_keep_alive_tells(self):
-        backend = self.world.backend("i-1").answers(whole(b"x", 200, 0.01, b"Keep-Alive: timeout=3"))
+    def test_idle_connection_is_not_reused_after_its_keep_alive_timeout(self):
+        backend = self.simulation.backend("i-1").respond_with(
+            complete_response(b"x", 200, 0.01, b"Keep-Alive: timeout=3")
+        )
 
-        async def story():
-            await self.world.ask("/pay/x")
+        async def scenario():
+            await self.simulation.send_request("/pay/x")
             await asyncio.sleep(2)
-            await self.world.ask("/pay/x")
+            await self.simulation.send_request("/pay/x")
             await asyncio.sleep(2.6)
-            await self.world.ask("/pay/x")
+            await self.simulation.send_request("/pay/x")
 
-        self.world.run(story())
+        self.simulation.run(scenario())
         self.assertEqual(2, len(backend.connections))
 
-    def test_without_keep_alive_only_what_may_be_repeated_trusts_a_rested_connection(self):
-        backend = self.world.backend("i-1")
+    def test_without_keep_alive_only_retryable_requests_reuse_a_long_idle_connection(self):
+        backend = self.simulation.backend("i-1")
 
-        async def story():
-            await self.world.ask("/pay/x")
+        async def scenario():
+            await self.simulation.send_request("/pay/x")
             await asyncio.sleep(1.5)
-            await self.world.ask("/read/x")
+            await self.simulation.send_request("/read/x")
             await asyncio.sleep(1.5)
-            await self.world.ask("/pay/x")
+            await self.simulation.send_request("/pay/x")
 
-        self.world.run(story())
+        self.simulation.run(scenario())
         self.assertEqual(2, len(backend.connections))
 
-    def test_draining_answers_tell_the_client_to_go(self):
-        self.world.backend("i-1")
+    def test_draining_gateway_closes_client_connections(self):
+        self.simulation.backend("i-1")
 
-        async def story():
-            before = await self.world.ask("/read/x")
-            self.world.lifecycle.drain()
-            after = await self.world.ask("/read/x")
-            self.world.plane.stop_accepting()
-            return before, after, await self.world.ask("/pay/x")
+        async def scenario():
+            before = await self.simulation.send_request("/read/x")
+            self.simulation.lifecycle.drain()
+            after = await self.simulation.send_request("/read/x")
+            self.simulation.plane.stop_accepting()
+            return before, after, await self.simulation.send_request("/pay/x")
 
-        before, after, late = self.world.run(story())
+        before, after, after_close = self.simulation.run(scenario())
         self.assertNotIn("connection", before.fields)
         self.assertEqual((200, "close"), (after.status, after.fields["connection"]))
-        self.assertEqual((503, "close", False), (late.status, late.fields["connection"], late.stamped))
+        self.assertEqual(
+            (503, "close", False),
+            (after_close.status, after_close.fields["connection"], after_close.has_stamp),
+        )
 
 
-class Spoilt(testtools.TestCase):
-    """Answers that are lost, cut, garbled or somebody else's."""
+class InvalidResponseTest(testtools.TestCase):
+    """Responses that are lost, truncated, malformed or belong to another request."""
 
     def setUp(self):
         super().setUp()
-        self.world = World()
-        self.first = self.world.backend("i-1")
-        self.second = self.world.backend("i-2")
-
-    def runs(self):
-        return len(self.first.asked) + len(self.second.asked)
-
-    def everywhere(self, *scripts):
-        self.first.answers(*scripts)
-        self.second.answers(*scripts)
-
-    def test_a_request_that_may_have_run_is_not_sent_twice(self):
-        foreign = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
-        ours = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: try-%d\r\n"
-        spoilt = [
-            breaks("reset"),
-            breaks("close"),
-            raw(b"%!garbage\r\n\r\n", "close"),
-            raw(foreign, "close"),
-            raw(ours % 5 + b"X-Kestrelbend-Server-Stamp: 1\r\nContent-Length: 9\r\n\r\ncut", "close"),
-            raw(ours % 6 + b"Content-Length: 2\r\n\r\nno"),  # a success without a stamp
-            raw(ours % 7 + b"X-Kestrelbend-Server-Stamp: 1\r\n\r\nendless", "reset"),
-            turned_away(503, marked=False),
+        self.simulation = Simulation()
+        self.first = self.simulation.backend("i-1")
+        self.second = self.simulation.backend("i-2")
+
+    def run_count(self):
+        return len(self.first.requests) + len(self.second.requests)
+
+    def respond_from_both(self, *scripts):
+        self.first.respond_with(*scripts)
+        self.second.respond_with(*scripts)
+
+    def test_non_retryable_request_that_may_have_run_is_not_sent_twice(self):
+        other_response = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
+        own_head = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: try-%d\r\n"
+        invalid_responses = [
+            drop_connection("reset"),
+            drop_connection("close"),
+            raw_response(b"%!garbage\r\n\r\n", "close"),
+            raw_response(other_response, "close"),
+            raw_response(
+                own_head % 5 + b"X-Kestrelbend-Server-Stamp: 1\r\nContent-Length: 9\r\n\r\ncut", "close"
+            ),
+            raw_response(own_head % 6 + b"Content-Length: 2\r\n\r\nno"),  # a success without a stamp
+            raw_response(own_head % 7 + b"X-Kestrelbend-Server-Stamp: 1\r\n\r\nendless", "reset"),
+            rejection(503, marked=False),
         ]
 
-        async def story():
+        async def scenario():
             statuses = []
-            for number, script in enumerate(spoilt):
-                self.everywhere(script)
-                got = await self.world.ask("/pay/x")
-                statuses.append((got.status, got.stamped))
-                self.assertEqual(number + 1, self.runs())
+            for number, script in enumerate(invalid_responses):
+                self.respond_from_both(script)
+                response = await self.simulation.send_request("/pay/x")
+                statuses.append((response.status, response.has_stamp))
+                self.assertEqual(number + 1, self.run_count())
                 await asyncio.sleep(30)
             return statuses
 
-        self.assertEqual([(502, False)] * len(spoilt), self.world.run(story()))
+        self.assertEqual([(502, False)] * len(invalid_responses), self.simulation.run(scenario()))
 
-    def test_an_idempotent_request_is_repeated_at_the_same_backend(self):
-        for script in (breaks("reset"), raw(b"garbage\r\n\r\n"), whole(b"no", 500)):
-            self.world = World()
-            backends = [self.world.backend("i-1"), self.world.backend("i-2")]
+    def test_idempotent_request_is_retried_at_the_same_backend(self):
+        for script in (
+            drop_connection("reset"),
+            raw_response(b"garbage\r\n\r\n"),
+            complete_response(b"no", 500),
+        ):
+            self.simulation = Simulation()
+            backends = [self.simulation.backend("i-1"), self.simulation.backend("i-2")]
             for backend in backends:
-                backend.answers(script, whole(b"second"))
-            got = self.world.run(self.world.ask("/read/x"))
-            self.assertEqual((200, b"second"), (got.status, got.body))
-            self.assertEqual([0, 2], sorted(len(backend.asked) for backend in backends))
-
-    def test_with_more_retries_it_may_run_at_two_backends(self):
-        self.first.answers(breaks())
-        self.second.answers(breaks())
-        got = self.world.run(self.world.ask("/read2/x"))
-        self.assertEqual(502, got.status)
-        self.assertEqual(3, self.runs())
-
-    def test_a_crashed_backend_does_not_count_against_the_retries(self):
-        async def crash(asked):
+                backend.respond_with(script, complete_response(b"second"))
+            response = self.simulation.run(self.simulation.send_request("/read/x"))
+            self.assertEqual((200, b"second"), (response.status, response.body))
+            self.assertEqual([0, 2], sorted(len(backend.requests) for backend in backends))
+
+    def test_two_retries_allow_runs_at_two_backends(self):
+        self.first.respond_with(drop_connection())
+        self.second.respond_with(drop_connection())
+        response = self.simulation.run(self.simulation.send_request("/read2/x"))
+        self.assertEqual(502, response.status)
+        self.assertEqual(3, self.run_count())
+
+    def test_crashed_backend_does_not_count_against_the_retries(self):
+        async def crash(received):
             for backend in (self.first, self.second):
-                backend.refusing = any(asked is other for other in backend.asked)
-                backend.answers(whole())
-            asked.connection.reset()
-
-        self.everywhere(crash)
-        got = self.world.run(self.world.ask("/read/x"))
-        self.assertEqual(200, got.status)
-        self.assertEqual([1, 1], [len(self.first.asked), len(self.second.asked)])
-
-    def test_bytes_behind_an_answer_close_its_connection(self):
-        late = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
-        self.world.mark_departed("i-2")
-        self.first.answers(whole(behind=late), whole())
-
-        async def story():
-            one = await self.world.ask("/pay/x")
-            two = await self.world.ask("/pay/x")
-            return one, two
-
-        one, two = self.world.run(story())
-        self.assertEqual([(200, b"whole")] * 2, [(one.status, one.body), (two.status, two.body)])
+                backend.refusing = any(received is other for other in backend.requests)
+                backend.respond_with(complete_response())
+            received.connection.reset()
+
+        self.respond_from_both(crash)
+        response = self.simulation.run(self.simulation.send_request("/read/x"))
+        self.assertEqual(200, response.status)
+        self.assertEqual([1, 1], [len(self.first.requests), len(self.second.requests)])
+
+    def test_bytes_after_a_response_close_its_connection(self):
+        stale = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
+        self.simulation.mark_departed("i-2")
+        self.first.respond_with(complete_response(behind=stale), complete_response())
+
+        async def scenario():
+            first = await self.simulation.send_request("/pay/x")
+            second = await self.simulation.send_request("/pay/x")
+            return first, second
+
+        first, second = self.simulation.run(scenario())
+        self.assertEqual([(200, b"whole")] * 2, [(first.status, first.body), (second.status, second.body)])
         self.assertEqual(2, len(self.first.connections))
 
-    def test_bytes_that_come_while_a_connection_rests_close_it(self):
-        self.world.mark_departed("i-2")
+    def test_bytes_received_on_an_idle_connection_close_it(self):
+        self.simulation.mark_departed("i-2")
 
-        async def story():
-            await self.world.ask("/pay/x")
+        async def scenario():
+            await self.simulation.send_request("/pay/x")
             self.first.connections[0].send(b"HTTP/1.1 200 X\r\n")
-            return await self.world.ask("/pay/x")
+            return await self.simulation.send_request("/pay/x")
 
-        self.assertEqual(200, self.world.run(story()).status)
+        self.assertEqual(200, self.simulation.run(scenario()).status)
         self.assertEqual(2, len(self.first.connections))
 
-    def test_a_surplus_answer_in_place_of_ours_is_dropped_and_ours_is_read(self):
-        late = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\n"
-        late += b"X-Kestrelbend-Server-Stamp: 9\r\nContent-Length: 5\r\n\r\nother"
-        self.world.mark_departed("i-2")
+    def test_response_to_another_request_is_skipped(self):
+        stale = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\n"
+        stale += b"X-Kestrelbend-Server-Stamp: 9\r\nContent-Length: 5\r\n\r\nother"
+        self.simulation.mark_departed("i-2")
 
-        async def surplus_first(asked):
-            asked.connection.send(late[:40])
+        async def stale_first(received):
+            received.connection.send(stale[:40])
             await asyncio.sleep(0.01)
-            asked.connection.send(late[40:] + late)
-            await whole(b"mine")(asked)
+            received.connection.send(stale[40:] + stale)
+            await complete_response(b"mine")(received)
 
-        self.first.answers(surplus_first, whole())
+        self.first.respond_with(stale_first, complete_response())
 
-        async def story():
-            return await self.world.ask("/pay/x"), await self.world.ask("/pay/x")
+        async def scenario():
+            return await self.simulation.send_request("/pay/x"), await self.simulation.send_request("/pay/x")
 
-        one, two = self.world.run(story())
-        self.assertEqual((200, b"mine"), (one.status, one.body))
-        self.assertEqual((200, b"whole"), (two.status, two.body))
-        self.assertEqual((2, 2), (len(self.first.asked), len(self.first.connections)))
+        first, second = self.simulation.run(scenario())
+        self.assertEqual((200, b"mine"), (first.status, first.body))
+        self.assertEqual((200, b"whole"), (second.status, second.body))
+        self.assertEqual((2, 2), (len(self.first.requests), len(self.first.connections)))
 
-    def test_surplus_answers_without_ours_are_no_answer(self):
-        late = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
-        self.everywhere(raw(late, "close"))
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual((502, 1), (got.status, self.runs()))
+    def test_only_responses_to_other_requests_give_502(self):
+        stale = b"HTTP/1.1 200 X\r\nX-Kestrelbend-Request-Id: other\r\nContent-Length: 1\r\n\r\nx"
+        self.respond_from_both(raw_response(stale, "close"))
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual((502, 1), (response.status, self.run_count()))
 
-    def test_a_large_answer_that_is_cut_does_not_look_complete(self):
-        self.world.mark_departed("i-2")
+    def test_truncated_large_response_is_incomplete_at_the_client(self):
+        self.simulation.mark_departed("i-2")
         lines = b"X-Kestrelbend-Server-Stamp: 1\r\nX-Kestrelbend-Request-Id: try-1\r\n"
         large = b"HTTP/1.1 200 X\r\n" + lines + b"Content-Length: 900000\r\n\r\n" + b"x" * 600000
-        self.first.answers(raw(large, "close"))
-        got = self.world.run(self.world.ask("/read/x"))
-        self.assertEqual((200, False), (got.status, got.complete))
-        self.assertEqual(1, self.runs())
+        self.first.respond_with(raw_response(large, "close"))
+        response = self.simulation.run(self.simulation.send_request("/read/x"))
+        self.assertEqual((200, False), (response.status, response.complete))
+        self.assertEqual(1, self.run_count())
 
-    def test_a_lost_answer_is_asked_for_again_beside_the_first(self):
-        self.everywhere(silent(), whole(b"again"))
-        got = self.world.run(self.world.ask("/read/x"))
-        self.assertEqual((200, b"again"), (got.status, got.body))
-        self.assertTrue(got.at < 100.3, got.at)
-        self.assertEqual([0, 2], sorted([len(self.first.asked), len(self.second.asked)]))
+    def test_overdue_response_triggers_a_hedged_request(self):
+        self.respond_from_both(no_response(), complete_response(b"again"))
+        response = self.simulation.run(self.simulation.send_request("/read/x"))
+        self.assertEqual((200, b"again"), (response.status, response.body))
+        self.assertTrue(response.at < 100.3, response.at)
+        self.assertEqual([0, 2], sorted([len(self.first.requests), len(self.second.requests)]))
 
-    def test_the_silence_of_a_backend_ends_no_request_that_may_not_be_repeated(self):
-        self.everywhere(whole(after=1.2))
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual((200, 1), (got.status, self.runs()))
+    def test_non_retryable_request_waits_for_a_slow_backend(self):
+        self.respond_from_both(complete_response(after=1.2))
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual((200, 1), (response.status, self.run_count()))
 
 
-class Refused(testtools.TestCase):
-    """Backends that turn requests away, are full, gone, draining or out of reach."""
+class RejectionTest(testtools.TestCase):
+    """Backends that reject requests, or are saturated, gone, draining or unreachable."""
 
     def setUp(self):
         super().setUp()
-        self.world = World()
-        self.first = self.world.backend("i-1")
-        self.second = self.world.backend("i-2")
+        self.simulation = Simulation()
+        self.first = self.simulation.backend("i-1")
+        self.second = self.simulation.backend("i-2")
         self.both = (self.first, self.second)
 
-    def test_a_request_that_was_turned_away_goes_to_another_backend(self):
-        for refusal in (turned_away(503), turned_away(429)):
-            world = World()
-            for backend in (world.backend("i-1"), world.backend("i-2")):
-                backend.answers(refusal)
-            world.backend("i-3")
-            self.assertEqual(200, world.run(world.ask("/pay/x")).status)
-
-    def test_a_backend_at_anothers_address_is_marked_as_gone(self):
-        self.first.answers(turned_away(421, marked=False))
-        self.second.answers(turned_away(421, marked=False))
-        self.world.backend("i-3")
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual(200, got.status)
-        self.assertTrue(set(self.world.gone) <= {"i-1", "i-2"})
-
-    def test_refused_connections_are_no_sends(self):
+    def test_rejected_request_goes_to_another_backend(self):
+        for refusal in (rejection(503), rejection(429)):
+            simulation = Simulation()
+            for backend in (simulation.backend("i-1"), simulation.backend("i-2")):
+                backend.respond_with(refusal)
+            simulation.backend("i-3")
+            self.assertEqual(200, simulation.run(simulation.send_request("/pay/x")).status)
+
+    def test_wrong_instance_at_an_address_is_marked_as_departed(self):
+        self.first.respond_with(rejection(421, marked=False))
+        self.second.respond_with(rejection(421, marked=False))
+        self.simulation.backend("i-3")
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual(200, response.status)
+        self.assertTrue(set(self.simulation.departed) <= {"i-1", "i-2"})
+
+    def test_refused_connection_fails_over_to_another_backend(self):
         self.first.refusing = True
-        got = self.world.run(asyncio.wait_for(self.all_served(6), 10))
-        self.assertEqual({200}, got)
-        self.assertEqual(6, len(self.second.asked))
+        response = self.simulation.run(asyncio.wait_for(self.send_requests(6), 10))
+        self.assertEqual({200}, response)
+        self.assertEqual(6, len(self.second.requests))
 
-    async def all_served(self, count):
-        return {(await self.world.ask("/pay/x")).status for _ in range(count)}
+    async def send_requests(self, count):
+        return {(await self.simulation.send_request("/pay/x")).status for _ in range(count)}
 
-    def test_a_backend_out_of_reach_costs_half_a_second_once(self):
+    def test_unreachable_backend_delays_requests_only_once(self):
         self.first.unreachable = True
 
-        async def story():
-            begun = self.world.loop.time()
-            statuses = await self.all_served(8)
-            return statuses, self.world.loop.time() - begun
+        async def scenario():
+            started_at = self.simulation.loop.time()
+            statuses = await self.send_requests(8)
+            return statuses, self.simulation.loop.time() - started_at
 
-        statuses, took = self.world.run(story())
+        statuses, elapsed_s = self.simulation.run(scenario())
         self.assertEqual({200}, statuses)
-        self.assertTrue(took < 0.7, took)
+        self.assertTrue(elapsed_s < 0.7, elapsed_s)
 
-    def test_when_all_are_full_it_is_refused_soon_with_a_time_to_come_back(self):
+    def test_when_all_backends_reject_the_client_gets_a_prompt_503_with_retry_after(self):
         for backend in self.both:
-            backend.answers(turned_away())
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual((503, False), (got.status, got.stamped))
-        self.assertTrue(0 < float(got.fields["retry-after"]) < 1)
-        self.assertTrue(got.at - 100 <= 0.05, got.at)
+            backend.respond_with(rejection())
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual((503, False), (response.status, response.has_stamp))
+        self.assertTrue(0 < float(response.fields["retry-after"]) < 1)
+        self.assertTrue(response.at - 100 <= 0.05, response.at)
 
-    def test_room_that_comes_within_the_wait_is_used(self):
+    def test_capacity_freed_during_the_wait_is_used(self):
         for backend in self.both:
-            backend.answers(turned_away(), whole())
-        got = self.world.run(self.world.ask("/pay/x"))
-        self.assertEqual(200, got.status)
+            backend.respond_with(rejection(), complete_response())
+        response = self.simulation.run(self.simulation.send_request("/pay/x"))
+        self.assertEqual(200, response.status)
 
-    def test_a_programs_call_waits_longer_for_room(self):
+    def test_program_request_waits_longer_for_capacity(self):
         for backend in self.both:
-            backend.answers(turned_away(), turned_away(), turned_away(), whole())
-        got = self.world.run(self.world.ask("/pay/x", fields={"program": "p", "finish-ms": "900"}))
-        self.assertEqual(200, got.status)
+            backend.respond_with(rejection(), rejection(), rejection(), complete_response())
+        response = self.simulation.run(
+            self.simulation.send_request("/pay/x", fields={"program": "p", "finish-ms": "900"})
+        )
+        self.assertEqual(200, response.status)
 
-    def test_the_urgent_goes_first_when_room_comes(self):
-        self.world.mark_departed("i-2")
-        self.first.answers(*[turned_away()] * 3, whole(), turned_away(), whole())
+    def test_freed_capacity_goes_to_the_most_urgent_request(self):
+        self.simulation.mark_departed("i-2")
+        self.first.respond_with(*[rejection()] * 3, complete_response(), rejection(), complete_response())
         fields = {"program": "p"}
 
-        async def story():
-            slow = self.world.ask("/pay/x", fields={**fields, "finish-ms": "9000"})
-            quick = self.world.ask("/pay/x", fields={**fields, "finish-ms": "100"})
+        async def scenario():
+            slow = self.simulation.send_request("/pay/x", fields={**fields, "finish-ms": "9000"})
+            quick = self.simulation.send_request("/pay/x", fields={**fields, "finish-ms": "100"})
             return await asyncio.gather(slow, quick)
 
-        slow, quick = self.world.run(story())
+        slow, quick = self.simulation.run(scenario())
         self.assertEqual((200, 200), (slow.status, quick.status))
         self.assertTrue(quick.at < slow.at, (quick.at, slow.at))
 
-    def test_a_backend_that_drains_while_a_connection_comes_up_gets_nothing(self):
-        self.world.mark_departed("i-2")
+    def test_backend_removed_during_connect_gets_no_request(self):
+        self.simulation.mark_departed("i-2")
 
-        async def story():
-            asked = asyncio.ensure_future(self.world.ask("/pay/x"))
+        async def scenario():
+            task = asyncio.ensure_future(self.simulation.send_request("/pay/x"))
             await asyncio.sleep(0.0005)
-            self.world.live.clear()
-            return await asked
+            self.simulation.live.clear()
+            return await task
 
-        got = self.world.run(story())
-        self.assertEqual(503, got.status)
-        self.assertEqual([], self.first.asked)
+        response = self.simulation.run(scenario())
+        self.assertEqual(503, response.status)
+        self.assertEqual([], self.first.requests)
 
-    def test_a_backend_that_stays_silent_is_passed_over(self):
-        self.first.answers(silent())
+    def test_unresponsive_backend_is_avoided(self):
+        self.first.respond_with(no_response())
 
-        async def story():
-            asked = [asyncio.ensure_future(self.world.ask("/pay/x")) for _ in range(4)]
+        async def scenario():
+            tasks = [asyncio.ensure_future(self.simulation.send_request("/pay/x")) for _ in range(4)]
             await asyncio.sleep(0.4)
-            before = len(self.first.asked)
-            statuses = await self.all_served(6)
-            await asyncio.gather(*asked)
-            return statuses, len(self.first.asked) - before
+            before = len(self.first.requests)
+            statuses = await self.send_requests(6)
+            await asyncio.gather(*tasks)
+            return statuses, len(self.first.requests) - before
 
-        self.assertEqual(({200}, 0), self.world.run(story()))
+        self.assertEqual(({200}, 0), self.simulation.run(scenario()))
 
-    def test_a_slower_backend_gets_fewer_requests(self):
-        self.first.answers(whole(after=0.1))
-        self.world.run(self.all_served(60))
-        self.assertTrue(len(self.first.asked) * 3 < len(self.second.asked), len(self.first.asked))
+    def test_slower_backend_gets_fewer_requests(self):
+        self.first.respond_with(complete_response(after=0.1))
+        self.simulation.run(self.send_requests(60))
+        self.assertTrue(len(self.first.requests) * 3 < len(self.second.requests), len(self.first.requests))
 
-    def test_a_backend_that_resets_new_connections_is_left_for_another(self):
+    def test_backend_that_resets_new_connections_is_avoided(self):
         self.first.resetting = self.second.resetting = True
-        third = self.world.backend("i-3")
-        self.assertEqual({200}, self.world.run(self.all_served(5)))
-        self.assertEqual(5, len(third.asked))
+        third = self.simulation.backend("i-3")
+        self.assertEqual({200}, self.simulation.run(self.send_requests(5)))
+        self.assertEqual(5, len(third.requests))
 
-    def test_suspicion_leaves_half_of_a_service_in_use(self):
+    def test_half_of_a_service_stays_in_use_despite_failures(self):
         for backend in self.both:
-            backend.answers(breaks(), breaks(), breaks(), whole())
+            backend.respond_with(drop_connection(), drop_connection(), drop_connection(), complete_response())
 
-        async def story():
-            return [(await self.world.ask("/pay/x")).status for _ in range(8)]
+        async def scenario():
+            return [(await self.simulation.send_request("/pay/x")).status for _ in range(8)]
 
-        statuses = self.world.run(story())
+        statuses = self.simulation.run(scenario())
         self.assertEqual([502] * 6 + [200] * 2, sorted(statuses, reverse=True))
 
 
-class Ends(testtools.TestCase):
-    """Time that is over, and clients that go."""
+class DeadlineAndDisconnectTest(testtools.TestCase):
+    """Expired deadlines and clients that disconnect."""
 
     def setUp(self):
         super().setUp()
-        self.world = World()
-        self.backend = self.world.backend("i-1")
-
-    def test_at_the_deadline_the_answer_is_504_at_once_and_the_send_ends(self):
-        self.backend.answers(silent())
-        got = self.world.run(self.world.ask("/pay/x", fields={"x-kestrelbend-deadline-ms": "700"}))
-        self.assertEqual((504, False), (got.status, got.stamped))
-        self.assertTrue(abs(got.at - 100.7) < 0.01, got.at)
+        self.simulation = Simulation()
+        self.backend = self.simulation.backend("i-1")
+
+    def test_deadline_gives_504_and_cancels_the_send(self):
+        self.backend.respond_with(no_response())
+        response = self.simulation.run(
+            self.simulation.send_request("/pay/x", fields={"x-kestrelbend-deadline-ms": "700"})
+        )
+        self.assertEqual((504, False), (response.status, response.has_stamp))
+        self.assertTrue(abs(response.at - 100.7) < 0.01, response.at)
         self.assertTrue(self.backend.connections[0].gateway_closed)
 
-    def test_the_routes_timeout_bounds_a_longer_deadline(self):
-        self.backend.answers(silent())
-        got = self.world.run(self.world.ask("/read/x", fields={"x-kestrelbend-deadline-ms": "60000"}))
-        self.assertTrue(abs(got.at - 102) < 0.01, got.at)
+    def test_route_timeout_caps_a_longer_deadline(self):
+        self.backend.respond_with(no_response())
+        response = self.simulation.run(
+            self.simulation.send_request("/read/x", fields={"x-kestrelbend-deadline-ms": "60000"})
+        )
+        self.assertTrue(abs(response.at - 102) < 0.01, response.at)
 
-    def test_time_that_ends_before_any_send_is_a_promise(self):
+    def test_deadline_before_any_send_gives_503(self):
         self.backend.unreachable = True
-        got = self.world.run(self.world.ask("/pay/x", fields={"x-kestrelbend-deadline-ms": "200"}))
-        self.assertEqual(503, got.status)
-
-    def test_a_client_that_goes_ends_its_send(self):
-        self.backend.answers(whole(after=1))
-        got = self.world.run(self.world.ask("/read/x", leave_after=0.2))
-        self.assertEqual((None, False), (got.status, got.complete))
-        self.assertTrue(abs(got.at - 100.2) < 0.01, got.at)
+        response = self.simulation.run(
+            self.simulation.send_request("/pay/x", fields={"x-kestrelbend-deadline-ms": "200"})
+        )
+        self.assertEqual(503, response.status)
+
+    def test_client_disconnect_cancels_the_send(self):
+        self.backend.respond_with(complete_response(after=1))
+        response = self.simulation.run(self.simulation.send_request("/read/x", disconnect_after=0.2))
+        self.assertEqual((None, False), (response.status, response.complete))
+        self.assertTrue(abs(response.at - 100.2) < 0.01, response.at)
         self.assertTrue(self.backend.connections[0].gateway_closed)
 
-    def test_connections_of_ended_sends_are_no_longer_counted(self):
-        self.backend.answers(silent())
+    def test_cancelled_sends_release_their_connections(self):
+        self.backend.respond_with(no_response())
 
-        async def story():
+        async def scenario():
             for _ in range(200):
-                await self.world.ask("/pay/x", fields={"x-kestrelbend-deadline-ms": "5"})
-            self.backend.answers(whole())
-            return await self.world.ask("/pay/x")
+                await self.simulation.send_request("/pay/x", fields={"x-kestrelbend-deadline-ms": "5"})
+            self.backend.respond_with(complete_response())
+            return await self.simulation.send_request("/pay/x")
 
-        self.assertEqual(200, self.world.run(story()).status)
-        self.assertEqual(0, sum(self.world.plane.load_balancer.in_flight.values()))
-        self.assertEqual(0, self.world.lifecycle.in_flight)
+        self.assertEqual(200, self.simulation.run(scenario()).status)
+        self.assertEqual(0, sum(self.simulation.plane.load_balancer.in_flight.values()))
+        self.assertEqual(0, self.simulation.lifecycle.in_flight)
--- a/tests/tier/test_dataplane_server.py
+++ b/tests/tier/test_dataplane_server.py
@@ -1,4 +1,4 @@
-"""The data plane's answers under hypercorn, on the loopback: how they end, and what of a request is heard."""
+"""The data plane's responses under hypercorn on the loopback: how they end, and what the application sees."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Application:
-    """Ends its answers by the path."""
+    """An ASGI application that ends its response as the path says."""
 
     def __init__(self) -> None:
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         self.bodies: list[bytes] = []
 
     async def __call__(self, scope, receive, send):
@@ -34,11 +34,11 @@
         client = Client(send, lambda: False, scope["http_version"])
         if scope["path"] == "/wait":
             await receive()
-            self.gone.set()
+            self.disconnected.set()
         elif scope["path"] == "/cut":
             await client.start(200, [(b"content-type", b"text/event-stream")])
             await client.body(b"id: 1\n\n", more=True)
-        elif scope["path"] == "/untold":
+        elif scope["path"] == "/no-length":
             await client.start(200, [(b"content-type", b"text/event-stream")])
             await client.body(b"id: 1\n\n", more=True)
             await client.body(b"id: 2\n\n", more=False)
@@ -50,22 +50,25 @@
             await client.body(body, more=False)
 
 
-class Server(testtools.TestCase):
-    """Real bytes; each story ends by what it reads, none by a pause."""
+class HttpServerTest(testtools.TestCase):
+    """Real connections; no scenario depends on a delay."""
 
-    def play(self, story):
+    def run_scenario(self, scenario):
         async def main():
             reservations, self.writers = AddressReservations(), []
             _, self.port = reservations.reserve(host="127.0.0.1")
-            self.application, self.over, self.told = Application(), asyncio.Event(), []
+            self.application, self.shut_down, self.closing_calls = Application(), asyncio.Event(), []
             listener = Listener(
-                self.application, f"127.0.0.1:{self.port}", self.over.wait, lambda: self.told.append(1)
+                self.application,
+                f"127.0.0.1:{self.port}",
+                self.shut_down.wait,
+                lambda: self.closing_calls.append(1),
             )
             serving = asyncio.ensure_future(serve_all([listener]))
             try:
-                return await asyncio.wait_for(story(), 20)
+                return await asyncio.wait_for(scenario(), 20)
             finally:
-                self.over.set()
+                self.shut_down.set()
                 for writer in self.writers:
                     writer.close()
                 await asyncio.wait_for(serving, 20)
@@ -83,42 +86,42 @@
             self.writers.append(writer)
             return reader, writer
 
-    async def exchange(self, data: bytes) -> bytes:
-        """All that comes until the server closes."""
+    async def send_and_read(self, data: bytes) -> bytes:
+        """Sends `data` and returns all bytes until the server closes the connection."""
         reader, writer = await self.connect()
         writer.write(data)
         out = await reader.read(-1)
         writer.close()
         return out
 
-    def test_an_answer_without_its_last_part_does_not_look_complete(self):
-        cut = self.play(lambda: self.exchange(b"GET /cut" + HOST + b"\r\n"))
+    def test_response_without_its_last_part_does_not_look_complete(self):
+        cut = self.run_scenario(lambda: self.send_and_read(b"GET /cut" + HOST + b"\r\n"))
         self.assertTrue(cut.endswith(b"7\r\nid: 1\n\n\r\n"), cut)
-        short = self.play(lambda: self.exchange(b"GET /short" + HOST + b"\r\n"))
+        short = self.run_scenario(lambda: self.send_and_read(b"GET /short" + HOST + b"\r\n"))
         self.assertTrue(short.endswith(b"content-length: 10\r\n\r\n12345"), short)
 
-    def test_an_answer_without_a_length_does_not_look_complete_to_an_older_client(self):
-        """To one that knows no chunks, the end of the connection is the end of such an answer."""
+    def test_incomplete_response_without_length_does_not_look_complete_to_an_http_1_0_client(self):
+        """An HTTP/1.0 client takes the end of the connection for the end of such a response."""
         old = b" HTTP/1.0\r\nHost: a.example\r\n\r\n"
-        cut = self.play(lambda: self.exchange(b"GET /cut" + old))
+        cut = self.run_scenario(lambda: self.send_and_read(b"GET /cut" + old))
         self.assertNotIn(b"200", cut.split(b"\r\n")[0])
-        untold = self.play(lambda: self.exchange(b"GET /untold" + old))
-        self.assertIn(b"\r\ncontent-length: 14\r\n", untold)
-        self.assertTrue(untold.endswith(b"\r\n\r\nid: 1\n\nid: 2\n\n"), untold)
+        no_length = self.run_scenario(lambda: self.send_and_read(b"GET /no-length" + old))
+        self.assertIn(b"\r\ncontent-length: 14\r\n", no_length)
+        self.assertTrue(no_length.endswith(b"\r\n\r\nid: 1\n\nid: 2\n\n"), no_length)
 
     def test_pipelined_requests_are_answered_in_order_and_head_has_no_body(self):
         one = b"POST /a" + HOST + b"Content-Length: 1\r\n\r\nA"
         head = b"HEAD /b" + HOST + b"Content-Length: 1\r\n\r\nB"
         last = b"POST /c" + HOST + b"Content-Length: 1\r\nConnection: close\r\n\r\nC"
-        out = self.play(lambda: self.exchange(one + head + last))
+        out = self.run_scenario(lambda: self.send_and_read(one + head + last))
         self.assertEqual(3, out.count(b"HTTP/1.1 200"))
         self.assertEqual(
             (1, 0, 1), (out.count(b"\r\n\r\nA"), out.count(b"\r\n\r\nB"), out.count(b"\r\n\r\nC"))
         )
         self.assertEqual([b"A", b"B", b"C"], self.application.bodies)
 
-    def test_a_body_that_waits_for_100_continue_is_called_for(self):
-        async def story():
+    def test_expect_100_continue_gets_an_interim_response(self):
+        async def scenario():
             reader, writer = await self.connect()
             fields = b"Content-Length: 2\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n"
             writer.write(b"POST /a" + HOST + fields)
@@ -126,31 +129,31 @@
             writer.write(b"ok")
             return interim, await reader.read(-1)
 
-        interim, answer = self.play(story)
+        interim, answer = self.run_scenario(scenario)
         self.assertTrue(interim.startswith(b"HTTP/1.1 100"))
         self.assertTrue(answer.endswith(b"\r\n\r\nok"))
 
-    def test_a_client_that_goes_is_noticed(self):
-        async def story():
+    def test_client_disconnect_reaches_the_application(self):
+        async def scenario():
             _, writer = await self.connect()
             writer.write(b"GET /wait" + HOST + b"\r\n")
             writer.close()
-            await self.application.gone.wait()
+            await self.application.disconnected.wait()
             return True
 
-        self.assertTrue(self.play(story))
+        self.assertTrue(self.run_scenario(scenario))
 
-    def test_the_application_hears_of_the_closing_and_answers_carry_no_name(self):
-        out = self.play(lambda: self.exchange(b"GET /a" + HOST + b"Connection: close\r\n\r\n"))
-        self.assertEqual([1], self.told)
+    def test_shutdown_calls_closing_and_responses_have_no_server_or_date_header(self):
+        out = self.run_scenario(lambda: self.send_and_read(b"GET /a" + HOST + b"Connection: close\r\n\r\n"))
+        self.assertEqual([1], self.closing_calls)
         self.assertNotIn(b"server:", out.lower())
         self.assertNotIn(b"date:", out.lower())
 
 
-class Readiness(testtools.TestCase):
-    """What the platform is told."""
+class ReadinessTest(testtools.TestCase):
+    """The readiness that is reported to the platform."""
 
-    def test_ready_only_while_equipped_and_not_draining(self):
+    def test_ready_only_while_serviceable_and_not_draining(self):
         lifecycle = Lifecycle()
         application = ReadyApplication(lifecycle)
 
@@ -163,7 +166,7 @@
             await application({"type": "http", "path": path}, None, send)
             return sent[0]["status"]
 
-        async def story():
+        async def scenario():
             statuses = [await ask()]
             lifecycle.set_ready(True)
             statuses += [await ask(), await ask("/other")]
@@ -171,4 +174,4 @@
             lifecycle.set_ready(True)
             return [*statuses, await ask()]
 
-        self.assertEqual([503, 200, 404, 503], asyncio.run(story()))
+        self.assertEqual([503, 200, 404, 503], asyncio.run(scenario()))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -34,7 +34,7 @@
 from kestrelbend.tier.roles.routing_state import RoutingState
 from tests.tier.forked_pool import forked_pool
 from tests.tier import virtual_time
-from tests.tier.dataplane_world import STAMP, World
+from tests.tier.dataplane_world import STAMP, Simulation
 from tests.tier.replication_harness import SHARD, Cluster
 from tests.tier.test_protocol_replies import ConnectionPair
 from tests.tier.test_snapshots import chunks_of
@@ -71,11 +71,11 @@
     ".test_given_an_order_and_nothing_heard_then_the_state_is_running",
     "emptied-identity": "test_storage_journal.DataDirectoryTest"
     ".test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so",
-    "reservation-first": "test_dataplane_streams.Budgets.test_a_spent_budget_is_402_without_a_send",
+    "reservation-first": "test_dataplane_streams.TurnBudgetTest.test_spent_budget_gives_402_without_a_send",
     "reservation-name": "test_budgets_table.BudgetTest"
     ".test_given_an_outcome_when_the_command_is_repeated_then_it_is_the_same_and_adds_nothing",
-    "instance": "test_dataplane_requests.Passing"
-    ".test_method_path_query_body_and_headers_reach_the_backend_unchanged",
+    "instance": "test_dataplane_requests.ForwardingTest"
+    ".test_method_path_query_body_and_headers_are_forwarded_unchanged",
     "answer-id": "test_guards.TestAnswers.test_an_answer_that_names_no_request_or_two_is_given_to_nobody",
     "gateway-refusal": "test_gateway_contact_stories.TestCutOff.test_a_gateway_without_a_disk_is_cut_off",
     "version-order": "test_guards.TestVersions.test_an_older_version_is_not_put_in_force",
@@ -121,27 +121,29 @@
     "budget-answer": "test_guards.TestBudgetReplies.test_a_reply_to_another_request_is_not_taken",
     "reply-number": "test_protocol_replies.RepliesTest"
     ".test_given_a_reply_later_than_its_time_when_another_waits_then_that_one_does_not_get_it",
-    "deadline": "test_dataplane_answers.Deadlines.test_each_later_send_gets_what_is_left",
-    "fresh-connection": "test_dataplane_answers.Whose"
-    ".test_a_second_refusal_of_the_first_send_is_not_taken_for_the_second_sends",
-    "own-answer": "test_dataplane_answers.Whose.test_what_is_not_the_backends_own_answer_is_no_answer",
-    "rest": "test_dataplane_answers.EarlyAnswers.test_no_request_waits_behind_a_body_that_is_not_read",
-    "surplus": "test_dataplane_requests.Spoilt.test_bytes_behind_an_answer_close_its_connection",
-    "ids-rise": "test_dataplane_streams.Streams.test_a_second_run_that_starts_over_is_not_joined",
-    "repeat": "test_dataplane_streams.Streams"
-    ".test_a_stream_that_may_not_be_resumed_runs_once_though_nothing_came",
-    "may-have-run": "test_dataplane_answers.Lengthless.test_one_that_is_reset_is_not",
-    "left-client": "test_dataplane_answers.Gone"
-    ".test_the_backends_work_ends_for_what_may_be_repeated_and_for_streams",
-    "half-done": "test_dataplane_answers.Gone"
-    ".test_work_that_may_run_once_runs_to_its_end_and_is_not_sent_again",
-    "data-refusal": "test_dataplane_answers.Refusals"
-    ".test_what_an_older_configuration_refuses_is_503_with_a_time_to_come_back",
+    "deadline": "test_dataplane_answers.ForwardedDeadlineTest.test_each_retry_forwards_the_remaining_time",
+    "fresh-connection": "test_dataplane_answers.ResponseMatchingTest"
+    ".test_duplicate_rejection_of_the_first_send_is_not_matched_to_the_second",
+    "own-answer": "test_dataplane_answers.ResponseMatchingTest"
+    ".test_response_that_may_not_be_forwarded_gives_502",
+    "rest": "test_dataplane_answers.EarlyResponseTest.test_connection_with_an_unread_body_is_not_reused",
+    "surplus": "test_dataplane_requests.InvalidResponseTest.test_bytes_after_a_response_close_its_connection",
+    "ids-rise": "test_dataplane_streams.EventStreamTest.test_second_run_that_starts_over_is_not_appended",
+    "repeat": "test_dataplane_streams.EventStreamTest.test_non_resumable_stream_without_a_response_runs_once",
+    "may-have-run": "test_dataplane_answers.ResponsesWithoutLengthTest"
+    ".test_reset_before_forwarding_gives_502",
+    "left-client": "test_dataplane_answers.ClientDisconnectTest"
+    ".test_disconnect_cancels_retryable_requests_and_streams",
+    "half-done": "test_dataplane_answers.ClientDisconnectTest"
+    ".test_disconnect_does_not_cancel_a_request_that_may_run_only_once",
+    "data-refusal": "test_dataplane_answers.StaleConfigurationTest"
+    ".test_rejection_by_a_possibly_stale_configuration_is_a_503",
     "snapshot-mix": "test_guards.TestSnapshots.test_a_newer_one_begins_without_the_bytes_of_an_older",
-    "event-end": "test_dataplane_streams.Splitting.test_an_end_within_an_event_is_no_end",
-    "named-instance": "test_dataplane_answers.Named"
-    ".test_the_instance_that_a_client_names_gets_the_request_and_no_other",
-    "closed-here": "test_dataplane_answers.Lengthless.test_a_local_end_is_no_end_of_an_answer",
+    "event-end": "test_dataplane_streams.EventSplitterTest.test_end_within_an_event_raises",
+    "named-instance": "test_dataplane_answers.MisdirectedRequestTest"
+    ".test_only_the_expected_instance_gets_the_request",
+    "closed-here": "test_dataplane_answers.ResponsesWithoutLengthTest"
+    ".test_locally_aborted_connection_does_not_complete_a_response",
     "read-request": "test_guards.TestReadRequests.test_a_question_of_another_epoch_is_not_answered",
     "current-after-first-entry": "test_read_index.CurrencyStories"
     ".test_a_new_owner_is_not_current_before_it_has_committed",
@@ -263,9 +265,9 @@
 class TestAnswers(testtools.TestCase):
     def test_an_answer_that_names_no_request_or_two_is_given_to_nobody(self):
         for names in ([], ["own", "other"]):
-            world = World()
-            world.backend("i-1").answers(answer_that_names(names))
-            got = world.run(world.ask("/pay/x"))
+            world = Simulation()
+            world.backend("i-1").respond_with(answer_that_names(names))
+            got = world.run(world.send_request("/pay/x"))
             self.assertNotIn(b"foreign", got.body)
 
 
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -1,4 +1,4 @@
-"""How news reaches gateways: the configuration's stream and the exchange of backends."""
+"""How updates reach gateways: the configuration stream and the exchange of backend states."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class FakeConnection:
-    """A connection that remembers what was sent on it."""
+    """A connection that records the messages sent on it."""
 
     def __init__(self, address=""):
         self.address = address
         self.sent = []
         self.closed = False
-        self.asked: list[asyncio.Future] = []
+        self.pending: list[asyncio.Future] = []
 
     def send(self, message, sequence=0):
         self.sent.append(message)
@@ -32,8 +32,8 @@
 
     def request(self, message, timeout):
         self.sent.append(message)
-        self.asked.append(asyncio.get_running_loop().create_future())
-        return self.asked[-1]
+        self.pending.append(asyncio.get_running_loop().create_future())
+        return self.pending[-1]
 
 
 class ConfigStreamTest(testtools.TestCase):
@@ -42,13 +42,13 @@
         self.stream = ConfigStream()
         self.connection = FakeConnection()
 
-    def test_given_a_subscriber_when_versions_come_late_or_twice_then_they_only_rise(self):
+    def test_late_or_duplicate_versions_are_not_sent_to_a_subscriber(self):
         self.stream.subscribe(self.connection, 0)
         for version in (3, 3, 2, 5):
             self.stream.stream(version, b"{}", current=True)
         self.assertEqual([3, 5], [update.version for update in self.connection.sent])
 
-    def test_given_a_version_told_as_not_current_when_it_is_confirmed_then_that_is_told_once(self):
+    def test_confirmation_of_a_version_is_sent_once(self):
         self.stream.subscribe(self.connection, 0)
         self.stream.stream(3, b"{}", current=False)
         self.stream.stream(3, b"{}", current=True)
@@ -56,18 +56,18 @@
         expected = [ConfigUpdate(3, False, b"{}"), ConfigUpdate(3, True, b"")]
         self.assertEqual(expected, self.connection.sent)
 
-    def test_given_a_subscriber_ahead_of_this_node_when_streamed_then_it_is_not_told_to_be_current(self):
+    def test_subscriber_with_a_newer_version_gets_no_update(self):
         self.stream.subscribe(self.connection, 9)
         self.stream.stream(3, b"{}", current=True)
         self.assertEqual([], self.connection.sent)
 
-    def test_given_a_gateway_that_takes_bodies_elsewhere_then_it_is_told_the_number_alone(self):
+    def test_subscriber_without_bodies_gets_only_the_version(self):
         self.stream.subscribe(self.connection, 2, with_bodies=False)
         self.stream.stream(3, b"{}", current=True)
         self.assertEqual([ConfigUpdate(3, True, b"")], self.connection.sent)
 
-    def test_given_two_gateways_when_both_acknowledge_or_leave_then_the_wait_ends(self):
-        async def play():
+    def test_wait_for_acknowledgements_ends_when_all_acknowledge_or_disconnect(self):
+        async def run_scenario():
             other = FakeConnection()
             for connection in (self.connection, other):
                 self.stream.subscribe(connection, 0)
@@ -79,7 +79,7 @@
             self.stream.lost(other)
             await waiting
 
-        asyncio.run(play())
+        asyncio.run(run_scenario())
 
 
 def backend(state=1, sequence=1):
@@ -92,7 +92,7 @@
         self.exchange = BackendExchange("c:1", lambda: [backend(0)], lambda: [self.peer])
         self.exchange.subscribe(self.gateway)
 
-    def test_given_a_gateway_when_it_subscribes_then_it_gets_everything_first(self):
+    def test_new_subscriber_gets_a_complete_update_before_changes(self):
         self.given_an_exchange()
         self.exchange.notify_gateways([backend()])
         expected = [
@@ -101,7 +101,7 @@
         ]
         self.assertEqual(expected, self.gateway.sent)
 
-    def test_given_a_gateway_that_wants_notices_then_it_hears_of_those_that_leave_alone(self):
+    def test_incomplete_subscription_gets_only_departing_backends(self):
         self.given_an_exchange()
         other = FakeConnection()
         self.exchange.subscribe(other, complete=False)
@@ -109,7 +109,7 @@
         self.exchange.notify_gateways([backend(0, 3)])
         self.assertEqual([BackendUpdate("c:1", 1, False, (backend(1),))], other.sent)
 
-    def test_given_a_gateway_that_wants_all_later_then_it_gets_everything_and_numbers_go_on(self):
+    def test_switch_to_a_complete_subscription_sends_everything_and_continues_numbering(self):
         self.given_an_exchange()
         other = FakeConnection()
         self.exchange.subscribe(other, complete=False)
@@ -118,35 +118,35 @@
         self.assertEqual([1, 2], [update.number for update in other.sent])
         self.assertEqual((backend(0),), other.sent[-1].backends)
 
-    def test_given_a_backend_that_leaves_when_all_have_acknowledged_then_not_before_it_may_be_told(self):
-        async def play():
+    def test_departure_is_confirmed_only_after_all_have_acknowledged_it(self):
+        async def run_scenario():
             self.given_an_exchange()
-            telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
+            notification = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
             self.exchange.record_ack(self.gateway, BackendAck("c:1", 1))
-            self.peer.asked[0].set_result(None)
+            self.peer.pending[0].set_result(None)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            self.assertFalse(telling.done())
+            self.assertFalse(notification.done())
             self.exchange.record_ack(self.gateway, BackendAck("c:1", 2))
-            await telling
+            await notification
 
-        asyncio.run(play())
+        asyncio.run(run_scenario())
 
-    def test_given_a_gateway_that_is_lost_when_a_backend_leaves_then_nobody_waits_for_it(self):
-        async def play():
+    def test_departure_does_not_wait_for_a_disconnected_gateway(self):
+        async def run_scenario():
             self.given_an_exchange()
-            telling = asyncio.ensure_future(self.exchange.notify_all([backend()]))
+            notification = asyncio.ensure_future(self.exchange.notify_all([backend()]))
             await asyncio.sleep(0)
             self.exchange.connection_lost(self.gateway)
-            self.peer.asked[0].set_result(None)
-            await telling
+            self.peer.pending[0].set_result(None)
+            await notification
 
-        asyncio.run(play())
+        asyncio.run(run_scenario())
 
 
 class RingTest(testtools.TestCase):
-    def test_given_a_ring_when_one_monitor_goes_then_the_others_stay(self):
+    def test_removing_one_monitor_keeps_the_other_monitors(self):
         nodes = [f"10.0.0.{number}:7" for number in range(9)]
         for process in nodes:
             before = nearest_control_nodes(process, nodes)
