--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -204,15 +204,15 @@
 
 
 def _record_steps(steps: Any) -> None:
-    take = world.World.take
+    take = world.World.apply_step
 
     def recorded_take(state: world.World, step: world.Step) -> None:
         take(state, step)
         last = state.queue[-1] if state.queue else None
         content = encode(last.content) if isinstance(last, world.Message) else b""
-        steps.update(b"%d %d %s\n" % (state.line, len(state.queue), content))
+        steps.update(b"%d %d %s\n" % (state.next_line, len(state.queue), content))
 
-    world.World.take = recorded_take
+    world.World.apply_step = recorded_take
 
 
 def search_script(name: str) -> str:
--- a/kestrelbend/tier/storage/journal_names.py
+++ b/kestrelbend/tier/storage/journal_names.py
@@ -1,6 +1,6 @@
 """File names of a journal: a number of twelve digits and a suffix for the kind of file.
 
-`000000000007.versions` is segment 7.  `000000000007.checkpoint` replaces the segments below 7, and
+`000000000007.versions` is segment 7.  `000000000007.checkpoint` replaces the segments below 7;
 `000000000007.checkpoint.new` is a checkpoint that is still being written.  The names must not change, since
 disks written by earlier releases use them.
 """
