--- a/kestrelbend/gateway/simulator_adapter/__init__.py
+++ b/kestrelbend/gateway/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: hosts instances of the decision module on the simulator's wire."""
+"""The simulator adapter: runs gateway instances on the simulator's line protocol."""
--- a/kestrelbend/gateway/simulator_adapter/__main__.py
+++ b/kestrelbend/gateway/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The adapter as a program: the simulator's wire on standard input and output."""
+"""Entry point of the simulator adapter, which speaks the line protocol on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from .host import serve
 
 USAGE = (
-    "usage: python -m kestrelbend.gateway.simulator_adapter   (speaks the wire on standard input and output)"
+    "usage: python -m kestrelbend.gateway.simulator_adapter   (line protocol on standard input and output)"
 )
 
 
 def main() -> None:
-    """Serve until standard input ends; a malformed line or a lost reader ends it with a plain message."""
+    """Serve until standard input ends; exit with a message on a malformed line or a closed output."""
     if len(sys.argv) > 1:
         sys.exit(USAGE)
     try:
@@ -21,7 +21,7 @@
     except MalformedLine as error:
         sys.exit(f"benchlink: {error}")
     except BrokenPipeError:
-        sys.exit("benchlink: the reader of the replies went away")
+        sys.exit("benchlink: the simulator closed the adapter's output")
 
 
 if __name__ == "__main__":
--- a/kestrelbend/gateway/simulator_adapter/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -1,10 +1,10 @@
-"""The simulator's lines to values and back; the wire's names, milliseconds and numbers are known only here.
+"""Codec of the simulator's line protocol; only this module knows its names, units and field order.
 
-A batch is `round <clock>`, one line for each event, and `eob`; `roster_change` is followed by as many
-`backend` lines as it says.  The replies to a batch end with `done` (written by `host.serve`).  Fields are
-separated by single spaces; `-` stands for an absent value where the tables below give one.
+A batch is `round <clock>`, one line per event, and `eob`; `roster_change` is followed by the number of
+`backend` lines that it states.  The replies to a batch end with `done` (written by `host.serve`).  Fields are
+separated by single spaces; `-` stands for an absent value where the tables below define one.
 
-Invariant: all that is read is checked here (`MalformedLine`), so that the host gets values of the right types
+Invariant: all input is validated here (`MalformedLine`), so that the host gets values of the right types and
 within their ranges.
 """
 
@@ -21,7 +21,7 @@
 Value = TypeVar("Value")
 Absent = TypeVar("Absent")
 Reader: TypeAlias = Callable[[str], Any]
-"""Reads one field; raises `ValueError` or `OverflowError`."""
+"""Parses one field; raises `ValueError` or `OverflowError`."""
 
 RESULTS: Final = {
     "success": Result.SUCCEEDED,
@@ -39,22 +39,22 @@
     "Gone": EndpointState.GONE,
 }
 LIST_KINDS: Final = ("patch", "whole", "stale_copy", "broken")
-RETRY_FLAG: Final = 2  # in the flags of `accept`: the client marked it as a retry
+RETRY_FLAG: Final = 2  # bit in the flags of `accept`: the client marked the request as a retry
 MAX_UNSIGNED: Final = (1 << 64) - 1
-MICROSECONDS_OF_MS: Final = 1000
-QUOTED_CHARACTERS: Final = 40  # of a line that an error quotes
+MICROSECONDS_PER_MS: Final = 1000
+MAX_QUOTED_CHARACTERS: Final = 40  # maximum length of a quotation in an error
 
 
 def unsigned(text: str) -> int:
-    """An integer of 64 bits without sign; raises `ValueError`."""
+    """Parse an unsigned 64-bit integer; raises `ValueError`."""
     value = int(text)
     if not 0 <= value <= MAX_UNSIGNED:
-        raise ValueError(f"out of range: {text!r}")
+        raise ValueError(f"not an unsigned 64-bit integer: {text!r}")
     return value
 
 
 def flag(text: str) -> bool:
-    """0 or 1; raises `ValueError`."""
+    """Parse 0 or 1; raises `ValueError`."""
     if text not in ("0", "1"):
         raise ValueError(f"neither 0 nor 1: {text!r}")
     return text == "1"
@@ -64,11 +64,11 @@
     try:
         return base64.b64decode(text, validate=True)
     except ValueError:
-        return b""  # an unreadable peer message is harmless
+        return b""  # an undecodable peer message is ignored
 
 
 def _pairs(text: str) -> dict[str, str]:
-    """The settings: path=value, separated by spaces."""
+    """Parse settings: path=value pairs, separated by spaces."""
     return {path: value for path, _, value in (part.partition("=") for part in text.split(" ") if part)}
 
 
@@ -77,14 +77,14 @@
 
 
 def _optional(read: Callable[[str], Value], absent: Absent) -> Callable[[str], Value | Absent]:
-    """A reader that gives `absent` for "-"."""
+    """A reader that returns `absent` for "-"."""
     return lambda text: absent if text == "-" else read(text)
 
 
 _read_result = one_of(RESULTS, "outcome")
 EVENTS: Final[Mapping[str, Sequence[Reader]]] = {
     "init": (unsigned, _pairs),  # seed, settings
-    "roster_change": (  # version, kind of list, number of entries
+    "roster_change": (  # version, kind of list, number of `backend` lines
         _optional(unsigned, 0),
         one_of({name: name for name in LIST_KINDS}, "kind of list"),
         _optional(unsigned, 0),
@@ -94,7 +94,7 @@
         str,  # operation
         str,  # plan
         str,  # customer
-        micros,  # until
+        micros,  # deadline
         _optional(number, 1.0),  # units
         _optional(unsigned, 0),  # spread
         _optional(unsigned, 0),  # first gateway
@@ -105,17 +105,17 @@
         unsigned,  # delivery
         _optional(unsigned, None),  # backend
         _read_result,
-        _optional(micros, 0),  # took
-        _optional(flag, False),  # whether the client has its answer by it
-        _optional(unsigned, 0),  # used: 1 more than the percent, 0: not told
+        _optional(micros, 0),  # duration
+        _optional(flag, False),  # whether it gave the client its final answer
+        _optional(unsigned, 0),  # usage in percent plus 1; 0: not stated
         _optional(unsigned, 0),  # actual units
         _optional(_load_report, None),
     ),
-    "reminder": (unsigned,),  # handle
+    "reminder": (unsigned,),  # timer handle
     "destroy": (),
     "peer": (_optional(unsigned, 0), _optional(_payload, b"")),  # sender, message
     "probe_result": (unsigned, _read_result, _optional(micros, 0), _optional(_load_report, None)),
-    "counter_reply": (  # name, took, result, total
+    "counter_reply": (  # name, duration, result, total
         unsigned,
         _optional(micros, 0),
         _read_result,
@@ -124,7 +124,7 @@
     "withdrawn": (unsigned,),  # invocation
     "streaming": (unsigned, _optional(unsigned, None), _optional(micros, 0), unsigned),
 }
-"""By message: the readers of its fields after the instance's name, in their order."""
+"""By message: the readers of the fields after the instance name, in order."""
 
 ENDPOINT_FIELDS: Final[Sequence[Reader]] = (
     unsigned,  # id
@@ -133,15 +133,15 @@
     _optional(unsigned, 0),  # group
     one_of(STATES, "state"),
     _optional(number, 1.0),  # weight
-    _optional(micros, 0),  # start
+    _optional(micros, 0),  # start time
 )
 """The readers of a `backend` line, in the order of `hosting.EndpointRow`."""
 
-TEXT_LAST: Final = ("init",)  # messages whose last field has spaces
+TEXT_LAST: Final = ("init",)  # messages whose last field may contain spaces
 
 
 class Event(NamedTuple):
-    """One event of a batch.  `values` as `EVENTS` says; `endpoints`: rows of `roster_change`, else empty."""
+    """One event of a batch.  `values`: see `EVENTS`; `endpoints`: rows of `roster_change`, else empty."""
 
     message: str
     instance: str
@@ -150,33 +150,33 @@
 
 
 def batches(stream: BinaryIO) -> Iterator[tuple[int, list[Event]]]:
-    """Yield (clock in microseconds, events) until the stream ends; raises `MalformedLine`."""
+    """Yield (clock in microseconds, events) per batch until the stream ends; raises `MalformedLine`."""
     while (line := _read_line(stream)) is not None:
         if not line.startswith("round "):
-            raise MalformedLine(f"expected 'round', got {line[:QUOTED_CHARACTERS]!r}")
+            raise MalformedLine(f"expected 'round', got {line[:MAX_QUOTED_CHARACTERS]!r}")
         clock: int = _read_fields(line, (micros,), 1)[0]
         yield clock, _read_events(stream)
 
 
 def _read_line(stream: BinaryIO) -> str | None:
-    """The next line without its end; None at the end of the stream."""
+    """Read a line without its terminator; None at the end of the stream."""
     raw = stream.readline()
     if not raw:
         return None
     if not raw.endswith(b"\n"):
-        raise MalformedLine("the stream ends within a line")
+        raise MalformedLine("stream ends within a line")
     try:
         return raw.decode().rstrip("\r\n")
     except UnicodeDecodeError:
-        raise MalformedLine("a line is not UTF-8") from None
+        raise MalformedLine("line is not valid UTF-8") from None
 
 
 def _read_events(stream: BinaryIO) -> list[Event]:
-    """The events up to the end of the batch."""
+    """Read the events of a batch, up to `eob`."""
     events: list[Event] = []
     while (line := _read_line(stream)) != "eob":
         if line is None:
-            raise MalformedLine("the stream ends within a batch")
+            raise MalformedLine("stream ends within a batch")
         events.append(_read_event(line, stream))
     return events
 
@@ -184,10 +184,10 @@
 def _read_event(line: str, stream: BinaryIO) -> Event:
     message, _, rest = line.partition(" ")
     if message not in EVENTS:
-        raise MalformedLine(f"unknown message {message[:QUOTED_CHARACTERS]!r}")
+        raise MalformedLine(f"unknown message {message[:MAX_QUOTED_CHARACTERS]!r}")
     instance = rest.partition(" ")[0]
     if not instance:
-        raise MalformedLine(f"{message!r} names no instance")
+        raise MalformedLine(f"{message!r} has no instance name")
     values = _read_fields(line, EVENTS[message], 2, message in TEXT_LAST)
     endpoints: list[Any] = []
     if message == "roster_change":
@@ -198,12 +198,12 @@
 def _read_endpoint(stream: BinaryIO) -> list[Any]:
     line = _read_line(stream)
     if line is None or not line.startswith("backend "):
-        raise MalformedLine("'roster_change' has fewer entries than it says")
+        raise MalformedLine("'roster_change' has fewer 'backend' lines than it states")
     return _read_fields(line, ENDPOINT_FIELDS, 1)
 
 
 def _read_fields(line: str, readers: Sequence[Reader], start: int, text_last: bool = False) -> list[Any]:
-    """The fields of a line from the position `start` on; `text_last`: the last one may have spaces."""
+    """Parse the fields of a line from position `start` on; `text_last`: the last may contain spaces."""
     parts = line.split(" ", start + len(readers) - 1) if text_last else line.split(" ")
     if len(parts) != start + len(readers):
         raise MalformedLine(f"{parts[0]!r} takes {start + len(readers) - 1} values, got {len(parts) - 1}")
@@ -213,58 +213,58 @@
         raise MalformedLine(f"{parts[0]!r}: {error}") from None
 
 
-# Lines to the simulator, one function for each effect; times are microseconds.
+# Lines to the simulator, one function per effect; arguments are in microseconds.
 
 
 def _milliseconds(microseconds: int) -> str:
-    return f"{microseconds / MICROSECONDS_OF_MS:.3f}"
+    return f"{microseconds / MICROSECONDS_PER_MS:.3f}"
 
 
-def deliver(instance: str, invocation: int, backend: int, until: int) -> str:
+def deliver(instance: str, invocation: int, backend: int, deadline: int) -> str:
     """Start a delivery."""
-    return f"pass_on {instance} {invocation} {backend} {_milliseconds(until)}"
+    return f"pass_on {instance} {invocation} {backend} {_milliseconds(deadline)}"
 
 
 def cancel(instance: str, invocation: int, delivery: int) -> str:
-    """Stop waiting for a delivery, by its number among its invocation's."""
+    """Stop waiting for a delivery, identified by its index in the invocation."""
     return f"recall {instance} {invocation} {delivery}"
 
 
 def throttle(instance: str, invocation: int, retry_after: int) -> str:
-    """The final answer: rejected; `retry_after` 0: no advice."""
+    """Final answer: rejected; `retry_after` 0: not stated."""
     return f"deny {instance} {invocation} {_milliseconds(retry_after) if retry_after > 0 else '-'}"
 
 
 def fail(instance: str, invocation: int) -> str:
-    """The final answer: errored."""
+    """Final answer: error."""
     return f"lose {instance} {invocation}"
 
 
-def arm_timer(instance: str, handle: int, after: int) -> str:
-    """Ask for a `reminder` after so long."""
-    return f"arm {instance} {handle} {_milliseconds(after)}"
+def arm_timer(instance: str, handle: int, delay: int) -> str:
+    """Request a `reminder` after a delay."""
+    return f"arm {instance} {handle} {_milliseconds(delay)}"
 
 
 def count(instance: str, name: int | str, amount: float, lifetime: int) -> str:
-    """Add to a name of the counter service."""
+    """Add to a counter at the counter service."""
     return f"incr {instance} {round(amount, 6):.10g} {_milliseconds(lifetime)} {name}"
 
 
 def probe(instance: str, backend: int) -> str:
-    """Ask a backend for its load."""
+    """Request a load report from a backend."""
     return f"sound_out {instance} {backend}"
 
 
 def subscribe(instance: str) -> str:
-    """Ask discovery for its changes."""
+    """Subscribe to changes at discovery."""
     return f"listen {instance} 1"
 
 
 def log(instance: str, text: str) -> str:
-    """A line for staff."""
+    """Log a line for operators."""
     return f"trace {instance} {text}"
 
 
 def fault(instance: str, text: str) -> str:
-    """A fault of the program."""
+    """Report an internal error of the adapter."""
     return f"bug {instance} {' '.join(text.split())}"
--- a/kestrelbend/gateway/simulator_adapter/errors.py
+++ b/kestrelbend/gateway/simulator_adapter/errors.py
@@ -1,4 +1,4 @@
-"""The typed errors of the simulator's adapter; each has a `code` that does not change."""
+"""Exceptions of the simulator adapter, each with a stable `code`."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class MalformedLine(Malformed):
-    """A line of the simulator that is not in the wire's form, or a stream that ends too early.
+    """A line from the simulator that violates the protocol, or a stream that ends too early.
 
-    The text names the message and what is wrong with it.  The adapter ends by it: after such a line it can't
-    be known where the next message begins.
+    The text names the message and the violation.  The adapter exits on it, because after such a line the
+    start of the next message is unknown.
     """
 
     code = "simulator_adapter.malformed_line"
--- a/kestrelbend/gateway/simulator_adapter/host.py
+++ b/kestrelbend/gateway/simulator_adapter/host.py
@@ -1,7 +1,7 @@
-"""Hosts instances on the simulator's wire: its ids become objects here, and effects become its lines.
+"""Runs gateway instances on the simulator's line protocol: maps its ids to objects and effects to lines.
 
-Invariant: an instance's clock and the list that its lines go to are set before each event (`serve`), so that
-the lines of a batch stand in the order in which their effects came about.
+Invariant: an instance's clock and its output list are set before each event (`serve`), so that the lines of a
+batch are in the order in which their effects were yielded.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class Instance(Host):
     """One gateway of the simulator.
 
-    `name`: on the wire.  `out`: where its lines go.  `invs`: invocations by their wire ids, `inv_ids` the
-    other way round.  `alarms`: by their handles, the task and its time in microseconds.
+    `name`: its name in the protocol.  `out`: its output lines.  `invs`: invocations by their protocol ids;
+    `inv_ids`: the reverse.  `timers`: task and time in microseconds, by handle.
     """
 
     def __init__(self, name: str, seed: int, settings: Mapping[str, Any], now: int, out: list[str]) -> None:
@@ -64,7 +64,7 @@
         return handle
 
     def cancel_timer(self, timer: int) -> None:
-        """The simulator still sends its `reminder`, which then finds nothing."""
+        """Forget a timer; the simulator still sends its `reminder`, which is then ignored."""
         self.timers.pop(timer, None)
 
     def count(self, name: int, amount: float, lifetime: int) -> None:
@@ -84,7 +84,7 @@
         self.out.append(codec.log(self.name, f"{text} {about}".strip()))
 
     def released(self, inv: i.Invocation) -> None:
-        """Forget its wire id."""
+        """Forget the protocol id of an invocation."""
         invocation = self.inv_ids.pop(inv, None)
         if invocation is not None:
             self.invs.pop(invocation, None)
@@ -92,7 +92,7 @@
     # Events.
 
     def handle(self, event: codec.Event) -> None:
-        """Work on one event; raises `Malformed` for what only shows beside the settings."""
+        """Handle one event; raises `Malformed` for errors that can be detected only with the settings."""
         values = event.values
         match event.message:
             case "returned":
@@ -107,16 +107,16 @@
             case "probe_result":
                 self._backend_probed(*values)
             case "withdrawn":
-                self._client_withdrew(*values)
+                self._client_gave_up(*values)
             case "streaming":
                 self._stream_began(*values)
             case "roster_change":
                 _version, kind, _count = values
                 self._endpoints_changed(event.endpoints, kind)
             case "peer":
-                pass  # the decisions have no messages for other instances
+                pass  # the decisions exchange no messages between instances
             case _:
-                raise TypeError(f"not an event: {event.message!r}")
+                raise TypeError(f"unknown event: {event.message!r}")
 
     def _endpoints_changed(self, endpoints: Iterable[EndpointRow], kind: str) -> None:
         if kind == "broken":
@@ -130,7 +130,7 @@
         operation: str,
         plan: str,
         customer: str,
-        until: int,
+        deadline: int,
         units: float,
         spread: int,
         _first_gateway: int,
@@ -143,7 +143,7 @@
             op,
             self.customer_state(plan, customer, spread),
             self.gateway.now,
-            until,
+            deadline,
             units,
             bool(flags & codec.RETRY_FLAG),
         )
@@ -163,18 +163,18 @@
         actual: int,
         load: list[float | None] | None,
     ) -> None:
-        """A delivery ended; a second end of one is passed over, and one of what was released."""
+        """A delivery ended; ignored if it had ended before or its invocation was released."""
         inv = self.invs.get(number)
         if inv is None or delivery_number >= len(inv.deliveries):
             return
         delivery = inv.deliveries[delivery_number]
         if delivery.result is not None:
             return
-        used_fraction = (used - 1) / 100 if used else None  # 1 more than the percent, so that 0 is none told
+        used_fraction = (used - 1) / 100 if used else None  # percent plus 1; 0: not stated
         self.delivery_ended(delivery, result, duration, final, self._load_report(load), actual, used_fraction)
 
     def _stream_began(self, number: int, _backend: int | None, _took: int, _delivery_number: int) -> None:
-        """The first byte of a streamed answer went to the client: it is its final answer."""
+        """The first byte of a streamed answer went to the client, which makes it the final answer."""
         inv = self.invs.get(number)
         if inv is not None:
             inv.done = True
@@ -184,24 +184,24 @@
     def _backend_probed(
         self, number: int, result: i.Result, duration: int, load: list[float | None] | None
     ) -> None:
-        """The reply to a probe; of a backend that was never listed nobody waits for one."""
+        """A probe ended; ignored for a backend that was never listed, since no task waits for it."""
         backend = self.backends.get(number)
         if backend is not None:
             self.probed(backend, result, duration, self._load_report(load))
 
-    def _client_withdrew(self, number: int) -> None:
+    def _client_gave_up(self, number: int) -> None:
         inv = self.invs.get(number)
         if inv is not None:
             self.client_disconnected(inv)
 
     def _timer_fired(self, handle: int) -> None:
-        """Run the alarm's task, unless something else has resumed it meanwhile."""
+        """Run the timer's task, unless another event has resumed it in the meantime."""
         armed = self.timers.pop(handle, None)
         if armed is not None and armed[0].timer == handle:
             self.run(armed[0])
 
     def _load_report(self, row: list[float | None] | None) -> dict[str, float] | None:
-        """A report by the fields' names in the settings; None where there is none."""
+        """A load report by the field names in the settings; None if there is none."""
         if row is None:
             return None
         named = zip(self.settings["load_fields"], row, strict=False)
@@ -211,8 +211,8 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer each batch of the simulator until its stream ends; raises `MalformedLine`.
 
-    A fault of the decisions is reported (`bug`, and a traceback on standard error), and the other instances
-    go on.
+    An exception in the decisions is reported (a `bug` line, and a traceback on standard error), and the other
+    instances continue.
     """
     instances: dict[str, Instance] = {}
     for now, events in codec.batches(source):
@@ -224,7 +224,7 @@
                 text = str(error)
                 named = text if event.message in text else f"{event.message!r}: {text}"
                 raise MalformedLine(named) from None
-            except Exception as error:  # noqa: BLE001  whatever it is, the simulator must be told of it
+            except Exception as error:  # noqa: BLE001  any exception has to be reported to the simulator
                 traceback.print_exc(file=sys.stderr)
                 out.append(codec.fault(event.instance, f"{type(error).__name__}: {error}"))
         out.append("done\n")
@@ -233,7 +233,7 @@
 
 
 def _handle(event: codec.Event, instances: dict[str, Instance], now: int, out: list[str]) -> None:
-    """Work on one event; those of instances that are not there are passed over."""
+    """Handle one event; events of unknown instances are ignored."""
     name = event.instance
     match event.message:
         case "init":
