--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -12,15 +12,15 @@
 ROSTER = "roster_change g/0 1 stale_copy 1\nbackend 5 a k 0 Ready 1.5 -"
 
 
-def play(*batches):
+def run_batches(*batches):
     text = "".join(f"round {1000 + i}\n{batch}\neob\n" for i, batch in enumerate(batches))
     sink = io.BytesIO()
     serve(io.BytesIO(text.encode()), sink)
     return sink.getvalue().decode().splitlines()
 
 
-def test_an_invocation_is_delivered_and_stale_events_are_harmless():
-    lines = play(
+def test_invocation_is_delivered_and_stale_events_are_ignored():
+    lines = run_batches(
         f"{INIT}\n{ROSTER}",
         "accept g/0 9 op plan c 3000.5 - - - -",
         "returned g/0 9 0 5 success 12.5 1 - - -\nreturned g/0 9 0 5 success 12.5 1 - - -\n"
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         "accept g/0 9",
         "nonsense g/0",
@@ -44,17 +44,17 @@
         "init g/0 7 classes.count=many",
     ],
 )
-def test_malformed_lines_are_named(bad):
-    with pytest.raises(MalformedLine, match=bad.split()[0]):
-        play(f"{INIT}\n{ROSTER}", bad)
+def test_malformed_line_raises_error_that_names_the_message(malformed):
+    with pytest.raises(MalformedLine, match=malformed.split()[0]):
+        run_batches(f"{INIT}\n{ROSTER}", malformed)
 
 
-def test_a_truncated_stream_is_told():
+def test_truncated_stream_raises_malformed_line():
     with pytest.raises(MalformedLine, match="ends within"):
         serve(io.BytesIO(b"round 1\ninit g/0"), io.BytesIO())
 
 
-def test_a_failure_of_the_module_is_reported(monkeypatch, capsys):
+def test_exception_in_the_decisions_is_reported_as_bug_line(monkeypatch, capsys):
     monkeypatch.setattr("kestrelbend.gateway.decisions.admission.Admission.admit", lambda self, inv: 1 / 0)
-    lines = play(f"{INIT}\n{ROSTER}", "accept g/0 9 op plan c 3000.5 - - - -")
+    lines = run_batches(f"{INIT}\n{ROSTER}", "accept g/0 9 op plan c 3000.5 - - - -")
     assert lines[1].startswith("bug g/0 ZeroDivisionError") and "Traceback" in capsys.readouterr().err
--- a/tests/test_decisions_digest.py
+++ b/tests/test_decisions_digest.py
@@ -1,8 +1,8 @@
-"""The decisions, effect by effect: a change of shape must leave each of them, and each draw, as it was.
+"""Guards against unintended changes of the gateway's decisions in a refactoring, including random draws.
 
-Emulated worlds are played with fixed seeds.  Every effect that a gateway's decisions ask for and every answer
-that they get goes, with its time, into one SHA-256 a scenario.  A change of policy changes the digests on
-purpose: `python -m tests.test_decisions_digest` then writes the new ones, and the commit says why.
+Emulated scenarios run with fixed seeds.  Every effect that the decisions yield and every result that they get
+is hashed with its time, into one SHA-256 per scenario.  An intended change of policy changes the digests:
+`python -m tests.test_decisions_digest` writes the new ones, and the commit states the reason.
 """
 
 import json
@@ -24,9 +24,9 @@
 from .helpers import MS, Front
 
 REPO = Path(__file__).parent.parent
-RECORDED = Path(__file__).parent / "fixtures" / "decisions.json"
+RECORDED_FILE = Path(__file__).parent / "fixtures" / "decisions.json"
 SECOND = 1_000_000
-LONGEST = 12 * SECOND  # microseconds of a scenario that are played
+MAX_DURATION = 12 * SECOND  # microseconds; longer scenarios are cut to it
 SEEDS = (1, 2)
 
 MIXED = """
@@ -97,7 +97,7 @@
 
 
 class Digest:
-    """What all gateways of one world decided, in order."""
+    """Digest of the decisions of all gateways in a scenario, in order."""
 
     def __init__(self):
         self.sum, self.count, self.kinds = sha256(), 0, {}
@@ -109,41 +109,41 @@
         self.kinds[kind] = self.kinds.get(kind, 0) + 1
 
 
-class Recorded(plant.Life):
-    """A gateway's life that notes each effect and each answer."""
+class RecordedGateway(plant.Life):
+    """A gateway that records each effect and each result in the digest."""
 
     digest = Digest()
 
-    def asked_by(self, inv):
+    def request_number(self, inv):
         return self.tries[inv].number
 
-    def sent_as(self, d):
+    def delivery_fields(self, d):
         until_first_byte = d.begin_by
-        return self.asked_by(d.inv), d.number, self.backend_ids[d.backend], d.deadline, until_first_byte
+        return self.request_number(d.inv), d.number, self.backend_ids[d.backend], d.deadline, until_first_byte
 
     def deliver(self, d):
-        self.digest.add(self, "deliver", *self.sent_as(d))
+        self.digest.add(self, "deliver", *self.delivery_fields(d))
         super().deliver(d)
 
     def cancel(self, d):
-        self.digest.add(self, "cancel", *self.sent_as(d))
+        self.digest.add(self, "cancel", *self.delivery_fields(d))
         super().cancel(d)
 
     def throttle(self, inv, retry_after):
-        self.digest.add(self, "throttle", self.asked_by(inv), retry_after)
+        self.digest.add(self, "throttle", self.request_number(inv), retry_after)
         super().throttle(inv, retry_after)
 
     def fail(self, inv):
-        self.digest.add(self, "fail", self.asked_by(inv))
+        self.digest.add(self, "fail", self.request_number(inv))
         super().fail(inv)
 
     def set_timer(self, task, until):
         self.digest.add(self, "alarm", until)
         return super().set_timer(task, until)
 
-    def count(self, name, add, life):
-        self.digest.add(self, "count", name, add, life)
-        super().count(name, add, life)
+    def count(self, name, amount, lifetime):
+        self.digest.add(self, "count", name, amount, lifetime)
+        super().count(name, amount, lifetime)
 
     def probe(self, target):
         self.digest.add(self, "probe", self.backend_ids[target])
@@ -162,200 +162,202 @@
         super().counter_replied(name, result, total)
 
 
-def stated(name):
+def load_scenario(name):
     if name in FAILURES:
-        more = FAILURES[name] and f"[[failures]]\n{FAILURES[name]}\n"
-        return toml_files.parse_toml(MIXED + more, Scenario, f"{name}.toml")
+        failure_text = FAILURES[name] and f"[[failures]]\n{FAILURES[name]}\n"
+        return toml_files.parse_toml(MIXED + failure_text, Scenario, f"{name}.toml")
     scenario = toml_files.read_toml(str(REPO / "examples" / f"{name}.toml"), Scenario)
-    scenario.lasts = min(scenario.lasts, LONGEST)
+    scenario.lasts = min(scenario.lasts, MAX_DURATION)
     return scenario
 
 
-def played(name, patch):
-    """(digest, effects and answers by kind) of all seeds of one scenario."""
+def scenario_digest(name, patch):
+    """Digest and counts of effects and results by kind, over all seeds of one scenario."""
     digest = Digest()
-    patch.setattr(Recorded, "digest", digest)
-    patch.setattr(plant, "Life", Recorded)
+    patch.setattr(RecordedGateway, "digest", digest)
+    patch.setattr(plant, "Life", RecordedGateway)
     for seed in SEEDS:
-        run(stated(name), seed)
+        run(load_scenario(name), seed)
     return {"sha256": digest.sum.hexdigest(), "count": digest.count, "kinds": digest.kinds}
 
 
-# What no emulated world has: news of use, use told in answers, streams, settings and events drawn at random.
+# For what emulated scenarios lack: usage exchange, usage in answers, streams, random settings and events.
 
-DRAWN = 150  # fronts
-EVENTS = 250  # for each
+RANDOM_FRONT_COUNT = 150
+EVENTS_PER_FRONT = 250
 
 
-def front_drawn(chance, pressed):
-    """A front with drawn settings, backends and counter."""
+def random_front(rng, overloaded):
+    """A front end with random settings, number of gateways and counter state, and its customers' spread."""
     operations = {}
     for n, effect in enumerate(("idempotent", "deduplicated", "at_most_once")):
         operations[f"classes__{n}__name"] = effect
         operations[f"classes__{n}__effect"] = effect
-        operations[f"classes__{n}__keyScope"] = chance.choice(["all", "zone", "cell"])
+        operations[f"classes__{n}__keyScope"] = rng.choice(["all", "zone", "cell"])
         operations[f"classes__{n}__keyTtl"] = 2000
-        operations[f"classes__{n}__objective"] = chance.choice([200, 1000])
+        operations[f"classes__{n}__objective"] = rng.choice([200, 1000])
         operations[f"classes__{n}__deadline"] = 3000
-        operations[f"classes__{n}__lateWorth"] = chance.choice([0, 0.5])
-        operations[f"classes__{n}__worth"] = chance.choice([1, 3])
-    ceiling = chance.choice([0, 0, 6])
-    gateways = chance.choice([1, 2, 12, 400])
+        operations[f"classes__{n}__lateWorth"] = rng.choice([0, 0.5])
+        operations[f"classes__{n}__worth"] = rng.choice([1, 3])
+    ceiling = rng.choice([0, 0, 6])
+    gateways = rng.choice([1, 2, 12, 400])
     front = Front(
-        seed=chance.randrange(1000),
+        seed=rng.randrange(1000),
         instances=gateways,
         classes__count=3,
         **operations,
-        contracts__0__refill=2 if pressed else chance.choice([0, 2, 40]),
-        contracts__0__storeSize=60 if pressed else chance.choice([6, 60]),
-        contracts__0__concurrency=0 if pressed else chance.choice([0, 0, 3]),
+        contracts__0__refill=2 if overloaded else rng.choice([0, 2, 40]),
+        contracts__0__storeSize=60 if overloaded else rng.choice([6, 60]),
+        contracts__0__concurrency=0 if overloaded else rng.choice([0, 0, 3]),
         contracts__0__ceilingRate=ceiling,
         contracts__0__capDepth=12 * bool(ceiling),
-        contracts__0__hardSlack=chance.choice([0, 2]) * bool(ceiling),
-        contracts__0__overWorth=chance.choice([0, 0.6]),
-        contracts__0__excessCost=chance.choice([0, 0.3]),
-        familyInfo__mayCount=chance.choice(["true", "true", "false"]),
+        contracts__0__hardSlack=rng.choice([0, 2]) * bool(ceiling),
+        contracts__0__overWorth=rng.choice([0, 0.6]),
+        contracts__0__excessCost=rng.choice([0, 0.3]),
+        familyInfo__mayCount=rng.choice(["true", "true", "false"]),
         familyInfo__metering=1000,
-        feedback__how=chance.choice(["probe", "answers"]),
+        feedback__how=rng.choice(["probe", "answers"]),
         feedback__fields="pending,busy_reqs,cpu_share",
         policyLimits__probing="true",
-        policyLimits__retryAfter=chance.choice(["true", "false"]),
-        policyLimits__mayDuplicate=chance.choice(["true", "false"]),
-        policyLimits__cancelling=chance.choice(["true", "false"]),
-        policyLimits__tryLimit=chance.randint(1, 4),
-        discovery=chance.choice(["automatic", "subscribe"]),
+        policyLimits__retryAfter=rng.choice(["true", "false"]),
+        policyLimits__mayDuplicate=rng.choice(["true", "false"]),
+        policyLimits__cancelling=rng.choice(["true", "false"]),
+        policyLimits__tryLimit=rng.randint(1, 4),
+        discovery=rng.choice(["automatic", "subscribe"]),
     )
-    front.gateway.counter.call_fraction = chance.choice([1.0, 1.0, 0.5, 0.1])
-    if chance.random() < 0.3:
+    front.gateway.counter.call_fraction = rng.choice([1.0, 1.0, 0.5, 0.1])
+    if rng.random() < 0.3:
         settings = front.inst.settings
-        news = front.gateway.context.usage = MeteredUsageExchange(
+        usage_exchange = front.gateway.context.usage = MeteredUsageExchange(
             gateways, 0, settings["plans"], 60, front.now
         )
-        news.meter_number, news.meter_heard_us = 5, front.now
-    return front, chance.choice([1, gateways])
+        usage_exchange.meter_number, usage_exchange.meter_heard_us = 5, front.now
+    return front, rng.choice([1, gateways])
 
 
-class Player:
-    """Draws what happens to one front, and notes every line that it writes."""
+class RandomDriver:
+    """Generates random events for one front end, and records every line that it writes."""
 
-    def __init__(self, chance, digest):
-        self.chance, self.digest = chance, digest
-        self.pressed = chance.random() < 0.4  # few backends, many marked retries
-        self.front, self.spread = front_drawn(chance, self.pressed)
-        backends = chance.choice([1, 2] if self.pressed else [3, 8, 39])
+    def __init__(self, rng, digest):
+        self.rng, self.digest = rng, digest
+        self.overloaded = rng.random() < 0.4  # few backends, many marked retries
+        self.front, self.spread = random_front(rng, self.overloaded)
+        backends = rng.choice([1, 2] if self.overloaded else [3, 8, 39])
         self.states = {n: (EndpointState.READY, 0) for n in range(1, backends + 1)}
-        self.store, self.invs, self.unanswered = {}, {}, []
-        self.listed()
+        self.store, self.invs, self.delayed_calls = {}, {}, []
+        self.send_roster()
 
-    def listed(self):
+    def send_roster(self):
         self.front.roster(*[(n, state, started) for n, (state, started) in self.states.items()])
 
-    def note(self):
-        """Counter calls are answered in their turn, lost now and then."""
+    def record_output(self):
+        """Record output lines; answer probes at once, and counter calls at once or after other events."""
         while lines := self.front.take():
             for line in lines:
                 self.digest.update(f"{self.front.now} {' '.join(line)}\n".encode())
-                if line[0] == "incr" and self.chance.random() < 0.3:
-                    self.unanswered.append(line)  # other events come first
+                if line[0] == "incr" and self.rng.random() < 0.3:
+                    self.delayed_calls.append(line)  # answered after other events
                 elif line[0] == "incr":
-                    self.counts(line)
+                    self.answer_counter_call(line)
                 elif line[0] == "sound_out":
-                    load = [self.chance.choice([0.0, 2.0]), 1.0, self.chance.random()]
+                    load = [self.rng.choice([0.0, 2.0]), 1.0, self.rng.random()]
                     self.front.tell("probe_result", [], int(line[2]), Result.SUCCEEDED, 1000, load)
 
-    def counts(self, line):
-        name, draw = int(line[4]), self.chance.random()
+    def answer_counter_call(self, line):
+        name, draw = int(line[4]), self.rng.random()
         result = Result.TIMED_OUT if draw < 0.05 else Result.REJECTED if draw < 0.2 else Result.SUCCEEDED
         if result is not Result.REJECTED:
             self.store[name] = self.store.get(name, 0.0) + float(line[2])
-        if self.chance.random() < 0.1:
-            self.front.now += self.chance.randrange(60) * MS
+        if self.rng.random() < 0.1:
+            self.front.now += self.rng.randrange(60) * MS
         self.front.counted(name, self.store.get(name, 0.0) if result is Result.SUCCEEDED else 0.0, result)
 
     def step(self, number):
-        chance, front = self.chance, self.front
+        rng, front = self.rng, self.front
         out = [(n, d) for n, inv in self.invs.items() for d in inv.deliveries if d.result is None]
-        draw = chance.random()
-        if self.unanswered and chance.random() < 0.4:
-            self.counts(self.unanswered.pop(0))
+        draw = rng.random()
+        if self.delayed_calls and rng.random() < 0.4:
+            self.answer_counter_call(self.delayed_calls.pop(0))
         elif draw < 0.45:
             self.accept(number)
         elif draw < 0.8 and out:
-            self.returned(*chance.choice(out))
+            self.end_delivery(*rng.choice(out))
         elif draw < 0.95:
-            front.pass_time(chance.randint(1, 400))
+            front.pass_time(rng.randint(1, 400))
         elif draw < 0.97:
-            n = chance.choice(list(self.states))
-            state = chance.choice(
+            n = rng.choice(list(self.states))
+            state = rng.choice(
                 [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
             )
-            self.states[n] = state, chance.choice([0, front.now])
-            self.listed()
+            self.states[n] = state, rng.choice([0, front.now])
+            self.send_roster()
         elif draw < 0.98 and self.invs:
-            front.tell("withdrawn", [], chance.choice(list(self.invs)))
+            front.tell("withdrawn", [], rng.choice(list(self.invs)))
         elif draw < 0.99 and out:
-            n, d = chance.choice(out)
+            n, d = rng.choice(out)
             front.tell("streaming", [], n, None, 0, d.number)
         elif front.gateway.context.usage is not None:
-            news = front.gateway.context.usage
-            news.meter_heard_us = front.now
-            news.shares = {
-                key: QuotaShare(chance.random(), chance.random() < 0.5) for key in news.pending.rows
+            usage_exchange = front.gateway.context.usage
+            usage_exchange.meter_heard_us = front.now
+            usage_exchange.shares = {
+                key: QuotaShare(rng.random(), rng.random() < 0.5) for key in usage_exchange.pending.rows
             }
 
     def accept(self, number):
-        chance, front = self.chance, self.front
-        operation = chance.choice(["idempotent", "deduplicated", "at_most_once"])
-        customer, until = f"c{chance.randrange(6)}", front.now + chance.choice([50, 500, 3000]) * MS
-        units = float(chance.choice([0.5, 1, 1, 4]))
-        retry = 2 * (chance.random() < (0.6 if self.pressed else 0.2))
+        rng, front = self.rng, self.front
+        operation = rng.choice(["idempotent", "deduplicated", "at_most_once"])
+        customer, until = f"c{rng.randrange(6)}", front.now + rng.choice([50, 500, 3000]) * MS
+        units = float(rng.choice([0.5, 1, 1, 4]))
+        retry = 2 * (rng.random() < (0.6 if self.overloaded else 0.2))
         front.tell("accept", [], number, operation, "plan", customer, until, units, self.spread, 0, retry)
         if number in front.inst.invs:
             self.invs[number] = front.inst.invs[number]
 
-    def returned(self, number, d):
-        chance = self.chance
-        result = Result.SUCCEEDED if chance.random() < 0.8 else chance.choice(list(Result))
-        took = min(self.front.now - d.sent_at, chance.choice([20, 200, 900]) * MS)
-        load = [float(chance.random() < 0.2), 1.0, chance.random()] if chance.random() < 0.3 else None
-        used, actual = chance.choice([0, 0, 50, 300]), chance.choice([0, 0, 2, 5])
+    def end_delivery(self, number, d):
+        rng = self.rng
+        result = Result.SUCCEEDED if rng.random() < 0.8 else rng.choice(list(Result))
+        took = min(self.front.now - d.sent_at, rng.choice([20, 200, 900]) * MS)
+        load = [float(rng.random() < 0.2), 1.0, rng.random()] if rng.random() < 0.3 else None
+        used, actual = rng.choice([0, 0, 50, 300]), rng.choice([0, 0, 2, 5])
         ended = result is Result.SUCCEEDED
         self.front.tell("returned", [], number, d.number, None, result, took, ended, used, actual, load)
 
 
-def drawn():
-    """The digest of all that the drawn fronts wrote."""
+def random_fronts_digest():
+    """Digest of all lines written by the random front ends."""
     digest = sha256()
-    for seed in range(DRAWN):
-        player = Player(Random(seed), digest)
-        for number in range(EVENTS):
-            player.step(number)
-            player.note()
+    for seed in range(RANDOM_FRONT_COUNT):
+        driver = RandomDriver(Random(seed), digest)
+        for number in range(EVENTS_PER_FRONT):
+            driver.step(number)
+            driver.record_output()
     return {"sha256": digest.hexdigest()}
 
 
 @pytest.mark.parametrize("name", [*FAILURES, *EXAMPLES])
-def test_every_decision_is_as_recorded(name, monkeypatch):
-    assert played(name, monkeypatch) == json.loads(RECORDED.read_text())[name]
+def test_decisions_in_emulated_scenario_match_the_recorded_digest(name, monkeypatch):
+    assert scenario_digest(name, monkeypatch) == json.loads(RECORDED_FILE.read_text())[name]
 
 
-def test_every_line_of_drawn_fronts_is_as_recorded():
-    assert drawn() == json.loads(RECORDED.read_text())["drawn"]
+def test_output_of_randomized_fronts_matches_the_recorded_digest():
+    assert random_fronts_digest() == json.loads(RECORDED_FILE.read_text())["drawn"]
 
 
-def test_the_recorded_worlds_have_every_kind_of_effect():
-    kinds = {kind for each in json.loads(RECORDED.read_text()).values() for kind in each.get("kinds", ())}
+def test_recorded_scenarios_cover_every_kind_of_effect():
+    kinds = {
+        kind for each in json.loads(RECORDED_FILE.read_text()).values() for kind in each.get("kinds", ())
+    }
     wanted = {"deliver", "throttle", "fail", "alarm", "count", "probe", "log", "ended", "counted"}
     assert wanted <= kinds
 
 
 def main():
-    made = {"drawn": drawn()}
+    digests = {"drawn": random_fronts_digest()}
     for name in [*FAILURES, *EXAMPLES]:
         with pytest.MonkeyPatch.context() as patch:
-            made[name] = played(name, patch)
-    RECORDED.parent.mkdir(exist_ok=True)
-    RECORDED.write_text(json.dumps(made, indent=1) + "\n")
+            digests[name] = scenario_digest(name, patch)
+    RECORDED_FILE.parent.mkdir(exist_ok=True)
+    RECORDED_FILE.write_text(json.dumps(digests, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What many gateways come to together: many modules in one process, and a herd of real ones on loopback."""
+"""Fleets of gateways: many simulated ones in one process, and several real processes on loopback."""
 
 import asyncio
 import json
@@ -16,10 +16,11 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
-def test_probes_first_sends_and_backends_in_use_do_not_grow_with_the_fleet(gateways):
-    """Seen with 200 gateways: 66 probes a second and gateway, 15,846 connections at once.  The same load, 200
-    invocations a second for six seconds, over ever more gateways, to 60 backends of which 20 just started."""
-    backends, pace, seconds, fronts = 60, 200, 6, []
+def test_probes_slow_start_and_connections_are_independent_of_gateway_count(gateways):
+    """Guards against probes and connections that grow with the number of gateways: 200 gateways once made 66
+    probes a second each and had 15,846 connections open.  The load is always 200 invocations a second for six
+    seconds, to 60 backends of which 20 have just started."""
+    backends, rate_per_s, seconds, fronts = 60, 200, 6, []
     started = Front().now
     for n in range(gateways):
         f = Front(
@@ -35,19 +36,21 @@
         )
         f.roster(*[(b, EndpointState.READY, started if b < 20 else 0) for b in range(backends)])
         fronts.append(f)
-    chance, probes, sent, ends = random.Random(4), 0, [], []
+    rng, probes, sent, pending_ends = random.Random(4), 0, [], []
     pairs = set()
-    for step in range(pace * seconds):
-        now = started + step * 1000 * MS // pace
-        for f in fronts[step % max(1, gateways // 20) :: max(1, gateways // 20)]:  # their turn for alarms
+    for step in range(rate_per_s * seconds):
+        now = started + step * 1000 * MS // rate_per_s
+        for f in fronts[
+            step % max(1, gateways // 20) :: max(1, gateways // 20)
+        ]:  # run due timers of some gateways
             f.now = f.gateway.now = now
             f.pass_time(0)
-        f = chance.choice(fronts)
+        f = rng.choice(fronts)
         f.now = f.gateway.now = now
         f.accept(step, spread=gateways, customer=str(step % 50))
-        ends.append((now + 100 * MS, f, step))
-        while ends and ends[0][0] <= now:
-            _, g, number = ends.pop(0)
+        pending_ends.append((now + 100 * MS, f, step))
+        while pending_ends and pending_ends[0][0] <= now:
+            _, g, number = pending_ends.pop(0)
             g.now = g.gateway.now = now
             if number in g.inst.invs and g.inst.invs[number].deliveries:
                 g.returned(number, 0, Result.SUCCEEDED)
@@ -59,25 +62,25 @@
                 else:
                     sent.append(int(line[3]))
                     pairs.add((f, sent[-1]))
-    assert len(sent) > 0.9 * pace * seconds
-    assert 0.5 < probes / (20 * 2 * seconds) < 2  # each cold one twice a second, by all
+    assert len(sent) > 0.9 * rate_per_s * seconds
+    assert 0.5 < probes / (20 * 2 * seconds) < 2  # per warming backend two a second, by all gateways
     cold = sum(b < 20 for b in sent)
-    assert 0.02 * len(sent) < cold < 0.5 * len(sent)  # warmed, not overrun
-    assert len({b for b in sent if b >= 20}) > 30  # and all warm ones are of use
-    assert len(pairs) < 60 * 24  # a connection each
+    assert 0.02 * len(sent) < cold < 0.5 * len(sent)  # warming backends get some load, but are not overloaded
+    assert len({b for b in sent if b >= 20}) > 30  # most warm backends are used
+    assert len(pairs) < 60 * 24  # gateway and backend pairs: one connection each
 
 
-def test_a_herd_of_real_gateways_killed_and_started_again_loses_nothing(tmp_path):
-    """Three of four are killed at once under clients and come back; what a live one took is answered."""
+def test_clients_get_answers_while_three_of_four_gateways_are_killed_and_restarted(tmp_path):
+    """Three of four gateways are killed at once and restarted; live gateways answer every request in time."""
 
     async def test():
         async with StandIns(2) as world:
-            places, running, answers = [reserve_address(n) for n in range(4)], {}, []
+            addresses, running, answers = [reserve_address(n) for n in range(4)], {}, []
 
-            async def begin(n):
-                given = {
+            async def start_gateway(n):
+                config = {
                     "name": f"n{n}",
-                    "listen": "%s:%d" % places[n],
+                    "listen": "%s:%d" % addresses[n],
                     "discovery": world.discovery.address,
                     "counter": world.counter.address,
                     "seed": str(n),
@@ -86,7 +89,7 @@
                     "known": {"rev": 1, "all": True, "targets": world.rows},
                 }
                 path = tmp_path / f"{n}.json"
-                path.write_text(json.dumps(given))
+                path.write_text(json.dumps(config))
                 running[n] = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-O",
@@ -97,31 +100,31 @@
                 )
 
             async def client(number, wait):
-                """Asks one gateway after the other; one that dies under a request is excused."""
+                """Sends requests to the gateways in turn; only a killed gateway may leave one unanswered."""
                 at = 0
-                while len(answers) < 400 or answers.count(200) <= 60:  # a slow start refuses more
+                while len(answers) < 400 or answers.count(200) <= 60:  # slow start rejects more
                     n, at = (number + at) % 4, at + 1
-                    life, began = running[n], time.monotonic()
+                    asked_process, asked_at = running[n], time.monotonic()
                     try:
-                        on = await connect(*places[n])
+                        connection = await connect(*addresses[n])
                     except OSError:
                         await asyncio.sleep(0.02)
                         continue
                     try:
-                        status = (await world.ask(f"/op/{number:016x}", wait=wait, on=on))[0]
-                        on[1].close()
+                        status = (await world.ask(f"/op/{number:016x}", wait=wait, on=connection))[0]
+                        connection[1].close()
                     except (OSError, asyncio.IncompleteReadError):
                         await asyncio.sleep(0.1)
-                        assert life.returncode is not None or life is not running[n]
+                        assert asked_process.returncode is not None or asked_process is not running[n]
                         continue
                     assert status in (200, 429, 502, 503)
-                    assert time.monotonic() - began < float(wait) + 0.5
+                    assert time.monotonic() - asked_at < float(wait) + 0.5
                     answers.append(status)
                     await asyncio.sleep(0.005)
 
             try:
                 for n in range(4):
-                    await begin(n)
+                    await start_gateway(n)
                 waits = ["0.05", "0.4", "1", "2"] * 3
                 clients = [asyncio.create_task(client(n, wait)) for n, wait in enumerate(waits)]
                 await asyncio.sleep(1.0)
@@ -130,11 +133,11 @@
                     running[n].kill()
                 await asyncio.gather(*(running[n].wait() for n in (1, 2, 3)))
                 for n in (1, 2, 3):
-                    await begin(n)
+                    await start_gateway(n)
                 await asyncio.gather(*clients)
                 assert before and answers.count(200) > 40
                 assert all(process.returncode is None for process in running.values())
-            finally:  # a test that fails must leave none behind
+            finally:  # leave no process behind when the test fails
                 for process in running.values():
                     if process.returncode is None:
                         process.kill()
