--- a/tests/tier/test_backend_reports.py
+++ b/tests/tier/test_backend_reports.py
@@ -1,4 +1,4 @@
-"""When a control node acknowledges what backends tell of themselves."""
+"""Tests of when a control node acknowledges the reports of backends."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Peer:
-    """Another control node: it answers after `delay` seconds, or never."""
+    """Another control node, which replies after `delay` seconds, or never if that is None."""
 
     def __init__(self, address, delay=0.01):
         self.address = address
@@ -48,7 +48,7 @@
 
 
 class Gateway:
-    """A subscribed gateway that acknowledges nothing by itself."""
+    """A subscribed gateway that sends no acknowledgements."""
 
     def __init__(self):
         self.closed = False
@@ -58,8 +58,8 @@
         self.updates.append(message)
 
 
-class BackendReportsStories(testtools.TestCase):
-    """Three control nodes, of which this one and `near` can be a majority."""
+class BackendReportsTest(testtools.TestCase):
+    """Three control nodes: this one, `near` and `far`; any two of them are a majority."""
 
     def setUp(self):
         super().setUp()
@@ -70,16 +70,16 @@
     def may_acknowledge(self, holders):
         return self.in_contact and len({*holders, "here"}) >= 2
 
-    def given_a_node(self):
+    def create_node(self):
         loop = asyncio.get_running_loop()
         self.registry = BackendRegistry()
         self.exchange = BackendExchange("here", self.registry.all, lambda: self.peers)
         self.reports = BackendReports(self.registry, self.exchange, loop.time, self.may_acknowledge)
 
-    async def timed(self, answering):
+    async def timed(self, pending_reply):
         loop = asyncio.get_running_loop()
         requested_at = loop.time()
-        outcome = await answering
+        outcome = await pending_reply
         return outcome, loop.time() - requested_at
 
     def heartbeat(self, **changes):
@@ -88,43 +88,43 @@
     def drain(self, sequence=2):
         return self.heartbeat(State="draining", Seq=sequence)
 
-    def play(self, story):
-        async def whole():
-            self.given_a_node()
-            await story()
+    def run_scenario(self, scenario):
+        async def run_all():
+            self.create_node()
+            await scenario()
 
-        run(whole())
+        run(run_all())
 
-    def test_given_a_calm_time_then_a_backend_that_drains_is_acknowledged_at_once(self):
-        async def story():
-            outcome, took = await self.drain()
+    def test_draining_report_is_acknowledged_at_once_if_all_peers_reply(self):
+        async def scenario():
+            outcome, duration_s = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertTrue(took < 0.05, took)
+            self.assertTrue(duration_s < 0.05, duration_s)
             self.assertEqual(BackendState.DRAINING, self.far.updates[-1].backends[0].state)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_node_cut_off_then_neither_draining_nor_leaving_is_acknowledged(self):
-        async def story():
+    def test_node_without_peer_replies_acknowledges_neither_draining_nor_departure(self):
+        async def scenario():
             self.near.delay = self.far.delay = None
-            for answering in (self.drain(), self.timed(self.reports.leave("i-1"))):
-                outcome, took = await answering
+            for pending_reply in (self.drain(), self.timed(self.reports.leave("i-1"))):
+                outcome, duration_s = await pending_reply
                 self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
-                self.assertTrue(took <= REPLY_TIMEOUT_S, took)
+                self.assertTrue(duration_s <= REPLY_TIMEOUT_S, duration_s)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_node_out_of_contact_then_what_it_reached_does_not_suffice(self):
-        async def story():
+    def test_node_out_of_contact_does_not_acknowledge_despite_peer_replies(self):
+        async def scenario():
             self.in_contact = False
             outcome, _ = await self.drain()
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
             self.assertEqual(BackendState.DRAINING, self.near.updates[0].backends[0].state)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_rejected_report_when_it_changes_nothing_any_more_then_it_is_still_not_acknowledged(self):
-        async def story():
+    def test_repeat_of_an_unacknowledged_report_is_acknowledged_only_in_contact(self):
+        async def scenario():
             self.in_contact = False
             await self.drain(2)
             outcome, _ = await self.drain(3)
@@ -133,29 +133,29 @@
             outcome, _ = await self.drain(4)
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_contact_that_comes_back_soon_then_the_report_is_acknowledged_in_time(self):
-        async def story():
+    def test_report_is_acknowledged_if_contact_returns_before_the_deadline(self):
+        async def scenario():
             self.in_contact = False
             asyncio.get_running_loop().call_later(0.3, setattr, self, "in_contact", True)
-            outcome, took = await self.drain()
+            outcome, duration_s = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertTrue(0.3 <= took < REPLY_TIMEOUT_S, took)
+            self.assertTrue(0.3 <= duration_s < REPLY_TIMEOUT_S, duration_s)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_one_control_node_away_then_the_others_suffice_after_the_wait(self):
-        async def story():
+    def test_report_is_acknowledged_within_the_ack_timeout_if_one_peer_does_not_reply(self):
+        async def scenario():
             self.far.delay = None
-            outcome, took = await self.drain()
+            outcome, duration_s = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertTrue(took <= ACK_TIMEOUT_S + 0.01, took)
+            self.assertTrue(duration_s <= ACK_TIMEOUT_S + 0.01, duration_s)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_peer_that_missed_the_update_then_it_is_notified_again_before_the_answer(self):
-        async def story():
+    def test_peer_that_missed_the_update_is_notified_again_before_the_reply(self):
+        async def scenario():
             self.peers = [self.near]
             self.near.delay = None
             asyncio.get_running_loop().call_later(0.5, setattr, self.near, "delay", 0.01)
@@ -163,39 +163,39 @@
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
             self.assertEqual(3, len(self.near.updates))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_peer_that_answers_too_late_then_the_update_is_left_on_its_connection(self):
-        async def story():
+    def test_update_is_sent_again_without_a_request_to_a_peer_that_timed_out(self):
+        async def scenario():
             self.far.delay = None
             await self.drain()
             self.assertEqual(2, len(self.far.updates))
             self.assertEqual(self.far.updates[0], self.far.updates[1])
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_report_that_a_majority_holds_then_its_repeats_wait_for_nobody(self):
-        async def story():
+    def test_repeats_of_a_report_held_by_a_majority_are_acknowledged_at_once(self):
+        async def scenario():
             await self.drain(2)
             self.near.delay = self.far.delay = None
-            outcome, took = await self.drain(3)
-            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, took))
+            outcome, duration_s = await self.drain(3)
+            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, duration_s))
             outcome, _ = await self.timed(self.reports.leave("i-1"))
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_node_out_of_contact_then_plain_heartbeats_are_taken_at_once(self):
-        async def story():
+    def test_node_out_of_contact_accepts_ready_heartbeats_at_once(self):
+        async def scenario():
             self.in_contact = False
             self.near.delay = self.far.delay = None
-            outcome, took = await self.heartbeat()
-            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, took))
+            outcome, duration_s = await self.heartbeat()
+            self.assertEqual((ReportOutcome.ACCEPTED, 0.0), (outcome, duration_s))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_plain_heartbeats_then_they_are_published_together_later(self):
-        async def story():
+    def test_counter_changes_are_published_together_later(self):
+        async def scenario():
             await self.heartbeat()
             published = len(self.near.updates)
             await asyncio.sleep(COUNTERS_STREAM_INTERVAL_S)
@@ -204,35 +204,35 @@
             self.reports.publish_pending_changes()
             self.assertEqual(2, self.near.updates[-1].backends[0].sequence)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_an_update_of_another_node_then_it_is_not_forwarded(self):
-        async def story():
+    def test_update_from_another_node_is_not_forwarded(self):
+        async def scenario():
             backend = read_report("i-9", READY)
             self.reports.merge([backend])
             self.reports.publish_pending_changes()
             self.assertEqual([], self.near.updates)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_gateway_that_does_not_answer_then_the_report_waits_for_it_only_so_long(self):
-        async def story():
+    def test_gateway_that_does_not_acknowledge_delays_the_reply_by_the_ack_timeout(self):
+        async def scenario():
             gateway = Gateway()
             self.exchange.subscribe(gateway)
-            outcome, took = await self.drain()
+            outcome, duration_s = await self.drain()
             self.assertIs(ReportOutcome.ACCEPTED, outcome)
-            self.assertAlmostEqual(ACK_TIMEOUT_S, took, 3)
+            self.assertAlmostEqual(ACK_TIMEOUT_S, duration_s, 3)
             self.assertEqual(BackendState.DRAINING, gateway.updates[-1].backends[0].state)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_full_registry_then_a_proper_heartbeat_is_not_called_malformed(self):
+    def test_full_registry_replies_unavailable_to_a_valid_heartbeat(self):
         self.patch(registry_module, "MAX_LIVE", 0)
 
-        async def story():
+        async def scenario():
             outcome, _ = await self.heartbeat()
             self.assertIs(ReportOutcome.UNAVAILABLE, outcome)
             outcome, _ = await self.heartbeat(Slots=-1)
             self.assertIs(ReportOutcome.MALFORMED, outcome)
 
-        self.play(story)
+        self.run_scenario(scenario)
--- a/tests/tier/test_directory_stream.py
+++ b/tests/tier/test_directory_stream.py
@@ -1,4 +1,4 @@
-"""Whom a control node's directory names while others are unresponsive, and while it is cut off."""
+"""Tests of the members in a control node's directory while others are unresponsive or the node is cut off."""
 
 from types import SimpleNamespace
 
@@ -12,16 +12,16 @@
 CONFIGURATION = SimpleNamespace(
     state=SimpleNamespace(placements=(), retiring=()), replica=SimpleNamespace(applied_index=7)
 )
-HERE, THERE = "10.0.0.1:7", "10.0.0.2:7"
+HERE, OTHER = "10.0.0.1:7", "10.0.0.2:7"
 
 
 def heartbeat(address, sequence):
-    """A control process's heartbeat."""
+    """Returns a heartbeat of a control process."""
     member = Member("n", "control", address, address, "z", "", True, False, False, 1)
     return Heartbeat(member, sequence, 0, False, ())
 
 
-class DirectoryStreamStories(testtools.TestCase):
+class DirectoryStreamTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.members = MemberTable()
@@ -29,32 +29,32 @@
         self.contact = ContactPeriod(0.0)
         self.sequence = 0
 
-    def look(self, now, heard, in_contact):
-        """The addresses that the directory names after heartbeats from some processes."""
+    def refresh(self, now, reporting, in_contact):
+        """Returns the addresses in the directory after heartbeats from the given processes."""
         self.sequence += 1
-        for address in heard:
+        for address in reporting:
             self.members.record_heartbeat(heartbeat(address, self.sequence), now)
         self.contact.observe(in_contact, now)
         directory = self.stream.refresh(CONFIGURATION, self.contact.duration_s(now), now)
-        self.named = self.named if directory is None else [member.address for member in directory.members]
-        return self.named
+        self.listed = self.listed if directory is None else [member.address for member in directory.members]
+        return self.listed
 
-    def test_given_a_node_in_contact_then_who_becomes_unresponsive_leaves_the_directory(self):
-        self.look(0.0, (HERE, THERE), True)
-        self.assertEqual([HERE, THERE], self.look(LIVENESS_TIMEOUT_S, (HERE,), True))
-        self.assertEqual([HERE], self.look(LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
+    def test_node_in_contact_removes_an_unresponsive_member(self):
+        self.refresh(0.0, (HERE, OTHER), True)
+        self.assertEqual([HERE, OTHER], self.refresh(LIVENESS_TIMEOUT_S, (HERE,), True))
+        self.assertEqual([HERE], self.refresh(LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
 
-    def test_given_a_node_cut_off_then_it_goes_on_naming_the_others(self):
-        self.look(2.0, (HERE, THERE), True)
+    def test_node_out_of_contact_keeps_unresponsive_members(self):
+        self.refresh(2.0, (HERE, OTHER), True)
         for now in range(3, 23):
-            self.assertEqual([HERE, THERE], self.look(float(now), (HERE,), False))
+            self.assertEqual([HERE, OTHER], self.refresh(float(now), (HERE,), False))
 
-    def test_given_contact_again_then_the_unresponsive_leave_only_after_they_could_be_heard(self):
-        self.look(2.0, (HERE, THERE), True)
-        self.look(22.0, (HERE,), False)
-        self.assertEqual([HERE, THERE], self.look(22.0 + LIVENESS_TIMEOUT_S, (HERE,), True))
-        self.assertEqual([HERE], self.look(22.0 + LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
+    def test_node_in_contact_again_removes_unresponsive_members_only_after_the_liveness_timeout(self):
+        self.refresh(2.0, (HERE, OTHER), True)
+        self.refresh(22.0, (HERE,), False)
+        self.assertEqual([HERE, OTHER], self.refresh(22.0 + LIVENESS_TIMEOUT_S, (HERE,), True))
+        self.assertEqual([HERE], self.refresh(22.0 + LIVENESS_TIMEOUT_S + 0.25, (HERE,), True))
 
-    def test_given_a_new_member_then_it_is_named_also_out_of_contact(self):
-        self.look(2.0, (HERE,), True)
-        self.assertEqual([HERE, THERE], self.look(3.0, (HERE, THERE), False))
+    def test_node_out_of_contact_adds_a_new_member(self):
+        self.refresh(2.0, (HERE,), True)
+        self.assertEqual([HERE, OTHER], self.refresh(3.0, (HERE, OTHER), False))
--- a/tests/tier/test_discovery_registry.py
+++ b/tests/tier/test_discovery_registry.py
@@ -1,4 +1,4 @@
-"""A control node's registry: reports late, doubled, lost, reordered, and of addresses that are used again."""
+"""Tests of a control node's backend registry: late, lost, duplicate, reordered reports; reused addresses."""
 
 import json
 import random
@@ -22,15 +22,15 @@
 
 
 def report(sequence, state="ready", address="10.0.0.9:8080", **fields):
-    """A heartbeat's body."""
+    """Returns the body of a heartbeat."""
     values = {"Upstream": "blue", "Address": address, "Zone": "east", "Ver": "v1", "Slots": 4}
     return {**values, "State": state, "ColdLeftMs": 0, "Seq": sequence, **fields}
 
 
-class ReportTest(testtools.TestCase):
-    """What a heartbeat may hold."""
+class ReportValidationTest(testtools.TestCase):
+    """Validation of heartbeats."""
 
-    def test_given_a_report_then_the_backend_is_as_it_says(self):
+    def test_valid_report_yields_a_backend_with_its_fields(self):
         models = [{"Name": "m", "Ver": 1, "Adapters": []}]
         backend = BackendRegistry().heartbeat(
             "i-1", report(4, Models=models, Phase="both", ColdLeftMs=7.5), 0.0
@@ -38,8 +38,8 @@
         expected = Backend("i-1", "blue", "10.0.0.9:8080", "east", "v1", 4, READY, 7, 4, backend.models)
         self.assertEqual((expected, models), (backend, json.loads(backend.models)))
 
-    def test_given_a_wrong_field_then_the_report_is_rejected_and_nothing_changes(self):
-        wrong = {
+    def test_invalid_field_rejects_the_report_and_leaves_the_registry_unchanged(self):
+        invalid_values = {
             "Upstream": (None, "", 7, "x" * 300, "\ud800"),
             "Address": (
                 None,
@@ -60,7 +60,7 @@
             "Ver": ("", 7),
         }
         registry = BackendRegistry()
-        for field, values in wrong.items():
+        for field, values in invalid_values.items():
             for value in values:
                 rejected = registry.heartbeat("i-1", report(4, **{field: value}), 0.0)
                 self.assertIsInstance(rejected, HeartbeatRejected, (field, value))
@@ -94,7 +94,7 @@
 
 
 class RegistryTest(testtools.TestCase):
-    """What the registry knows after a sequence of reports."""
+    """State of the registry after a sequence of reports."""
 
     def setUp(self):
         super().setUp()
@@ -106,52 +106,52 @@
     def ready(self):
         return sorted(backend.identity for backend in self.registry.ready("blue"))
 
-    def test_given_late_and_doubled_reports_then_nothing_changes(self):
+    def test_late_and_duplicate_reports_change_nothing(self):
         self.registry.heartbeat("i-1", report(5), 0.0)
         number = self.registry.change_number
         for sequence in (5, 4, 1):
             self.registry.heartbeat("i-1", report(sequence, Slots=9), 9.0)
         self.assertEqual((number, 4), (self.registry.change_number, self.registry.get("i-1").slots))
 
-    def test_given_a_backend_that_drains_then_it_is_never_ready_again(self):
+    def test_draining_backend_is_never_ready_again(self):
         self.registry.heartbeat("i-1", report(5), 0.0)
         self.registry.heartbeat("i-1", report(6, "draining"), 0.0)
         for sequence in (4, 7, 99):
             self.registry.heartbeat("i-1", report(sequence), 0.0)
             self.assertEqual((DRAINING, []), (self.state(), self.ready()))
 
-    def test_given_a_late_report_that_it_drains_then_it_counts_though_a_later_report_was_heard(self):
+    def test_late_draining_report_applies_after_a_newer_ready_report(self):
         self.registry.heartbeat("i-1", report(7), 0.0)
         self.registry.heartbeat("i-1", report(6, "draining"), 0.0)
         self.assertEqual(DRAINING, self.state())
 
-    def test_given_a_backend_that_left_then_nothing_brings_it_back(self):
+    def test_departed_backend_stays_departed_after_later_reports(self):
         self.registry.heartbeat("i-1", report(5), 0.0)
         self.registry.leave("i-1", 0.0)
         self.registry.heartbeat("i-1", report(99), 0.0)
         self.registry.merge(attrs.evolve(self.registry.get("i-1"), state=READY, sequence=100), 0.0)
         self.assertEqual((DEPARTED, []), (self.state(), self.ready()))
 
-    def test_given_the_departure_of_an_unknown_backend_then_its_late_reports_change_nothing(self):
+    def test_departure_of_an_unknown_backend_outlasts_its_late_reports(self):
         self.registry.leave("i-1", 0.0)
         self.registry.heartbeat("i-1", report(5), 0.0)
         self.assertEqual(DEPARTED, self.state())
 
-    def test_given_a_new_incarnation_at_an_address_then_the_earlier_one_is_departed_and_streamed(self):
+    def test_new_incarnation_at_an_address_departs_the_earlier_one_and_both_changes_are_listed(self):
         self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry.heartbeat("i-2", report(1), 1.0)
         self.assertEqual((DEPARTED, ["i-2"]), (self.state(), self.ready()))
         changed = {backend.identity: backend.state for backend in self.registry.changes_since(1).backends}
         self.assertEqual({"i-1": DEPARTED, "i-2": READY}, changed)
 
-    def test_given_a_late_report_of_the_earlier_incarnation_then_the_living_one_wins_by_its_next(self):
+    def test_live_incarnation_displaces_an_earlier_one_that_reported_late(self):
         self.registry.heartbeat("i-2", report(8), 0.0)
         self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry.heartbeat("i-2", report(9), 1.0)
         self.registry.heartbeat("i-1", report(50), 1.0)
         self.assertEqual(["i-2"], self.ready())
 
-    def test_given_an_update_of_another_node_then_it_displaces_nobody(self):
+    def test_update_from_another_node_displaces_no_incarnation(self):
         old = self.registry.heartbeat("i-1", report(50), 0.0)
         self.registry = BackendRegistry()
         self.registry.heartbeat("i-2", report(8), 0.0)
@@ -160,7 +160,7 @@
         self.registry.heartbeat("i-2", report(9), 1.0)
         self.assertEqual(["i-2"], self.ready())
 
-    def test_given_changes_of_counters_only_then_they_are_streamed_seldom(self):
+    def test_counter_changes_are_published_at_most_once_per_interval(self):
         self.registry.heartbeat("i-1", report(1, ColdLeftMs=900), 0.0)
         self.registry.heartbeat("i-1", report(2, ColdLeftMs=100), COUNTERS_STREAM_INTERVAL_S / 2)
         self.assertEqual(1, self.registry.change_number)
@@ -171,7 +171,7 @@
         self.registry.heartbeat("i-1", report(5), COUNTERS_STREAM_INTERVAL_S * 2)
         self.assertEqual(3, self.registry.change_number)
 
-    def test_given_a_number_then_exactly_the_later_changes_are_streamed_each_once(self):
+    def test_changes_since_a_number_list_each_later_change_once(self):
         for index in range(4):
             self.registry.heartbeat(f"i-{index}", report(1, address=f"10.0.0.{index}:80"), 0.0)
         self.registry.heartbeat("i-1", report(2, "draining", address="10.0.0.1:80"), 0.0)
@@ -179,7 +179,7 @@
         self.assertEqual(["i-2", "i-3", "i-1"], [backend.identity for backend in changes.backends])
         self.assertEqual((), self.registry.changes_since(changes.change_number).backends)
 
-    def test_given_the_same_reports_in_any_order_then_registries_agree(self):
+    def test_registries_agree_for_any_order_of_reports(self):
         reports = [self.backend(sequence, READY) for sequence in range(1, 6)]
         reports += [self.backend(6, DRAINING), self.backend(7, DRAINING)]
         reports += [
@@ -189,13 +189,13 @@
         ]
         for seed in range(200):
             rng = random.Random(seed)
-            drawn = rng.sample(reports, rng.randrange(1, len(reports))) + [
+            sampled = rng.sample(reports, rng.randrange(1, len(reports))) + [
                 as_departed(reports[0])
             ] * rng.randrange(2)
             states = set()
             for _ in range(4):
                 registry = BackendRegistry()
-                for backend in rng.sample(drawn, len(drawn)):
+                for backend in rng.sample(sampled, len(sampled)):
                     registry.merge(backend, 0.0)
                 states.add((registry.get("i-1").state, registry.get("i-1").sequence))
             self.assertEqual(1, len(states), (seed, states))
@@ -203,7 +203,7 @@
     def backend(self, sequence, state):
         return Backend("i-1", "blue", "10.0.0.9:80", "east", "v1", 4, state, 0, sequence)
 
-    def test_given_any_two_reports_then_at_most_one_is_newer(self):
+    def test_at_most_one_of_two_reports_supersedes_the_other(self):
         reports = [
             self.backend(sequence, state) for sequence in (1, 2) for state in (READY, DRAINING, DEPARTED)
         ]
@@ -211,7 +211,7 @@
             for other in reports:
                 self.assertFalse(supersedes(one, other) and supersedes(other, one))
 
-    def test_given_old_tombstones_or_too_many_then_they_are_forgotten(self):
+    def test_expired_and_excess_tombstones_are_removed(self):
         self.patch(tombstones_module, "MAX_TOMBSTONES", 3)
         for index in range(5):
             self.registry.leave(f"i-{index}", float(index))
@@ -219,14 +219,14 @@
         self.registry.expire(2.5 + TOMBSTONE_S, INTERVAL, 0.0)
         self.assertEqual(["i-3", "i-4"], [backend.identity for backend in self.registry.all()])
 
-    def test_given_too_many_backends_then_new_ones_are_rejected_and_known_ones_heard(self):
+    def test_full_registry_rejects_new_backends_and_updates_known_ones(self):
         self.patch(registry_module, "MAX_LIVE", 1)
         self.registry.heartbeat("i-1", report(1), 0.0)
         other = report(1, address="10.0.0.8:80")
         self.assertEqual("full", self.registry.heartbeat("i-2", other, 0.0).code)
         self.assertEqual(2, self.registry.heartbeat("i-1", report(2), 0.0).sequence)
 
-    def test_given_too_many_backends_when_one_returns_that_was_presumed_departed_then_it_is_rejected(self):
+    def test_full_registry_rejects_the_return_of_a_backend_presumed_departed(self):
         self.patch(registry_module, "MAX_LIVE", 2)
         for name in ("i-1", "i-2"):  # at one address
             self.registry.heartbeat(name, report(1), 0.0)
@@ -240,8 +240,8 @@
         self.assertEqual(READY, self.registry.heartbeat("i-1", moved, 1.0).state)
 
 
-class SilenceTest(testtools.TestCase):
-    """Backends that become unresponsive."""
+class UnresponsiveBackendsTest(testtools.TestCase):
+    """Detection of unresponsive backends."""
 
     def setUp(self):
         super().setUp()
@@ -251,7 +251,7 @@
         for name in names:
             self.registry.heartbeat(name, report(int(now * 10), address=f"10.0.0.{ord(name)}:80"), now)
 
-    def test_given_one_that_is_unresponsive_among_others_then_it_is_suspect_and_later_departed(self):
+    def test_unresponsive_backend_becomes_suspect_and_later_departed(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.assertEqual(("a",), self.registry.expire(3.6, INTERVAL, 0.0).suspects)
@@ -261,27 +261,27 @@
         )
         self.assertEqual(DEPARTED, self.registry.get("a").state)
 
-    def test_given_one_presumed_departed_then_its_next_report_brings_it_back(self):
+    def test_next_report_of_a_backend_presumed_departed_makes_it_ready(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         self.registry.expire(11.0, INTERVAL, 0.0)
         self.send_heartbeats(12, "a")
         self.assertEqual(READY, self.registry.get("a").state)
 
-    def test_given_a_draining_one_presumed_departed_then_it_comes_back_draining_only(self):
+    def test_draining_backend_presumed_departed_returns_as_draining(self):
         self.registry.heartbeat("a", report(5, "draining"), 0.0)
         self.registry.merge(presumed_departed(self.registry.get("a")), 0.0)
         self.registry.heartbeat("a", report(6), 0.0)
         self.assertEqual(DRAINING, self.registry.get("a").state)
 
-    def test_given_a_node_that_hears_nobody_then_it_suspects_nobody(self):
+    def test_node_without_heartbeats_suspects_no_backend(self):
         self.send_heartbeats(0.0, *"abcd")
         self.send_heartbeats(9.0, "a")
         for now in (20.0, 9.5):
             unresponsive = self.registry.expire(now, INTERVAL, 0.0)
             self.assertEqual(((), ()), (unresponsive.suspects, unresponsive.departed))
 
-    def test_given_a_node_that_was_out_of_contact_then_it_presumes_nobody_departed(self):
+    def test_node_recently_out_of_contact_presumes_no_backend_departed(self):
         for second in range(12):
             self.send_heartbeats(second, *("abc" if second == 0 else "bc"))
         unresponsive = self.registry.expire(11.0, INTERVAL, 5.0)
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -92,8 +92,8 @@
     ".test_given_a_group_with_a_disk_of_the_node_or_an_unknown_one_then_it_proves_nothing",
     "new-voter": "test_configuration_state.EmptyingTest"
     ".test_given_a_node_to_be_emptied_then_no_later_placement_brings_it_back",
-    "emptied-by-owner": "test_control_store_facts.TestStoreFacts"
-    ".test_given_the_report_of_anybody_else_or_of_a_group_on_its_way_then_nothing_is_recorded",
+    "emptied-by-owner": "test_control_store_facts.StoreFactsTest"
+    ".test_report_by_another_replica_or_of_an_unfinished_change_records_nothing",
     "heard-all": "test_guards.TestRetirements.test_a_young_owner_refuses_no_retirement",
     "done-without": "test_replication_placement.TestBetweenTheSteps"
     ".test_given_a_lagging_voter_then_a_live_one_leaves_only_once_the_others_can_do_without",
--- a/tests/tier/test_member_summaries.py
+++ b/tests/tier/test_member_summaries.py
@@ -1,4 +1,4 @@
-"""What control nodes know of each other's members by their summaries."""
+"""Tests of the summaries by which control nodes exchange the processes that report to them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def heartbeat(address, sequence, incarnation=1, applied=0, leaving=False):
-    """A process's heartbeat; `applied` entries of its one replica."""
+    """Returns a heartbeat of a process whose one replica has applied `applied` entries."""
     member = Member("n", "store", address, "", "z", "", False, True, False, incarnation)
     report = ShardReport("s", f"{address}#d", 3, f"{address}#d", (), applied, applied)
     return Heartbeat(member, sequence, 0, leaving, (report,))
 
 
 class Connection:
-    """Carries one node's summaries to another one."""
+    """Delivers one node's summaries to another node."""
 
     def __init__(self, receiver):
         self.receiver = receiver
@@ -40,7 +40,7 @@
 
 
 class Node:
-    """A control node's table, and what it tells the others."""
+    """A control node with its member table and its summaries."""
 
     def __init__(self, name):
         self.now = 0.0
@@ -48,11 +48,11 @@
         self.summaries = MemberSummaries(name, self.table)
         self.connections = {}
 
-    def knows(self, address):
+    def lists_as_live(self, address):
         return address in {member.address for member in self.table.members(self.now)}
 
 
-class SummaryStories(testtools.TestCase):
+class MemberSummariesTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.now = 0.0
@@ -63,9 +63,9 @@
             node.connections = {id(other): Connection(other) for other in others}
 
     def run_for(self, seconds, reporting=(), **changes):
-        """The process at GATEWAY reports to some nodes; all that run tell each other."""
-        ends = self.now + seconds
-        while self.now < ends:
+        """The process at GATEWAY reports to the given nodes, and all nodes exchange summaries."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now = round(self.now + HEARTBEAT_S, 6)
             self.sequence += 1
             for node in self.nodes.values():
@@ -80,18 +80,18 @@
     def connection(self, sender, receiver):
         return self.nodes[sender].connections[id(self.nodes[receiver])]
 
-    def test_given_a_process_that_reports_to_one_node_then_all_hold_it_for_live(self):
+    def test_process_that_reports_to_one_node_is_live_at_all_nodes(self):
         self.run_for(10.0, ["c1"])
-        self.assertTrue(all(node.knows(GATEWAY) for node in self.nodes.values()))
+        self.assertTrue(all(node.lists_as_live(GATEWAY) for node in self.nodes.values()))
 
-    def test_given_nothing_new_then_summaries_are_empty(self):
+    def test_summaries_without_changes_are_empty(self):
         self.run_for(1.0, ["c1"], applied=5)
         connection = self.connection("c1", "c2")
         connection.messages.clear()
         self.run_for(5.0, ["c1"], applied=5)
         self.assertEqual([()], list({message.heartbeats for message in connection.messages}))
 
-    def test_given_progress_alone_then_it_is_published_now_and_then(self):
+    def test_index_progress_alone_is_published_once_per_interval(self):
         self.run_for(1.0, ["c1"])
         connection = self.connection("c1", "c2")
         connection.messages.clear()
@@ -99,50 +99,50 @@
         published = [message for message in connection.messages if message.heartbeats]
         self.assertEqual(4, len(published))
 
-    def test_given_its_end_then_all_find_it_unresponsive_in_time_and_nobody_revives_it(self):
+    def test_process_that_ended_becomes_unresponsive_at_all_nodes_and_stays_so(self):
         self.run_for(5.0, ["c1"])
         self.run_for(LIVENESS_TIMEOUT_S + 2 * HEARTBEAT_S)
         for _ in range(20):
-            self.assertFalse(any(node.knows(GATEWAY) for node in self.nodes.values()))
+            self.assertFalse(any(node.lists_as_live(GATEWAY) for node in self.nodes.values()))
             self.run_for(HEARTBEAT_S)
 
-    def test_given_its_node_dies_when_it_reports_to_another_then_it_never_counts_as_unresponsive(self):
+    def test_process_that_reports_to_another_node_after_a_node_failure_stays_live(self):
         self.run_for(5.0, ["c1"])
         dead = self.nodes.pop("c1")
         self.run_for(2 * HEARTBEAT_S)
         for _ in range(20):
             self.run_for(HEARTBEAT_S, ["c2"])
-            self.assertTrue(all(node.knows(GATEWAY) for node in self.nodes.values()))
-        self.assertTrue(dead.knows(GATEWAY))
+            self.assertTrue(all(node.lists_as_live(GATEWAY) for node in self.nodes.values()))
+        self.assertTrue(dead.lists_as_live(GATEWAY))
 
-    def test_given_a_new_incarnation_then_it_is_published_and_the_old_one_keeps_nothing_alive(self):
+    def test_new_incarnation_replaces_the_old_one_at_all_nodes(self):
         self.run_for(5.0, ["c1"])
         self.run_for(HEARTBEAT_S, ["c2"], incarnation=2)
         for node in self.nodes.values():
             self.assertEqual([2], [member.incarnation for member in node.table.members(self.now)])
 
-    def test_given_a_connection_that_was_lost_then_the_next_one_begins_with_everything(self):
+    def test_connection_after_a_lost_one_begins_with_a_complete_summary(self):
         self.run_for(5.0, ["c1"], applied=5)
         lost = self.connection("c1", "c2")
         self.nodes["c1"].summaries.connection_lost(lost)
         self.nodes["c2"].table = MemberTable()
         self.nodes["c2"].summaries = MemberSummaries("c2", self.nodes["c2"].table)
         self.run_for(HEARTBEAT_S, ["c1"], applied=5)
-        self.assertTrue(self.nodes["c2"].knows(GATEWAY))
+        self.assertTrue(self.nodes["c2"].lists_as_live(GATEWAY))
 
-    def test_given_connections_that_end_then_nothing_is_kept_of_their_senders(self):
+    def test_no_state_is_kept_of_ended_connections(self):
         self.run_for(1.0, ["c1"])
         receiver = self.nodes["c2"].summaries
         for _ in range(3):
             old = self.connection("c1", "c2")
             self.nodes["c1"].connections[id(self.nodes["c2"])] = Connection(self.nodes["c2"])
             self.run_for(HEARTBEAT_S, ["c1"])
-            receiver.connection_lost(old)  # later than the next one's complete summary
+            receiver.connection_lost(old)  # after the complete summary on the new connection
             self.run_for(1.0, ["c1"])
-            self.assertTrue(self.nodes["c2"].knows(GATEWAY))
+            self.assertTrue(self.nodes["c2"].lists_as_live(GATEWAY))
         self.assertEqual(2, receiver.sender_count)
 
-    def test_given_a_node_that_stood_still_then_its_members_heartbeat_age_is_published_truly(self):
+    def test_heartbeat_age_of_an_unresponsive_member_is_published(self):
         self.run_for(5.0, ["c1"])
         self.run_for(3 * HEARTBEAT_S)
         self.assertTrue(self.nodes["c3"].table.heartbeat_ages(self.now)[0].seconds >= 2 * HEARTBEAT_S)
