--- a/kestrelbend/tier/fleet/mutations/log.py
+++ b/kestrelbend/tier/fleet/mutations/log.py
@@ -76,7 +76,7 @@
     return False
 
 
-@guard("overtaken", "replication.progress:Progress.is_overtaken", "large entries sent again and again")
+@guard("overtaken", "replication.progress:Progress.may_be_overtaken", "large entries sent again and again")
 def never_overtaken(progress: Progress, now: float, timing: Timing) -> bool:
     """Never sends a smaller message before a large one."""
     return False
--- a/kestrelbend/tier/replication/entry_sender.py
+++ b/kestrelbend/tier/replication/entry_sender.py
@@ -6,7 +6,7 @@
 Invariant: a message's `previous_index` names an entry that the follower can hold when the message arrives,
 even if smaller messages overtake larger ones.
 Hazard: entries that are sent again and again to a follower that is slow but has lost nothing; see
-`Progress.is_overtaken`.
+`Progress.may_be_overtaken`.
 """
 
 from __future__ import annotations
@@ -51,33 +51,33 @@
         return progress.sent_commit_index < min(self._state.commit_index, self._previous_index(progress, now))
 
     def _send_entries(self, identity: ReplicaId, progress: Progress, now: float) -> None:
-        while progress.transfer is None and progress.next_index <= self._log.last_index:
+        while progress.snapshot_sender is None and progress.next_index <= self._log.last_index:
             if progress.outstanding_bytes >= self._timing.window_bytes:
                 return
-            if progress.is_overtaken(now, self._timing):
+            if progress.may_be_overtaken(now, self._timing):
                 return
             if progress.next_index <= self._log.base_index:
-                progress.transfer = SnapshotSender(self._log.snapshot, self._timing, now)
+                progress.snapshot_sender = SnapshotSender(self._log.snapshot, self._timing, now)
                 break
             entries = self._log.batch(progress.next_index, self._timing.append_bytes, ENTRY_BYTES)
             self._send_append(identity, progress, entries, now)
             size = sum(len(entry.data) + ENTRY_BYTES for entry in entries)
             progress.record_sent(entries[-1].index, size, now)
-        if progress.transfer is not None:
-            self._send_chunks(identity, progress.transfer, now)
+        if progress.snapshot_sender is not None:
+            self._send_chunks(identity, progress.snapshot_sender, now)
 
-    def _send_chunks(self, identity: ReplicaId, transfer: SnapshotSender, now: float) -> None:
+    def _send_chunks(self, identity: ReplicaId, snapshot_sender: SnapshotSender, now: float) -> None:
         state = self._state
-        for chunk in transfer.due_chunks(now):
+        for chunk in snapshot_sender.due_chunks(now):
             message = chunk_message(
-                transfer, chunk, state.shard, state.identity, state.term, self._rounds.current
+                snapshot_sender, chunk, state.shard, state.identity, state.term, self._rounds.current
             )
             state.send(identity, message)
 
     def _previous_index(self, progress: Progress, now: float) -> int:
         """The entry that a message follows: the last one sent, unless that may arrive after the message."""
         index = progress.next_index - 1
-        if progress.is_overtaken(now, self._timing):
+        if progress.may_be_overtaken(now, self._timing):
             index = min(index, progress.match_index)
         return max(index, self._log.base_index)
 
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -20,7 +20,7 @@
 from .group import has_quorum, quorum_size
 from .messages import AppendReply, Entry, EntryKind, ReplicaId, SnapshotReply
 from .progress import NEVER, HeartbeatRounds, Progress
-from .read_index import LOCAL, PendingRead, PendingReads
+from .read_index import LOCAL_REQUESTER, PendingRead, PendingReads
 from .state import ReplicaState
 
 
@@ -60,10 +60,10 @@
 
     def set_followers(self, identities: Iterable[ReplicaId]) -> None:
         """Sets the replicas that receive the log from now on."""
-        wanted = dict.fromkeys(identity for identity in identities if identity != self._state.identity)
-        for identity in [known for known in self.followers if known not in wanted]:
+        selected = dict.fromkeys(identity for identity in identities if identity != self._state.identity)
+        for identity in [known for known in self.followers if known not in selected]:
             del self.followers[identity]
-        for identity in wanted:
+        for identity in selected:
             if identity not in self.followers:
                 self.followers[identity] = Progress(next_index=self._log.last_index + 1)
 
@@ -82,21 +82,20 @@
 
     def confirm_read(self, ticket: int) -> None:
         """Adds a local read of what is committed now, or of this term's first entry if that is later."""
-        self._add_read(ticket, LOCAL)
+        self._add_read(ticket, LOCAL_REQUESTER)
         self._round_requested = True
 
     def confirm_for_follower(self, follower: ReplicaId, ticket: int) -> None:
-        """Adds a follower's read; it waits for the next heartbeat round, so that it costs no additional
-        messages.
-        """
+        """Adds a follower's read; waiting for the next heartbeat round costs no additional messages."""
         self._add_read(ticket, follower)
 
     def _add_read(self, ticket: int, requester: ReplicaId) -> None:
         self._reads.add(PendingRead(ticket, self._rounds.current + 1, self._read_index(), requester))
 
     def _read_index(self) -> int:
-        """The index a read must see: all that is committed, which a new leader knows only from its first
-        entry on.
+        """The index a read must see: the commit index, and at least the first entry of this term.
+
+        A new leader knows all that is committed only once its first entry is.
         """
         return max(self._state.commit_index, self.first_index_of_term)
 
@@ -126,7 +125,7 @@
         if reply.accepted:
             progress.record_match(min(reply.match_index, self._log.last_index), now)
         self._end_unneeded_transfer(progress, reply)
-        if reply.accepted or progress.transfer is not None:
+        if reply.accepted or progress.snapshot_sender is not None:
             return
         if reply.round >= progress.fallback_round:
             self._rounds.start(self._round_started_at)
@@ -135,13 +134,13 @@
     def receive_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
         """Handles a follower's reply about the snapshot in transit to it."""
         progress = self._record_contact(reply)
-        if progress is None or progress.transfer is None:
+        if progress is None or progress.snapshot_sender is None:
             return
-        progress.transfer.receive_reply(reply, now)
-        if progress.transfer.is_complete:
-            progress.next_index = progress.transfer.snapshot.index
-            progress.record_sent(progress.transfer.snapshot.index, 0, now)
-            progress.transfer = None
+        progress.snapshot_sender.receive_reply(reply, now)
+        if progress.snapshot_sender.is_complete:
+            progress.next_index = progress.snapshot_sender.snapshot.index
+            progress.record_sent(progress.snapshot_sender.snapshot.index, 0, now)
+            progress.snapshot_sender = None
 
     def resend(self, identity: ReplicaId) -> None:
         """Treats what is in flight to this replica as lost with its connection."""
@@ -173,11 +172,14 @@
 
         That is so once its log reaches the base of this log, or it has committed up to the snapshot's index.
         """
-        transfer = progress.transfer
-        if transfer is None:
+        snapshot_sender = progress.snapshot_sender
+        if snapshot_sender is None:
             return
-        if progress.match_index >= self._log.base_index or reply.match_index >= transfer.snapshot.index:
-            progress.transfer = None
+        if (
+            progress.match_index >= self._log.base_index
+            or reply.match_index >= snapshot_sender.snapshot.index
+        ):
+            progress.snapshot_sender = None
 
     def advance_commit(self) -> bool:
         """Commits what is durable at a majority, if that includes an entry of this term; whether any entry
@@ -221,16 +223,16 @@
         """Whether the replica's disk holds the log up to `index`."""
         return self._match_index(identity) >= index
 
-    def _committed_before(self, moment: float) -> int:
-        """The newest commit index recorded at `moment` or before, or the present one if there is none."""
-        self._trim_commit_history(moment)
-        if not self._commit_history or self._commit_history[0].at > moment:
+    def _committed_before(self, cutoff: float) -> int:
+        """The newest commit index recorded at `cutoff` or before, or the present one if there is none."""
+        self._trim_commit_history(cutoff)
+        if not self._commit_history or self._commit_history[0].at > cutoff:
             return self._state.commit_index
         return max(self.first_index_of_term, self._commit_history[0].commit_index)
 
-    def _trim_commit_history(self, moment: float) -> None:
-        """Keeps the newest commit point of `moment` or before, and all later ones."""
-        while len(self._commit_history) > 1 and self._commit_history[1].at <= moment:
+    def _trim_commit_history(self, cutoff: float) -> None:
+        """Keeps the newest commit point of `cutoff` or before, and all later ones."""
+        while len(self._commit_history) > 1 and self._commit_history[1].at <= cutoff:
             self._commit_history.popleft()
 
     def send_due(self, now: float) -> None:
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -116,9 +116,7 @@
         return self.entries[first - self.base_index - 1 : last - self.base_index]
 
     def batch(self, first: int, max_bytes: int, entry_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, at least one, up to `max_bytes`; an entry counts as its data and
-        `entry_bytes`.
-        """
+        """At least one entry from `first` on, up to `max_bytes`; each counts its data and `entry_bytes`."""
         chosen: list[Entry] = []
         size = 0
         for position in range(first - self.base_index - 1, len(self.entries)):
--- a/kestrelbend/tier/replication/placement.py
+++ b/kestrelbend/tier/replication/placement.py
@@ -80,8 +80,8 @@
         deadline = now + state.timing.removed_voter_grace
         self._removed_until.update((removed, deadline) for removed in self._being_removed - being_removed)
         self._being_removed = being_removed
-        wanted = (*state.voters, *self.target, *self.learners, *self._removed_until)
-        leader.set_followers(identity for identity in wanted if identity not in being_removed)
+        receivers = (*state.voters, *self.target, *self.learners, *self._removed_until)
+        leader.set_followers(identity for identity in receivers if identity not in being_removed)
 
     def begin_transfer(self, leader: LeaderState, candidates: Voters, now: float) -> None:
         """Begins a leadership transfer to one of the candidates, unless one is pending."""
--- a/kestrelbend/tier/replication/progress.py
+++ b/kestrelbend/tier/replication/progress.py
@@ -29,10 +29,9 @@
 
 @attrs.define
 class Progress:
-    """The state of one follower: `match_index` is durable there, `next_index` is the first index not sent
-    yet.
+    """The state of one follower: `match_index` is durable there, `next_index` has not been sent yet.
 
-    `transfer` is the snapshot in transit to it, in place of the entries up to the snapshot's index.
+    `snapshot_sender` transfers a snapshot to it, in place of the entries up to the snapshot's index.
     """
 
     next_index: int
@@ -42,7 +41,7 @@
     sent_round: int = 0
     sent_commit_index: int = 0
     fallback_round: int = 0  # rejections of earlier rounds are ignored
-    transfer: SnapshotSender | None = None
+    snapshot_sender: SnapshotSender | None = None
     outstanding: deque[Outstanding] = attrs.field(factory=deque)
     outstanding_bytes: int = 0
     advanced_at: float = NEVER  # when entries in flight were last acknowledged, or first sent
@@ -50,8 +49,8 @@
     @property
     def needed_after(self) -> int:
         """The index after which this follower still needs entries."""
-        if self.transfer is not None:
-            return self.transfer.snapshot.index
+        if self.snapshot_sender is not None:
+            return self.snapshot_sender.snapshot.index
         return (self.outstanding[0].first_index if self.outstanding else self.next_index) - 1
 
     def record_sent(self, last_index: int, size: int, now: float) -> None:
@@ -84,15 +83,15 @@
         if self.outstanding:
             self.next_index = max(self.match_index + 1, self.outstanding[0].first_index)
             self._clear_outstanding()
-        if self.transfer is not None:
-            self.transfer.resume()
+        if self.snapshot_sender is not None:
+            self.snapshot_sender.resume()
 
-    def is_overtaken(self, now: float, timing: Timing) -> bool:
+    def may_be_overtaken(self, now: float, timing: Timing) -> bool:
         """Whether what is in flight is so large that a smaller message may arrive before it.
 
-        Connections let small messages pass large ones.  A follower would reject what arrives before the large
-        message it refers to, and the large message would be sent again.  A message that takes too long counts
-        as lost.
+        Connections let small messages pass large ones.  If a message arrived before the large one to which it
+        refers, the follower would reject it and the large one would be sent again.  A large message that
+        takes too long counts as lost.
         """
         if not any(sent.size > timing.overtaken_bytes for sent in self.outstanding):
             return False
@@ -107,11 +106,11 @@
 class HeartbeatRounds:
     """The number of the current heartbeat round, and the start times of recent rounds."""
 
-    KEPT = 256
+    MAX_KEPT_ROUNDS = 256
 
     def __init__(self) -> None:
         self.current = 0
-        self._started_at: deque[float] = deque(maxlen=self.KEPT)
+        self._started_at: deque[float] = deque(maxlen=self.MAX_KEPT_ROUNDS)
 
     def start(self, now: float) -> int:
         """Starts a round and returns its number."""
--- a/kestrelbend/tier/replication/read_index.py
+++ b/kestrelbend/tier/replication/read_index.py
@@ -20,11 +20,9 @@
 from .messages import ReplicaId
 from .progress import NEVER
 
-LOCAL = ""  # the requester of the leader's own reads
+LOCAL_REQUESTER = ""  # the requester of the leader's own reads
 MAX_PENDING_PER_FOLLOWER = 8  # requests of one follower; more are dropped, as the follower repeats them
-MAX_REMEMBERED_REQUESTS = (
-    16  # requests and replies that a follower keeps; older ones are too old to be of use
-)
+MAX_REMEMBERED_REQUESTS = 16  # requests and replies kept by a follower; older ones are useless
 
 
 @attrs.frozen
@@ -34,7 +32,7 @@
     ticket: int
     round: int
     index: int
-    requester: ReplicaId = LOCAL
+    requester: ReplicaId = LOCAL_REQUESTER
 
 
 class PendingReads:
@@ -45,13 +43,13 @@
 
     def add(self, read: PendingRead) -> None:
         """Adds a request; its round and index are at least those of the request before."""
-        if read.requester != LOCAL and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
+        if read.requester != LOCAL_REQUESTER and self._count(read.requester) >= MAX_PENDING_PER_FOLLOWER:
             return
         self._pending.append(read)
 
     def local_tickets(self) -> list[int]:
         """The tickets of the leader's own pending requests."""
-        return [read.ticket for read in self._pending if read.requester == LOCAL]
+        return [read.ticket for read in self._pending if read.requester == LOCAL_REQUESTER]
 
     def take_ready(self, acknowledged_round: int, commit_index: int) -> list[PendingRead]:
         """Removes and returns the requests that may be answered now."""
--- a/kestrelbend/tier/replication/roles.py
+++ b/kestrelbend/tier/replication/roles.py
@@ -26,7 +26,7 @@
     VoteReply,
 )
 from .placement import Placement
-from .read_index import LOCAL, FollowerReads, PendingRead
+from .read_index import LOCAL_REQUESTER, FollowerReads, PendingRead
 from .state import ReplicaState
 
 
@@ -196,7 +196,7 @@
     def answer_read(self, read: PendingRead) -> None:
         """Answers a confirmed read: to this process, or to the follower that requested it."""
         state = self._state
-        if read.requester == LOCAL:
+        if read.requester == LOCAL_REQUESTER:
             state.effects.confirmed_reads.append(read.ticket)
             return
         reply = ReadIndexReply(state.shard, state.identity, state.term, read.ticket, read.index)
--- a/kestrelbend/tier/replication/state.py
+++ b/kestrelbend/tier/replication/state.py
@@ -99,9 +99,7 @@
             self.effects.applied.clear()
 
     def begin_write(self, now: float) -> None:
-        """Issues one write of all changes, if there are any, and sends the messages that need no further
-        write.
-        """
+        """Issues one write of all changes, if there are any; sends the messages whose writes are complete."""
         if self._hard_state_changed or self.log.has_unwritten():
             ticket = self.disk.issue(now)
             entries, snapshot = self.log.begin_write(ticket)
--- a/tests/tier/replication_harness.py
+++ b/tests/tier/replication_harness.py
@@ -1,7 +1,6 @@
-"""Runs replicas in virtual time with injected faults of links and disks, and checks the replication
-invariants.
+"""Runs replicas in virtual time with faults of links and disks, and checks the replication invariants.
 
-`Cluster` connects real replicas; `Invariants` checks all that they hand out and fails on a violation.
+`Cluster` connects real replicas; `Invariants` checks their effects and fails on a violation.
 """
 
 from __future__ import annotations
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -61,12 +61,12 @@
 
 FOUND_BY_MODEL_OF_ORDERS = {"confirmed-refusal": "orders_at_a_former_owner", "order-name": "orders_race"}
 FOUND_BY_TEST = {
-    "placement-number": "test_replication_placement.TestPlacementNumbers"
-    ".test_given_a_restarted_owner_when_an_old_directory_comes_then_the_group_stays",
+    "placement-number": "test_replication_placement.TestPlacementNumber"
+    ".test_given_restarted_replicas_when_an_older_placement_arrives_then_the_group_does_not_change",
     "placement-order": "test_configuration_state.OrdersTest"
     ".test_given_a_placement_in_force_then_only_the_next_number_takes_its_place",
-    "settled": "test_replication_placement.TestSettled"
-    ".test_given_a_change_that_is_not_committed_then_the_group_before_is_told_and_it_is_not_settled",
+    "settled": "test_replication_placement.TestStableGroup"
+    ".test_given_an_uncommitted_change_then_the_previous_group_is_reported_and_it_is_not_stable",
     "emptied": "test_configuration_state.EmptyingTest"
     ".test_given_an_order_and_nothing_heard_then_the_state_is_running",
     "emptied-identity": "test_storage_journal.DataDirectoryTest"
@@ -79,15 +79,15 @@
     "answer-id": "test_guards.TestAnswers.test_an_answer_that_names_no_request_or_two_is_given_to_nobody",
     "gateway-refusal": "test_gateway_contact_stories.TestCutOff.test_a_gateway_without_a_disk_is_cut_off",
     "version-order": "test_guards.TestVersions.test_an_older_version_is_not_put_in_force",
-    "overtaken": "test_snapshots.LargeEntryStories.test_it_is_sent_once_and_contact_goes_on",
-    "snapshot-digest": "test_snapshots.ReceiverPromises"
-    ".test_bytes_that_are_not_the_owners_are_refused_and_asked_for_again",
-    "snapshot-late": "test_snapshots.ReceiverPromises"
-    ".test_a_late_piece_of_an_older_snapshot_does_not_end_the_newer_one",
-    "retained-entries": "test_snapshots.TransferStories"
-    ".test_the_snapshot_being_sent_is_finished_though_newer_ones_are_made",
-    "later-wish": "test_replication_placement.TestHandoverAmidAChange"
-    ".test_given_two_placements_at_once_then_the_later_one_is_reached_whichever_comes_first",
+    "overtaken": "test_snapshots.LargeEntryTest.test_a_large_entry_is_sent_once_and_heartbeats_continue",
+    "snapshot-digest": "test_snapshots.SnapshotReceiverTest"
+    ".test_bytes_with_a_wrong_digest_are_rejected_and_requested_again",
+    "snapshot-late": "test_snapshots.SnapshotReceiverTest"
+    ".test_a_late_chunk_of_an_older_snapshot_does_not_end_the_newer_transfer",
+    "retained-entries": "test_snapshots.SnapshotTransferTest"
+    ".test_a_transfer_completes_although_newer_snapshots_are_taken",
+    "later-wish": "test_replication_placement.TestLeadershipTransferDuringAGroupChange"
+    ".test_given_two_placements_in_any_order_then_the_one_with_the_higher_number_is_reached",
     "emptied-stays": "test_configuration_state.EmptyingTest"
     ".test_given_a_group_with_a_disk_of_the_node_or_an_unknown_one_then_it_proves_nothing",
     "new-voter": "test_configuration_state.EmptyingTest"
@@ -95,16 +95,16 @@
     "emptied-by-owner": "test_control_store_facts.StoreFactsTest"
     ".test_report_by_another_replica_or_of_an_unfinished_change_records_nothing",
     "heard-all": "test_guards.TestRetirements.test_a_young_owner_refuses_no_retirement",
-    "done-without": "test_replication_placement.TestBetweenTheSteps"
-    ".test_given_a_lagging_voter_then_a_live_one_leaves_only_once_the_others_can_do_without",
+    "done-without": "test_replication_placement.TestLossDuringAGroupChange"
+    ".test_given_a_lagging_voter_then_a_live_voter_is_removed_only_once_the_others_are_caught_up",
     "whole-group": "test_guards.TestFounding.test_fewer_disks_than_a_whole_group_has_found_nothing",
-    "read-ticket": "test_read_index.CurrencyStories.test_answers_to_an_earlier_life_prove_nothing",
-    "read-forget": "test_read_index.LaggingReplicaStories"
-    ".test_given_a_new_owner_then_the_former_ones_answers_count_no_more",
-    "read-majority": "test_read_index.CurrencyStories"
-    ".test_an_owner_cut_off_and_its_follower_are_out_of_contact_while_it_still_owns",
-    "read-reply": "test_read_index.LaggingReplicaStories"
-    ".test_given_answers_of_another_owner_epoch_or_life_then_they_prove_nothing",
+    "read-ticket": "test_read_index.CurrentStateTest.test_replies_to_an_earlier_incarnation_are_ignored",
+    "read-forget": "test_read_index.LaggingReplicaTest"
+    ".test_given_a_new_leader_then_replies_of_the_former_one_are_ignored",
+    "read-majority": "test_read_index.CurrentStateTest"
+    ".test_a_partitioned_leader_and_its_follower_are_out_of_contact_while_it_still_leads",
+    "read-reply": "test_read_index.LaggingReplicaTest"
+    ".test_given_replies_of_another_leader_term_or_incarnation_then_they_are_ignored",
     "other-base": "test_configuration_state.OrdersTest"
     ".test_given_an_order_whose_base_may_become_current_then_it_is_not_refused_before_that",
     "checked-base": "test_guards.TestCheckedEntries.test_one_whose_base_may_become_current_is_not_refused",
@@ -145,12 +145,12 @@
     "closed-here": "test_dataplane_answers.ResponsesWithoutLengthTest"
     ".test_locally_aborted_connection_does_not_complete_a_response",
     "read-request": "test_guards.TestReadRequests.test_a_question_of_another_epoch_is_not_answered",
-    "current-after-first-entry": "test_read_index.CurrencyStories"
-    ".test_a_new_owner_is_not_current_before_it_has_committed",
-    "committed-group": "test_replication_placement.TestSettled"
-    ".test_given_a_change_that_is_not_committed_then_the_group_before_is_told_and_it_is_not_settled",
-    "add-before-remove": "test_replication_placement.TestBetweenTheSteps"
-    ".test_given_live_ones_to_be_replaced_then_the_group_is_never_larger_by_two",
+    "current-after-first-entry": "test_read_index.CurrentStateTest"
+    ".test_a_new_leader_is_not_current_before_it_has_committed",
+    "committed-group": "test_replication_placement.TestStableGroup"
+    ".test_given_an_uncommitted_change_then_the_previous_group_is_reported_and_it_is_not_stable",
+    "add-before-remove": "test_replication_placement.TestLossDuringAGroupChange"
+    ".test_given_live_voters_to_replace_then_the_group_exceeds_its_size_by_at_most_one",
     "ended-connection": "test_guards.TestEndedConnections.test_who_waits_for_a_reply_hears_of_it_at_once",
 }
 
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -88,7 +88,7 @@
             for index in range(self.log.base_index + 1, self.log.durable_index + 1):
                 term = self.log.term_at(index)
                 if index > held.snapshot.index:
-                    assert entries[index].term == term, f"the disk holds another entry at {index}"
+                    assert entries[index].term == term, f"{index} is a different entry on the disk"
             assert held.snapshot.index + len(held.entries) >= self.log.durable_index
 
 
@@ -169,7 +169,7 @@
             self.assertTrue(cluster.run_until(cluster.leader, 3.0))
             cluster.propose(b"after the loss")
             self.assertTrue(
-                cluster.run_until(lambda simulated=cluster: simulated.committed(b"after the loss"), 5.0),
+                cluster.run_until(lambda each=cluster: each.committed(b"after the loss"), 5.0),
                 share,
             )
             self.assertTrue(cluster.run_until(lambda simulated=cluster: is_caught_up(simulated), 1.0), share)
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -122,7 +122,7 @@
         return 0.0
     host = process.instance.host
     replicas = [host.replica(shard) for shard in host.shards()]
-    return max([now - one.last_contact for one in replicas if one.last_contact > 0], default=0.0)
+    return max([now - each.last_contact for each in replicas if each.last_contact > 0], default=0.0)
 
 
 def leads(machine, shard):
--- a/tests/tier/test_snapshots.py
+++ b/tests/tier/test_snapshots.py
@@ -20,9 +20,7 @@
 def cluster_with_a_stopped_replica(
     command_count=100, command=COMMAND, timing=SMALL_CHUNKS, names="abc", **options
 ):
-    """The first replica leads; the last one is stopped and lacks all commands, of which the others hold a
-    snapshot.
-    """
+    """The first replica leads; the last one is stopped and lacks the commands in the others' snapshot."""
     cluster = Cluster(names, timing=timing, **options)
     cluster.run(1.0)
     cluster.lose_power(names[-1])
