--- a/tests/tier/test_dataplane_answers.py
+++ b/tests/tier/test_dataplane_answers.py
@@ -561,10 +561,10 @@
         async def scenario():
             await self.simulation.send_request("/read/x")  # leaves an idle connection: no wait to connect
             self.simulation.plane.lifecycle = starting
-            task = asyncio.ensure_future(self.simulation.send_request("/read/x", disconnect_after=0.2))
+            abandoned = asyncio.ensure_future(self.simulation.send_request("/read/x", disconnect_after=0.2))
             await asyncio.sleep(1)
             starting.set_ready(True)
-            await task
+            await abandoned
 
         self.simulation.run(scenario())
         self.assertEqual(1, len(backend.requests))
--- a/tests/tier/test_standing.py
+++ b/tests/tier/test_standing.py
@@ -80,7 +80,7 @@
         version = process.instance.routing.version
         if version < required:
             self._fleet.report_violation(
-                f"{process.name} starts to serve with version {version}, but {required} is required"
+                f"{process.name} starts to serve with version {version}, required: {required}"
             )
 
 
