--- a/tests/tier/forked_pool.py
+++ b/tests/tier/forked_pool.py
@@ -1,15 +1,15 @@
-"""Worker processes of a test, forked from a process that may hold what other tests left behind."""
+"""Forks worker processes for tests from a process that may still hold objects of other tests."""
 
 import gc
 import multiprocessing
 
 
 def forked_pool(processes):
-    """A pool of so many forked processes, which leave alone what was allocated before them.
+    """Returns a pool of forked processes that never collect the objects inherited from the parent.
 
-    Hazard: a garbage collection in a child would run the finalizers of objects that it has inherited.  One
-    of gRPC's waits there for a thread that exists in the parent alone, for ever.  What is garbage is
-    collected here, and the rest is frozen in the children.
+    Hazard: a garbage collection in a child would run the finalizers of inherited objects.  A finalizer of
+    gRPC waits forever there for a thread that exists only in the parent.  So garbage is collected here before
+    the fork, and all other objects are frozen in the children.
     """
     gc.collect()
     gc.freeze()
--- a/tests/tier/memory_disk.py
+++ b/tests/tier/memory_disk.py
@@ -1,4 +1,4 @@
-"""A `Disk` in memory that loses what was not synced, tears files, fills up, and fails at a chosen step."""
+"""An in-memory `Disk` that loses unsynced changes, leaves torn files, and fails at a chosen operation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PowerLoss(Exception):
-    """The machine went away in the middle of an operation."""
+    """The machine lost power in the middle of an operation."""
 
 
 class _File:
@@ -31,26 +31,26 @@
 
 @attrs.frozen
 class _Change:
-    """One name goes, one comes."""
+    """A change of directory entries: the name that is removed, and the name and file that are added."""
 
     removed: str | None
-    put: str | None
+    added: str | None
     file: _File | None
 
     def apply(self, directory: _Directory) -> None:
         if self.removed is not None:
             directory.pop(self.removed, None)
-        if self.put is not None:
-            directory[self.put] = self.file
+        if self.added is not None:
+            directory[self.added] = self.file
 
 
 class MemoryDisk:
-    """Paths are plain keys.  `fail_at` counts operations down to the one that is cut short."""
+    """Paths are plain keys.  `fail_at` counts down the operations before the one that raises `failure`."""
 
     def __init__(self, files: _Directory | None = None) -> None:
         self.files: _Directory = files or {}
         self.durable: _Directory = dict(self.files)
-        self.changes: list[_Change] = []  # of names, since the directory's last sync
+        self.changes: list[_Change] = []  # changes of directory entries since the last directory sync
         self.longest_write = 0
         self.fail_at = -1
         self.failure: Callable[[], Exception] = PowerLoss
@@ -66,14 +66,14 @@
 
     def create(self, path: str) -> None:
         if path not in self.files:
-            self._step()
+            self._count_operation()
             self._change(_Change(None, path, _File()))
 
     def write(self, path: str, content: bytes) -> None:
         self.create(path)
         file = self.files[path]
         file.content = content[: len(content) // 2]
-        self._step()
+        self._count_operation()
         file.content = content
         self.longest_write = max(self.longest_write, len(content))
 
@@ -81,46 +81,48 @@
         file = self.files[path]
         before = file.content
         file.content = before + bytes(content[: len(content) // 2])
-        self._step()
+        self._count_operation()
         file.content = before + bytes(content)
         self.longest_write = max(self.longest_write, len(content))
 
     def sync(self, path: str) -> None:
-        self._step()
+        self._count_operation()
         self.files[path].synced = self.files[path].content
 
     def rename(self, old: str, new: str) -> None:
-        self._step()
+        self._count_operation()
         self._change(_Change(old, new, self.files[old]))
 
     def remove(self, path: str) -> None:
-        self._step()
+        self._count_operation()
         self._change(_Change(path, None, None))
 
     def sync_directory(self, path: str) -> None:
-        self._step()
+        self._count_operation()
         self.durable = dict(self.files)
         self.changes.clear()
 
     def after_process_kill(self) -> MemoryDisk:
-        """What a process finds whose machine went on: all that was done, durable or not."""
+        """Returns the disk after a process kill: all changes are kept, durable or not."""
         return copy.deepcopy(self)
 
     def after_power_loss(self) -> Iterator[MemoryDisk]:
-        """Each disk that a loss of power may leave."""
+        """Yields every disk that a power failure may leave."""
         for kept in itertools.product((False, True), repeat=len(self.changes)):
             directory = dict(self.durable)
             for change in itertools.compress(self.changes, kept):
                 change.apply(directory)
             contents = [file.possible_contents() for file in directory.values()]
-            for left in itertools.product(*contents):
-                yield MemoryDisk({name: _File(one) for name, one in zip(directory, left, strict=True)})
+            for remaining in itertools.product(*contents):
+                yield MemoryDisk(
+                    {name: _File(content) for name, content in zip(directory, remaining, strict=True)}
+                )
 
     def _change(self, change: _Change) -> None:
         change.apply(self.files)
         self.changes.append(change)
 
-    def _step(self) -> None:
+    def _count_operation(self) -> None:
         self.fail_at -= 1
         if self.fail_at == -1:
             raise self.failure()
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -1,7 +1,7 @@
-"""The model of the replication core and of orders: no run breaks a rule, with a fault at any step.
+"""The model of the replication core and of orders: no run violates an invariant, with a fault at any step.
 
-The quick bound looks at the first states of each script.  `MODEL=1` and more search all runs with so many
-faults, as `kestrelbend lab model --depth` does.
+By default, only the first states of each script are searched.  `MODEL=1` or more searches all runs with up to
+that many faults, like `kestrelbend lab model --depth`.
 """
 
 import os
@@ -19,16 +19,16 @@
 from tests.tier.forked_pool import forked_pool
 
 DEPTH = int(os.environ.get("MODEL", "0"))
-QUICK_STATES = 2500  # of each script
+DEFAULT_MAX_STATES = 2500  # per script
 
 
 def search_script(name):
     if DEPTH:
         return search(SCRIPTS[name], DEPTH)
-    return search(SCRIPTS[name], 1, QUICK_STATES)
+    return search(SCRIPTS[name], 1, DEFAULT_MAX_STATES)
 
 
-def search_script_of_orders(name):
+def search_order_script(name):
     return search_orders(name, DEPTH)
 
 
@@ -38,20 +38,20 @@
         self.pool = forked_pool(os.cpu_count())
         self.addCleanup(self.pool.terminate)
 
-    def test_no_run_of_the_core_breaks_a_rule(self):
-        found = self.pool.map(search_script, SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.summary() for one in found if one.violation])
-        self.assertGreater(sum(one.states for one in found), 1000 * len(SCRIPTS))
+    def test_no_run_of_the_core_violates_an_invariant(self):
+        results = self.pool.map(search_script, SCRIPTS, chunksize=1)
+        self.assertEqual([], [result.summary() for result in results if result.violation])
+        self.assertGreater(sum(result.states for result in results), 1000 * len(SCRIPTS))
 
-    def test_no_run_with_orders_breaks_a_rule(self):
-        found = self.pool.map(search_script_of_orders, ORDER_SCRIPTS, chunksize=1)
-        self.assertEqual([], [one.summary() for one in found if one.violation])
+    def test_no_run_with_orders_violates_an_invariant(self):
+        results = self.pool.map(search_order_script, ORDER_SCRIPTS, chunksize=1)
+        self.assertEqual([], [result.summary() for result in results if result.violation])
 
 
 class TestScripts(testtools.TestCase):
-    """Without a fault each script comes to what it is about."""
+    """Scripts reach their intended final state when no fault occurs."""
 
-    def test_voters_are_replaced_the_owner_too(self):
+    def test_scripts_that_replace_voters_or_the_leader_reach_the_target_group(self):
         groups = {
             name: search(SCRIPTS[name], 0).group
             for name in ("replace", "replace_owner", "emptied", "snapshot_to_newcomer")
@@ -65,24 +65,24 @@
         self.assertEqual(expected, groups)
 
 
-class TestShares(testtools.TestCase):
-    def test_the_shares_of_a_search_cover_what_one_search_does(self):
-        whole = search(SCRIPTS["old_replies"], 1)
+class TestPartitions(testtools.TestCase):
+    def test_partitions_of_a_search_cover_all_states_of_the_full_search(self):
+        full = search(SCRIPTS["old_replies"], 1)
         parts = [search(SCRIPTS["old_replies"], 1, partition=Partition(index, 3)) for index in range(3)]
         merged = merge_results(parts)
-        alone = search(SCRIPTS["old_replies"], 0).states
-        self.assertEqual((True, "", whole.longest), (merged.complete, merged.violation, merged.longest))
-        self.assertGreaterEqual(merged.states - 2 * alone, whole.states)  # no state is left out
-        self.assertTrue(all(alone < part.states < whole.states for part in parts))
+        without_faults = search(SCRIPTS["old_replies"], 0).states
+        self.assertEqual((True, "", full.longest), (merged.complete, merged.violation, merged.longest))
+        self.assertGreaterEqual(merged.states - 2 * without_faults, full.states)  # no state is missed
+        self.assertTrue(all(without_faults < part.states < full.states for part in parts))
 
-    def test_the_shares_of_a_search_of_orders_play_each_run_once(self):
-        whole = search_orders("orders_race", 0)
+    def test_partitions_of_an_order_search_cover_different_runs(self):
+        full = search_orders("orders_race", 0)
         parts = [search_orders("orders_race", 1, Partition(index, 400)) for index in (0, 1)]
         self.assertEqual(["", ""], [part.violation for part in parts])
-        self.assertTrue(all(part.states > whole.states for part in parts))
+        self.assertTrue(all(part.states > full.states for part in parts))
         self.assertNotEqual(*(part.states for part in parts))
 
-    def test_what_one_share_finds_is_told(self):
+    def test_merged_result_reports_a_violation_found_by_one_partition(self):
         with without("own-epoch"):
             parts = [
                 search(SCRIPTS["entry_of_an_older_epoch"], 1, partition=Partition(index, 2))
@@ -92,18 +92,18 @@
 
 
 class TestModelVerb(testtools.TestCase):
-    def run_verb(self, *words):
+    def run_verb(self, *arguments):
         tester = CommandTester(ModelVerb())
-        code = tester.execute(" ".join(words))
+        code = tester.execute(" ".join(arguments))
         return code, tester.io.fetch_output()
 
-    def test_a_search_tells_what_it_covered(self):
-        code, told = self.run_verb("--depth 0 --jobs 1 --scripts orders,orders_race")
+    def test_search_prints_its_coverage(self):
+        code, output = self.run_verb("--depth 0 --jobs 1 --scripts orders,orders_race")
         self.assertEqual(0, code)
-        self.assertIn("orders, 0 faults: all runs", told)
-        self.assertIn("0 scripts broke a rule", told)
+        self.assertIn("orders, 0 faults: all runs", output)
+        self.assertIn("0 scripts broke a rule", output)
 
-    def test_without_a_guard_it_tells_the_rule_that_broke(self):
-        code, told = self.run_verb("--depth 0 --jobs 1 --scripts orders_race --without order-name")
+    def test_search_without_a_guard_prints_the_violated_invariant(self):
+        code, output = self.run_verb("--depth 0 --jobs 1 --scripts orders_race --without order-name")
         self.assertEqual(FAILED, code)
-        self.assertIn("BROKEN", told)
+        self.assertIn("BROKEN", output)
--- a/tests/tier/test_recorded_disk.py
+++ b/tests/tier/test_recorded_disk.py
@@ -1,4 +1,4 @@
-"""A data directory that the text before the renaming wrote is read and written as before."""
+"""The format on disk is stable: directories recorded by earlier code are read and written to equal bytes."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from kestrelbend.tier.storage.segment import decode_segment, encode_segment
 from tests.recorded import FIXTURES, digest, load
 
-DATA = FIXTURES / "data"
-CAPACITY = 64 << 20
-CONFIGURATION = "configuration"  # the shard's name on disk
+RECORDED_DATA = FIXTURES / "data"
+CAPACITY_BYTES = 64 << 20
+CONFIGURATION_SHARD = "configuration"  # the name of the shard on disk
 
 
-def machine_for(shard):
-    """An empty state machine of a shard."""
-    return ConfigurationMachine() if shard == CONFIGURATION else BudgetStateMachine()
+def new_state_machine(shard):
+    """Returns an empty state machine for a shard."""
+    return ConfigurationMachine() if shard == CONFIGURATION_SHARD else BudgetStateMachine()
 
 
 def state_of(shard, durable):
-    """The bytes of the state that a replica's disk leads to, with all its entries applied."""
-    machine = machine_for(shard)
+    """Returns the state in bytes after applying the snapshot and all entries of a replica's disk."""
+    machine = new_state_machine(shard)
     if durable.snapshot.index:
         machine.restore(durable.snapshot.state)
     for entry in durable.entries:
@@ -38,8 +38,8 @@
     return machine.snapshot()
 
 
-class RecordedDirectory(testtools.TestCase):
-    """Checks of one role's directory; a copy is opened, as opening syncs and making files ahead writes."""
+class RecordedDirectoryTestCase(testtools.TestCase):
+    """Checks of one role's directory, run on a copy, since opening a directory writes to it."""
 
     role = ""
 
@@ -49,14 +49,14 @@
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.directory = Path(temporary.name) / self.role
-        shutil.copytree(DATA / self.role, self.directory)
+        shutil.copytree(RECORDED_DATA / self.role, self.directory)
 
     def open(self):
         return DataDirectory.open(str(self.directory), False)
 
     def records(self):
         journal = DiskJournal(
-            self.open().journal_directory, CAPACITY, lambda tickets: None, lambda *call: None
+            self.open().journal_directory, CAPACITY_BYTES, lambda tickets: None, lambda *call: None
         )
         return journal.load()
 
@@ -94,44 +94,44 @@
             durable = replayed[shard]
             snapshot = durable.snapshot
             self.assertEqual((expected["epoch"], expected["voted_for"]), (durable.term, durable.voted_for))
-            told = [snapshot.index, snapshot.term, list(snapshot.voters), digest(snapshot.state)]
-            self.assertEqual(expected["snapshot"], [*told, snapshot.placement_number])
+            snapshot_fields = [snapshot.index, snapshot.term, list(snapshot.voters), digest(snapshot.state)]
+            self.assertEqual(expected["snapshot"], [*snapshot_fields, snapshot.placement_number])
             entries = [[entry.index, entry.term, entry.kind, digest(entry.data)] for entry in durable.entries]
             self.assertEqual(expected["entries"], entries)
             self.assertEqual(expected["state_digest"], digest(state_of(shard, durable)))
 
 
-class ControlDirectoryTest(RecordedDirectory):
-    """A control node's: segments alone, with the configuration's shard."""
+class ControlDirectoryTest(RecordedDirectoryTestCase):
+    """The directory of a control node: only segments, with the configuration shard."""
 
     role = "control"
 
-    def test_given_the_directory_then_the_identity_is_found(self):
+    def test_identity_is_read_from_recorded_directory(self):
         self.check_identity()
 
-    def test_given_the_directory_then_all_records_are_read_and_written_to_equal_bytes(self):
+    def test_all_records_are_decoded_and_encoded_to_equal_bytes(self):
         self.check_records()
 
-    def test_given_the_files_then_each_is_written_to_equal_bytes(self):
+    def test_each_file_is_decoded_and_encoded_to_equal_bytes(self):
         self.check_files()
 
-    def test_given_the_directory_then_the_configuration_is_as_before(self):
+    def test_replay_restores_the_recorded_configuration(self):
         self.check_states()
 
 
-class StoreDirectoryTest(RecordedDirectory):
-    """A store's: a checkpoint and segments, with budget shards and their snapshots."""
+class StoreDirectoryTest(RecordedDirectoryTestCase):
+    """The directory of a store: a checkpoint and segments, with budget shards and their snapshots."""
 
     role = "store"
 
-    def test_given_the_directory_then_the_identity_is_found(self):
+    def test_identity_is_read_from_recorded_directory(self):
         self.check_identity()
 
-    def test_given_the_directory_then_all_records_are_read_and_written_to_equal_bytes(self):
+    def test_all_records_are_decoded_and_encoded_to_equal_bytes(self):
         self.check_records()
 
-    def test_given_the_files_then_each_is_written_to_equal_bytes(self):
+    def test_each_file_is_decoded_and_encoded_to_equal_bytes(self):
         self.check_files()
 
-    def test_given_the_directory_then_the_budgets_are_as_before(self):
+    def test_replay_restores_the_recorded_budgets(self):
         self.check_states()
--- a/tests/tier/test_storage_journal.py
+++ b/tests/tier/test_storage_journal.py
@@ -1,4 +1,4 @@
-"""What a journal acknowledged is there after any loss of power, at any step, and what a start read stays."""
+"""Acknowledged records survive a power failure at any step; records once loaded survive the next one too."""
 
 import errno
 import random
@@ -18,20 +18,20 @@
 from tests.tier.memory_disk import MemoryDisk, PowerLoss, disk_full
 
 DIRECTORY = "journal"
-FILES_AT_ONCE = 2
-CAPACITY = 1 << 20
+FILES_PER_BATCH = 2
+CAPACITY_BYTES = 1 << 20
 
 
 class Writer:
-    """Writes numbered records to a disk and knows which of them were acknowledged."""
+    """Writes numbered records to a disk and tracks which of them were acknowledged."""
 
     def __init__(self, disk):
-        self.files = JournalFiles(disk, DIRECTORY, FILES_AT_ONCE, chunk_bytes=20)
+        self.files = JournalFiles(disk, DIRECTORY, FILES_PER_BATCH, chunk_bytes=20)
         self.checkpoint = None
         self.records = self.files.load()
         self.acknowledged = len(self.records)
 
-    def play(self, script):
+    def run(self, script):
         for step in script:
             if step == "append":
                 self.records.append(b"record %d" % len(self.records))
@@ -55,12 +55,12 @@
 
 
 def run_until_failure(disk, script, step):
-    """The records, those acknowledged, and whether the whole script went through."""
+    """Returns the writer, None if it could not be created, and whether the script completed."""
     disk.fail_at = step
     writer = None
     try:
         writer = Writer(disk)
-        writer.play(script)
+        writer.run(script)
     except PowerLoss:
         return writer, False
     finally:
@@ -69,52 +69,56 @@
 
 
 class PowerLossTest(testtools.TestCase):
-    """Exhaustive over the step at which the power goes and over what of the unsynced work is left."""
+    """Exhaustive over the step of the power failure and over the unsynced changes that it keeps."""
 
-    def check_all_endings(self, before, script):
-        found = 0
+    def check_all_crash_points(self, setup_script, script):
+        checked = 0
         for step in range(200):
             disk = MemoryDisk()
-            Writer(disk).play(before)
-            writer, whole = run_until_failure(disk, script, step)
-            count = len(before) if writer is None else writer.acknowledged
-            for left in [disk.after_process_kill(), *disk.after_power_loss()]:
-                self.check_start(left, count)
-                found += 1
-            if whole:
-                return found
-        raise AssertionError("the script has no end")
-
-    def check_start(self, disk, count):
-        """What was acknowledged is read, in order; what was read survives the next loss of power."""
+            Writer(disk).run(setup_script)
+            writer, completed = run_until_failure(disk, script, step)
+            count = len(setup_script) if writer is None else writer.acknowledged
+            for crashed_disk in [disk.after_process_kill(), *disk.after_power_loss()]:
+                self.check_recovery(crashed_disk, count)
+                checked += 1
+            if completed:
+                return checked
+        raise AssertionError("the script did not complete")
+
+    def check_recovery(self, disk, count):
+        """Acknowledged records are loaded in order; loaded records survive the next power failure."""
         first = Writer(disk)
         self.assertEqual([b"record %d" % number for number in range(len(first.records))], first.records)
         self.assertGreaterEqual(len(first.records), count)
-        for left in disk.after_power_loss():
-            again = Writer(left)
-            self.assertEqual(first.records, again.records)
-            again.play(["append", "append", "append"])
-        first.play(["maintain", "append"])
-        for left in disk.after_power_loss():
-            self.assertEqual(first.records, Writer(left).records)
-
-    def test_given_appends_when_power_goes_at_any_step_then_all_acknowledged_is_read(self):
-        self.assertGreater(self.check_all_endings(["append"], ["append", "append", "append", "group"]), 40)
+        for crashed_disk in disk.after_power_loss():
+            reopened = Writer(crashed_disk)
+            self.assertEqual(first.records, reopened.records)
+            reopened.run(["append", "append", "append"])
+        first.run(["maintain", "append"])
+        for crashed_disk in disk.after_power_loss():
+            self.assertEqual(first.records, Writer(crashed_disk).records)
+
+    def test_power_failure_at_any_step_of_appends_keeps_all_acknowledged_records(self):
+        self.assertGreater(
+            self.check_all_crash_points(["append"], ["append", "append", "append", "group"]), 40
+        )
 
-    def test_given_a_checkpoint_when_power_goes_at_any_step_then_all_acknowledged_is_read(self):
-        self.assertGreater(self.check_all_endings(["append"] * 2, ["checkpoint", "append", "maintain"]), 40)
+    def test_power_failure_at_any_step_of_a_checkpoint_keeps_all_acknowledged_records(self):
+        self.assertGreater(
+            self.check_all_crash_points(["append"] * 2, ["checkpoint", "append", "maintain"]), 40
+        )
 
-    def test_given_two_checkpoints_and_removal_when_power_goes_then_all_acknowledged_is_read(self):
+    def test_power_failure_during_two_checkpoints_and_removal_keeps_all_acknowledged_records(self):
         script = ["checkpoint", "maintain", "append", "checkpoint", "maintain"]
-        self.assertGreater(self.check_all_endings(["append"], script), 40)
+        self.assertGreater(self.check_all_crash_points(["append"], script), 40)
 
-    def test_given_a_checkpoint_in_steps_when_power_goes_between_then_all_acknowledged_is_read(self):
+    def test_power_failure_between_steps_of_a_checkpoint_keeps_all_acknowledged_records(self):
         script = ["begin", *["step"] * 5, "append", "step", "maintain", "append", "end", "append", "maintain"]
-        self.assertGreater(self.check_all_endings(["append"] * 2, script), 60)
+        self.assertGreater(self.check_all_crash_points(["append"] * 2, script), 60)
 
-    def test_given_a_checkpoint_in_steps_when_it_is_whole_then_it_stands_for_what_came_before_alone(self):
+    def test_checkpoint_in_steps_replaces_only_segments_from_before_it_began(self):
         disk = MemoryDisk()
-        Writer(disk).play(["append", "append", "begin", "append", "step", "append", "end", "maintain"])
+        Writer(disk).run(["append", "append", "begin", "append", "step", "append", "end", "maintain"])
         self.assertEqual(
             ["000000000002.checkpoint", "000000000002.versions", "000000000003.versions"],
             sorted(
@@ -123,66 +127,68 @@
         )
         self.assertEqual([b"record %d" % number for number in range(4)], Writer(disk).records)
 
-    def test_given_a_checkpoint_given_up_when_one_of_the_same_number_is_written_then_maintenance_leaves_it(
+    def test_maintenance_keeps_a_checkpoint_that_reuses_the_number_of_an_abandoned_one(
         self,
     ):
         disk = MemoryDisk()
         writer, _ = run_until_failure(disk, ["append", "begin", *["step"] * 4], 9)
-        again = Writer(disk.after_process_kill())
-        again.play(["begin", *["step"] * 3, "maintain", "end"])
-        self.assertEqual(again.records, Writer(again.files._disk).records)
+        reopened = Writer(disk.after_process_kill())
+        reopened.run(["begin", *["step"] * 3, "maintain", "end"])
+        self.assertEqual(reopened.records, Writer(reopened.files._disk).records)
 
-    def test_given_a_checkpoint_when_there_is_time_then_what_it_replaced_goes(self):
+    def test_maintenance_removes_files_replaced_by_a_checkpoint(self):
         disk = MemoryDisk()
-        Writer(disk).play(["append"] * 5 + ["checkpoint", "maintain", "maintain", "append"])
-        kept = ["000000000005.checkpoint", "000000000005.versions"]
-        self.assertEqual(kept, sorted(disk.list_directory(DIRECTORY)))
+        Writer(disk).run(["append"] * 5 + ["checkpoint", "maintain", "maintain", "append"])
+        expected = ["000000000005.checkpoint", "000000000005.versions"]
+        self.assertEqual(expected, sorted(disk.list_directory(DIRECTORY)))
 
-    def test_given_long_scripts_when_power_goes_again_and_again_then_nothing_is_lost(self):
+    def test_repeated_power_failures_in_random_scripts_lose_no_acknowledged_record(self):
         for seed in range(60):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             disk = MemoryDisk()
             count = 0
             for _run in range(6):
-                script = chance.choices(["append", "group", "checkpoint", "maintain"], [6, 3, 1, 2], k=20)
-                writer, _whole = run_until_failure(disk, script, chance.randrange(60))
+                script = rng.choices(["append", "group", "checkpoint", "maintain"], [6, 3, 1, 2], k=20)
+                writer, _completed = run_until_failure(disk, script, rng.randrange(60))
                 count = count if writer is None else writer.acknowledged
-                disk = self.one_ending(disk, chance)
+                disk = self.random_crash_state(disk, rng)
                 self.assertGreaterEqual(len(Writer(disk.after_process_kill()).records), count, f"seed {seed}")
 
-    def one_ending(self, disk, chance):
-        if chance.random() < 0.3:
+    def random_crash_state(self, disk, rng):
+        if rng.random() < 0.3:
             return disk.after_process_kill()
-        endings = disk.after_power_loss()
-        for _skipped in range(chance.randrange(50)):
-            next(endings, None)
-        return next(endings, None) or next(disk.after_power_loss())
+        crash_states = disk.after_power_loss()
+        for _skipped in range(rng.randrange(50)):
+            next(crash_states, None)
+        return next(crash_states, None) or next(disk.after_power_loss())
 
 
-class CorruptedTest(testtools.TestCase):
-    def damage(self, name, script):
+class CorruptedJournalTest(testtools.TestCase):
+    def load_damaged(self, name, script):
         disk = MemoryDisk()
-        Writer(disk).play(script)
+        Writer(disk).run(script)
         disk.files[f"{DIRECTORY}/{name}"].content = b"other"
         return self.assertRaises(StorageCorruptedError, Writer, disk).code
 
-    def test_given_a_torn_segment_when_a_later_one_is_there_then_the_start_refuses(self):
-        self.assertEqual(StorageCode.SEGMENT_GAP, self.damage("000000000000.versions", ["append", "append"]))
+    def test_load_fails_if_a_segment_follows_a_torn_segment(self):
+        self.assertEqual(
+            StorageCode.SEGMENT_GAP, self.load_damaged("000000000000.versions", ["append", "append"])
+        )
 
-    def test_given_a_damaged_checkpoint_then_the_start_refuses(self):
-        code = self.damage("000000000001.checkpoint", ["append", "checkpoint"])
+    def test_load_fails_if_a_checkpoint_is_damaged(self):
+        code = self.load_damaged("000000000001.checkpoint", ["append", "checkpoint"])
         self.assertEqual(StorageCode.CHECKPOINT_DAMAGED, code)
 
 
 class JournalTest(testtools.TestCase):
-    """The queue before the files; the test takes the writer thread's place."""
+    """The queue and the states of a journal; the tests run the writer thread's work themselves."""
 
     def setUp(self):
         super().setUp()
         self.now = 100.0
         self.written = []
         self.disk = MemoryDisk()
-        self.journal = self.start(CAPACITY)
+        self.journal = self.start(CAPACITY_BYTES)
 
     def start(self, capacity):
         def call(function, *arguments):
@@ -194,15 +200,15 @@
         journal.load()
         return journal
 
-    def test_given_waiting_records_when_the_thread_comes_then_one_sync_acknowledges_all_in_order(self):
+    def test_one_group_commit_acknowledges_all_pending_records_in_order(self):
         for ticket in (7, 8, 9):
             self.journal.append(ticket, b"record %d" % ticket)
         self.assertEqual([], self.written)
         self.assertTrue(self.journal.write_once())
         self.assertEqual([7, 8, 9], self.written)
-        self.assertEqual([b"record 7", b"record 8", b"record 9"], self.start(CAPACITY).load())
+        self.assertEqual([b"record 7", b"record 8", b"record 9"], self.start(CAPACITY_BYTES).load())
 
-    def test_given_a_full_disk_when_it_has_room_again_then_what_waited_is_acknowledged(self):
+    def test_pending_records_are_acknowledged_once_a_full_disk_has_space_again(self):
         self.journal.append(1, b"record")
         self.disk.fail_at, self.disk.failure = 3, disk_full
         self.assertFalse(self.journal.write_once())
@@ -211,7 +217,7 @@
         self.assertTrue(self.journal.write_once())
         self.assertEqual((JournalState.OK, [1, 2]), (self.journal.state(self.now), self.written))
 
-    def test_given_a_failing_disk_when_time_passes_then_it_is_slow_and_then_stalled(self):
+    def test_state_of_a_failing_disk_becomes_slow_and_then_stalled(self):
         self.journal.append(1, b"record")
         self.disk.fail_at, self.disk.failure = 0, lambda: OSError(errno.EIO, "fault")
         self.assertFalse(self.journal.write_once())
@@ -219,7 +225,7 @@
         self.assertEqual([JournalState.OK, JournalState.SLOW, JournalState.STALLED], states)
         self.assertAlmostEqual(1.5, self.journal.oldest_wait_s(self.now + 1.5))
 
-    def test_given_its_share_of_the_disk_is_used_up_when_a_checkpoint_comes_then_it_goes_on(self):
+    def test_checkpoint_frees_space_when_the_disk_quota_is_used_up(self):
         journal = self.start(64 * 1024)
         for ticket in range(20):
             journal.append(ticket, b"x" * 4000)
@@ -230,23 +236,23 @@
         self.assertFalse(journal.wants_checkpoint)
         self.assertTrue(journal.write_once())
         self.assertEqual(list(range(20)), self.written)
-        self.assertEqual([b"state"], self.start(CAPACITY).load())
+        self.assertEqual([b"state"], self.start(CAPACITY_BYTES).load())
 
-    def test_given_records_behind_a_checkpoint_when_all_is_written_then_they_are_read_after_it(self):
+    def test_records_appended_after_a_checkpoint_are_loaded_after_it(self):
         self.journal.append(1, b"before")
         self.journal.checkpoint([b"state"])
         self.journal.append(2, b"after")
         while self.journal.write_once():
             pass
         self.assertEqual([1, 2], self.written)
-        self.assertEqual([b"state", b"after"], self.start(CAPACITY).load())
+        self.assertEqual([b"state", b"after"], self.start(CAPACITY_BYTES).load())
 
-    def test_given_a_large_checkpoint_when_records_come_then_none_waits_for_all_of_it(self):
+    def test_records_do_not_wait_for_a_complete_large_checkpoint(self):
         self.journal = self.start(100 << 20)
-        made = []
+        encode_calls = []
 
         def encode():
-            made.append(1)
+            encode_calls.append(1)
             return b"s" * (8 << 20)
 
         self.journal.append(1, b"before")
@@ -254,7 +260,7 @@
         self.journal.append(2, b"after")
         for _ in range(3):
             self.journal.write_once()
-        self.assertEqual(([1, 2], []), (self.written, made))
+        self.assertEqual(([1, 2], []), (self.written, encode_calls))
         for ticket in range(3, 20):
             self.journal.maintain()
             self.journal.append(ticket, b"between")
@@ -266,10 +272,10 @@
         self.assertEqual((8 << 20, b"after"), (len(loaded[0]), loaded[1]))
         self.assertEqual(19, len(loaded))
 
-    def test_given_the_largest_tables_when_records_go_on_then_a_checkpoint_comes_before_the_disk_is_full(
+    def test_with_the_largest_tables_checkpoints_are_requested_before_the_quota_is_used_up(
         self,
     ):
-        capacity = 26_000_000  # a tenth of a store's, with a tenth of six tables at their bounds
+        capacity = 26_000_000  # a tenth of a store's quota, with a tenth of six tables at their size limits
         journal = self.start(capacity)
         state = b"s" * 8_100_000
         journal.checkpoint([state])
@@ -287,7 +293,7 @@
         self.assertGreater(checkpoints, 3)
         self.assertEqual(list(range(400)), self.written)
 
-    def test_given_a_large_checkpoint_when_the_disk_fails_then_another_is_wanted_and_nothing_is_lost(self):
+    def test_failed_large_checkpoint_is_requested_again_and_loses_no_record(self):
         self.journal = self.start(4 << 20)
         for ticket in range(9):
             self.journal.append(ticket, b"x" * 70_000)
@@ -301,11 +307,11 @@
         self.assertTrue(self.journal.wants_checkpoint)
         self.assertEqual([b"x" * 70_000] * 9, self.start(4 << 20).load())
 
-    def test_given_the_thread_and_real_files_when_closed_then_all_is_written_and_read_back(self):
+    def test_close_of_a_journal_on_real_files_writes_all_records(self):
         with tempfile.TemporaryDirectory() as data_dir:
             directory = DataDirectory.open(data_dir, True).journal_directory
             journal = DiskJournal(
-                directory, CAPACITY, self.written.extend, lambda call, tickets: call(tickets)
+                directory, CAPACITY_BYTES, self.written.extend, lambda call, tickets: call(tickets)
             )
             self.assertEqual([], journal.load())
             journal.start()
@@ -315,34 +321,36 @@
             journal.append(100, b"last")
             self.assertTrue(journal.close(timeout_s=30))
             self.assertEqual(list(range(101)), self.written)
-            again = DiskJournal(directory, CAPACITY, self.written.extend, lambda call, tickets: call(tickets))
-            self.assertEqual([b"state", b"last"], again.load())
+            reopened = DiskJournal(
+                directory, CAPACITY_BYTES, self.written.extend, lambda call, tickets: call(tickets)
+            )
+            self.assertEqual([b"state", b"last"], reopened.load())
 
 
 class DataDirectoryTest(testtools.TestCase):
-    def test_given_an_empty_disk_when_the_system_first_starts_then_its_identity_is_known_ahead(self):
+    def test_bootstrap_gives_an_empty_disk_the_predefined_identity(self):
         disk = MemoryDisk()
         self.assertEqual("first", DataDirectory.open("data", True, disk).identity)
         self.assertEqual("first", DataDirectory.open("data", False, disk).identity)
 
-    def test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so(self):
+    def test_emptied_disk_gets_a_new_identity_and_keeps_it(self):
         disk = MemoryDisk()
         directory = DataDirectory.open("data", False, disk)
         self.assertEqual((8, True), (len(directory.identity), directory.created))
-        for left in disk.after_power_loss():
-            self.assertEqual(directory.identity, DataDirectory.open("data", True, left).identity)
+        for crashed_disk in disk.after_power_loss():
+            self.assertEqual(directory.identity, DataDirectory.open("data", True, crashed_disk).identity)
         self.assertNotEqual(directory.identity, DataDirectory.open("data", False, MemoryDisk()).identity)
 
-    def test_given_power_goes_while_the_identity_is_written_then_the_next_start_goes_through(self):
+    def test_start_succeeds_after_power_failure_while_the_identity_is_written(self):
         for step in range(5):
             disk = MemoryDisk()
             disk.fail_at = step
             self.assertRaises(PowerLoss, DataDirectory.open, "data", False, disk)
-            for left in disk.after_power_loss():
-                self.assertEqual(8, len(DataDirectory.open("data", False, left).identity))
+            for crashed_disk in disk.after_power_loss():
+                self.assertEqual(8, len(DataDirectory.open("data", False, crashed_disk).identity))
 
-    def test_given_segments_without_an_identity_then_the_start_refuses(self):
+    def test_open_fails_if_segments_exist_without_an_identity(self):
         disk = MemoryDisk()
         disk.write("data/journal/000000000000.versions", b"content")
-        damage = self.assertRaises(StorageCorruptedError, DataDirectory.open, "data", False, disk)
-        self.assertEqual(StorageCode.IDENTITY_MISSING, damage.code)
+        error = self.assertRaises(StorageCorruptedError, DataDirectory.open, "data", False, disk)
+        self.assertEqual(StorageCode.IDENTITY_MISSING, error.code)
