--- a/kestrelbend/gateway/decisions/attempts.py
+++ b/kestrelbend/gateway/decisions/attempts.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Delivery, EndpointState, Invocation, RepeatEffect, TokenScope
+from ..interface import Delivery, EndpointState, Idempotency, Invocation, TokenScope
 from .context import Context
 from .rate_limits import RateLimits
 from .slow_start import SlowStart
@@ -32,7 +32,7 @@
             return False
         if not settings.may_hedge and any(d.result is None for d in ran):
             return False
-        if ran and inv.op.effect is RepeatEffect.NON_IDEMPOTENT:
+        if ran and inv.op.effect is Idempotency.NON_IDEMPOTENT:
             return False
         return self.context.now < self.begin_by(inv)
 
@@ -40,7 +40,7 @@
         """Time in microseconds before which a further delivery has to begin: the deadline, or earlier if
         backends forget the idempotency token of an earlier delivery before it."""
         until = inv.deadline
-        if inv.op.effect is RepeatEffect.TOKENED:
+        if inv.op.effect is Idempotency.TOKENED:
             lifetime = inv.op.token_lifetime - self.context.settings.tick
             for d in inv.deliveries:
                 if d.may_have_run:
@@ -59,7 +59,7 @@
         """Rules 2, 3 and 4 for a given backend."""
         if backend.state is not EndpointState.READY:
             return False
-        if inv.deliveries and inv.op.effect is RepeatEffect.TOKENED and inv.op.scope is not TokenScope.ALL:
+        if inv.deliveries and inv.op.effect is Idempotency.TOKENED and inv.op.scope is not TokenScope.ALL:
             for d in inv.deliveries:
                 if d.may_have_run and not self._shares_tokens(d, inv.op.scope, backend):
                     return False
--- a/kestrelbend/gateway/decisions/background.py
+++ b/kestrelbend/gateway/decisions/background.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import BackgroundTask, Effects, Pause, Probe, Probed, Spawn, Subscribe
+from ..interface import BackgroundTask, Effects, Pause, Probe, ProbeReply, Spawn, Subscribe
 from ..routing.pool import Pool
 from .context import SECOND, Context
 from .slow_start import SlowStart
@@ -43,7 +43,7 @@
             yield Pause(self.context.now + PROBE_INTERVAL)
 
     def _probe(self, backend: BackendState) -> Effects[None]:
-        probed: Probed = yield Probe(backend)
+        probed: ProbeReply = yield Probe(backend)
         self.load_reported(backend, probed.load)
 
     def load_reported(self, backend: BackendState, load: dict[str, float] | None) -> None:
--- a/kestrelbend/gateway/decisions/counter.py
+++ b/kestrelbend/gateway/decisions/counter.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..interface import Count, Counted, Effects, Invocation, Log, Result
+from ..interface import AddToCounter, CounterReply, Effects, Invocation, Log, Result
 from .context import SECOND, Context
 
 SILENT_AFTER_FAILURES = 3  # consecutive calls without an answer
@@ -46,11 +46,11 @@
             and (self.failures < SILENT_AFTER_FAILURES or now >= self.no_call_before)
         )
 
-    def add(self, name: int, amount: float, lifetime: int) -> Effects[Counted]:
+    def add(self, name: int, amount: float, lifetime: int) -> Effects[CounterReply]:
         """Add to a named counter that expires after `lifetime` microseconds; the reply's total is 0 if the
         call failed."""
         called_at = self.context.now
-        reply: Counted = yield Count(name, amount, lifetime)
+        reply: CounterReply = yield AddToCounter(name, amount, lifetime)
         if reply.result is Result.SUCCEEDED:
             if self.failures >= SILENT_AFTER_FAILURES:
                 yield Log("counter service answers again", None)
--- a/kestrelbend/gateway/decisions/delivery.py
+++ b/kestrelbend/gateway/decisions/delivery.py
@@ -76,17 +76,17 @@
     def _wait_until(self, inv: Invocation, answer_by: int) -> int | None:
         """Time in microseconds until which to wait for a credit; None if its turn is not expected by then."""
         interval = self.credits.answer_interval(inv.op, self.credits.capacity())
-        began = max([inv.arrived_at, *(d.sent_at + d.duration for d in inv.deliveries)])
-        until = min(answer_by, began + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
-        turn = self.credits.backlog.ahead_of(inv) + 1
-        return until if self.context.now + turn * interval <= until else None
+        wait_start = max([inv.arrived_at, *(d.sent_at + d.duration for d in inv.deliveries)])
+        until = min(answer_by, wait_start + int(MAX_WAIT_FRACTION * inv.op.objective) + interval)
+        position = self.credits.backlog.ahead_of(inv) + 1
+        return until if self.context.now + position * interval <= until else None
 
     def _cancel_in_flight(self, inv: Invocation) -> Effects[None]:
         for d in inv.deliveries:
             if d.result is None and self.context.settings.may_cancel and not inv.streaming:
                 yield Cancel(d)
 
-    def deliver(self, inv: Invocation, backend: BackendState, until: int) -> Effects[bool]:
+    def deliver(self, inv: Invocation, backend: BackendState, deadline: int) -> Effects[bool]:
         """Send to a backend, if all five rules allow it; the only place that sends.  Whether it was sent."""
         if not self.rules.may_send(inv, backend):
             return False
@@ -101,7 +101,7 @@
             self.pool.size = size
             self.credits.refill_pool()
         number, begin_by = len(inv.deliveries), self.rules.begin_by(inv)
-        delivery = Delivery(inv, backend, self.context.now, until, number, begin_by)
+        delivery = Delivery(inv, backend, self.context.now, deadline, number, begin_by)
         inv.deliveries.append(delivery)
         yield Deliver(delivery)
         return True
--- a/kestrelbend/gateway/decisions/ejection.py
+++ b/kestrelbend/gateway/decisions/ejection.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Effects, Invocation, Log, RepeatEffect, Result
+from ..interface import Effects, Idempotency, Invocation, Log, Result
 from ..routing.pool import Pool
 from .context import SECOND, Context
 from .credits import MIN_CREDITS, Credits
@@ -57,7 +57,7 @@
         credits and were ejected.  For operations that may not be repeated the whole rate counts.
         """
         rates = backend.failure_rates
-        common = min(rates.values(), default=0.0) if inv.op.effect is not RepeatEffect.NON_IDEMPOTENT else 0.0
+        common = min(rates.values(), default=0.0) if inv.op.effect is not Idempotency.NON_IDEMPOTENT else 0.0
         own = max(rates.get(inv.op, 0.0), rates.get(inv.customer.plan, 0.0))
         return max(0.0, min(MAX_OWN_RATE, own - common))
 
--- a/kestrelbend/gateway/decisions/quota.py
+++ b/kestrelbend/gateway/decisions/quota.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from ..interface import Counted, Effects, Invocation, Plan, Result, Spawn
+from ..interface import CounterReply, Effects, Invocation, Plan, Result, Spawn
 from ..keys import stable_hash
 from .context import SECOND, Context
 from .counter import CounterCalls
@@ -69,8 +69,8 @@
     def has_many_gateways(self, customer: CustomerState) -> bool:
         """Whether it reaches so many gateways that the latest total here is stale by its next invocation."""
         plan = customer.plan
-        store = plan.burst if plan.rate else MANY_GATEWAYS_CAP_FACTOR * plan.max_in_flight or math.inf
-        return customer.spread * self.mean_units > store
+        bucket_size = plan.burst if plan.rate else MANY_GATEWAYS_CAP_FACTOR * plan.max_in_flight or math.inf
+        return customer.spread * self.mean_units > bucket_size
 
     def shortage(self, customer: CustomerState, units: float) -> float:
         """Units missing to admit `units`, by the latest total; 0 or less if there are enough."""
@@ -116,7 +116,7 @@
             self._apply_total(customer, total, units, unreported)
 
     def _report_failed(
-        self, customer: CustomerState, reply: Counted, units: float, unreported: float, in_flight: int
+        self, customer: CustomerState, reply: CounterReply, units: float, unreported: float, in_flight: int
     ) -> None:
         if reply.result is Result.TIMED_OUT:  # assume it was counted; the next total will tell
             customer.total += units + unreported
--- a/kestrelbend/gateway/hosting.py
+++ b/kestrelbend/gateway/hosting.py
@@ -84,7 +84,7 @@
                 case i.Pause(until):
                     task.timer = self.set_timer(task, until)
                     return
-                case i.Count(name, amount, lifetime):
+                case i.AddToCounter(name, amount, lifetime):
                     self.pending_counter_calls[name].append(task)
                     self.count(name, amount, lifetime)
                     return
@@ -154,14 +154,14 @@
             task = self.pending_counter_calls[name].popleft()
             if not self.pending_counter_calls[name]:
                 del self.pending_counter_calls[name]
-            self.run(task, i.Counted(result, total))
+            self.run(task, i.CounterReply(result, total))
 
     def probed(
         self, backend: i.Backend, result: i.Result, duration: int, load: dict[str, float] | None
     ) -> None:
         """A probe ended after `duration` microseconds."""
         if self.pending_probes.get(backend):
-            self.run(self.pending_probes[backend].popleft(), i.Probed(result, duration, load))
+            self.run(self.pending_probes[backend].popleft(), i.ProbeReply(result, duration, load))
 
     def endpoints_listed(self, entries: Iterable[EndpointRow], complete: bool) -> None:
         """Discovery reported backends; `complete`: those not in `entries` no longer exist."""
--- a/kestrelbend/gateway/interface.py
+++ b/kestrelbend/gateway/interface.py
@@ -16,7 +16,7 @@
     from .decisions.state import BackendState, CustomerState
 
 
-class RepeatEffect(Enum):
+class Idempotency(Enum):
     """Whether an operation may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
@@ -63,7 +63,7 @@
     """A type of invocation, as configured."""
 
     name: str
-    effect: RepeatEffect
+    effect: Idempotency
     scope: TokenScope
     token_lifetime: int  # how long backends remember a token, from its first delivery
     objective: int  # latency target
@@ -76,8 +76,8 @@
     def repeats_anywhere(self) -> bool:
         """Whether a repeat may go to any backend, whatever the outcome of earlier attempts."""
         return (
-            self.effect is RepeatEffect.IDEMPOTENT
-            or self.effect is RepeatEffect.TOKENED
+            self.effect is Idempotency.IDEMPOTENT
+            or self.effect is Idempotency.TOKENED
             and self.scope is TokenScope.ALL
         )
 
@@ -202,8 +202,8 @@
 
 
 @dataclass(slots=True)
-class Count:
-    """Add to a named counter that expires after `lifetime` microseconds; resumed with a Counted."""
+class AddToCounter:
+    """Add to a named counter that expires after `lifetime` microseconds; resumed with a CounterReply."""
 
     name: int
     amount: float
@@ -211,8 +211,8 @@
 
 
 @dataclass(slots=True)
-class Counted:
-    """The reply to a `Count`: the counter's total after the addition."""
+class CounterReply:
+    """The reply to an `AddToCounter`: the counter's total after the addition."""
 
     result: Result
     total: float
@@ -220,13 +220,13 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Request a load report from a backend; resumed with a Probed."""
+    """Request a load report from a backend; resumed with a ProbeReply."""
 
     backend: Backend
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeReply:
     """The reply to a `Probe`; `load` is the backend's report, None if it sent none."""
 
     result: Result
@@ -265,7 +265,7 @@
 
 
 HostEffect: TypeAlias = (
-    Deliver | Cancel | Throttle | Fail | Pause | Count | Probe | Spawn | Wake | Subscribe | Log
+    Deliver | Cancel | Throttle | Fail | Pause | AddToCounter | Probe | Spawn | Wake | Subscribe | Log
 )
 """Everything that a generator of the decisions may yield."""
 
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from ..errors import GatewayError
-from ..interface import EndpointState, RepeatEffect
+from ..interface import EndpointState, Idempotency
 from .metrics import DescriptorLimits, counters
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
         """
         if self.d is None:
             return False
-        return self.answers.trust.is_slow or self.d.inv.op.effect is RepeatEffect.NON_IDEMPOTENT
+        return self.answers.trust.is_slow or self.d.inv.op.effect is Idempotency.NON_IDEMPOTENT
 
     def wanted(self) -> bool:
         """Whether its first byte may be written now.
--- a/kestrelbend/gateway/settings/model.py
+++ b/kestrelbend/gateway/settings/model.py
@@ -21,9 +21,9 @@
 MS = 1000  # microseconds
 S = 1_000_000  # microseconds
 EFFECTS = {
-    "idempotent": interface.RepeatEffect.IDEMPOTENT,
-    "tokened": interface.RepeatEffect.TOKENED,
-    "non-idempotent": interface.RepeatEffect.NON_IDEMPOTENT,
+    "idempotent": interface.Idempotency.IDEMPOTENT,
+    "tokened": interface.Idempotency.TOKENED,
+    "non-idempotent": interface.Idempotency.NON_IDEMPOTENT,
 }
 SCOPES = {
     "all": interface.TokenScope.ALL,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from kestrelbend.gateway.decisions import CustomerState
-from kestrelbend.gateway.interface import RepeatEffect, Invocation, Result, TokenScope, EndpointState
+from kestrelbend.gateway.interface import Idempotency, Invocation, Result, TokenScope, EndpointState
 from kestrelbend.gateway.keys import stable_hash
 
 from .helpers import MS, Front
@@ -51,9 +51,9 @@
             return False
         if not s["second_copies"] and any(d.result is None for d in inv.deliveries):
             return False
-        if ran and op.effect is RepeatEffect.NON_IDEMPOTENT:
+        if ran and op.effect is Idempotency.NON_IDEMPOTENT:
             return False
-        if ran and op.effect is RepeatEffect.TOKENED:
+        if ran and op.effect is Idempotency.TOKENED:
             if any(now >= d.sent_at + op.token_lifetime - s["tick"] for d in ran):
                 return False
             if op.scope is TokenScope.ZONE and any(d.backend.zone != candidate.zone for d in ran):
