--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -1,6 +1,6 @@
-"""Stories of gateways that lose contact, in the fleet in memory: readiness, and what turns are answered.
+"""Tests of gateways that lose contact, in the in-memory fleet: readiness, and the results of turns.
 
-The rules are watched throughout, see `kestrelbend/tier/fleet/watch.py`.
+The fleet's safety rules are checked throughout, see `kestrelbend/tier/fleet/watch.py`.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from kestrelbend.tier.fleet.faults import owner_machine
 from tests.tier.fleet_story import FleetStory
 
-CUT_S = 20.0
+PARTITION_S = 20.0
 UNREADY_WITHIN_S = 2.0
-ANSWER_S = 0.3
+MAX_ANSWER_S = 0.3
 READY_AGAIN_S = 3.0
-LOOK_S = 0.05
-MOST = 16
+POLL_INTERVAL_S = 0.05
+MAX_TOKENS = 16
 
 
 @attrs.define
-class Answer:
-    """A turn's answer by one gateway."""
+class TurnResult:
+    """The result of a turn that was requested from a gateway."""
 
     requested_at: float
     seconds: float
@@ -32,15 +32,18 @@
 
 
 class Observer:
-    """Notes the readiness of every gateway, and asks one of them for turns."""
+    """Records the readiness of every gateway and requests turns from one of them."""
 
-    def __init__(self, world, asked) -> None:
+    def __init__(self, world, gateway_process) -> None:
         self.world = world
-        self.asked = asked  # a gateway's process
-        self.answers: list[Answer] = []
+        self.gateway_process = gateway_process  # the process that turns are requested from
+        self.results: list[TurnResult] = []
         self.ready: list[tuple[float, dict[str, bool]]] = []
         self.may_refuse: list[tuple[float, bool]] = []
-        self._tasks = [asyncio.create_task(self._look()), asyncio.create_task(self._ask())]
+        self._tasks = [
+            asyncio.create_task(self._record_readiness()),
+            asyncio.create_task(self._request_turns()),
+        ]
 
     def stop(self) -> None:
         for task in self._tasks:
@@ -49,43 +52,45 @@
     def ready_times(self, name: str, value: bool) -> list[float]:
         return [now for now, ready in self.ready if ready.get(name) is value]
 
-    async def _look(self) -> None:
+    async def _record_readiness(self) -> None:
         while True:
             now = self.world.fleet.now()
             gateways = self.world.fleet.processes("gateway")
-            self.ready.append((now, {one.name: one.instance.lifecycle.ready for one in gateways}))
-            if self.asked.instance is not None:
-                self.may_refuse.append((now, self.asked.instance.may_refuse()))
-            await asyncio.sleep(LOOK_S)
+            self.ready.append((now, {process.name: process.instance.lifecycle.ready for process in gateways}))
+            if self.gateway_process.instance is not None:
+                self.may_refuse.append((now, self.gateway_process.instance.may_refuse()))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _ask(self) -> None:
+    async def _request_turns(self) -> None:
         number = 0
         loop = self.world.fleet.loop
         while True:
             number += 1
-            if self.asked.instance is not None:
-                coroutine = self._turn(self.asked.instance, number)
-                loop.call_soon(_begin, loop, coroutine, context=self.asked.execution.context)
+            if self.gateway_process.instance is not None:
+                coroutine = self._turn(self.gateway_process.instance, number)
+                loop.call_soon(_create_task, loop, coroutine, context=self.gateway_process.execution.context)
             await asyncio.sleep(0.1)
 
     async def _turn(self, gateway, number: int) -> None:
         program, name = f"observed-{number}", f"observed-turn-{number}"
         requested_at = self.world.fleet.now()
-        outcome = await gateway.budgets.reserve("model", Reserve(program, "s", name, 1, MOST, 1000, True))
+        outcome = await gateway.budgets.reserve(
+            "model", Reserve(program, "s", name, 1, MAX_TOKENS, 1000, True)
+        )
         verdict = Verdict(outcome.verdict)
-        self.answers.append(Answer(requested_at, self.world.fleet.now() - requested_at, verdict))
+        self.results.append(TurnResult(requested_at, self.world.fleet.now() - requested_at, verdict))
         if verdict is Verdict.ADMITTED:
-            gateway.budgets.settle("model", Settlement(program, name, MOST, int(TurnEnd.COMPLETE)))
+            gateway.budgets.settle("model", Settlement(program, name, MAX_TOKENS, int(TurnEnd.COMPLETE)))
 
 
-def _begin(loop, coroutine) -> None:
+def _create_task(loop, coroutine) -> None:
     loop.create_task(coroutine)
 
 
-class ContactStory(FleetStory):
-    """Given a running tier, when a machine is cut off, then its gateway says so, and comes back."""
+class PartitionTestCase(FleetStory):
+    """Checks that the gateway of a partitioned machine becomes unready, and ready again afterwards."""
 
-    def cut_off(self, one_way, size=None, seeds=(1, 2), machine_of=owner_machine):
+    def run_partition(self, one_way, size=None, seeds=(1, 2), machine_of=owner_machine):
         async def story(world):
             fleet = world.fleet
             machine = machine_of(world)
@@ -93,96 +98,103 @@
             gateway = machine.processes["gateway"]
             observer = Observer(world, gateway)
             await asyncio.sleep(1.0)
-            cut_at = fleet.now()
+            partitioned_at = fleet.now()
             fleet.partition(machine, others, one_way)
-            await asyncio.sleep(CUT_S)
-            joined_at = fleet.now()
+            await asyncio.sleep(PARTITION_S)
+            healed_at = fleet.now()
             fleet.heal(machine, others)
             await asyncio.sleep(READY_AGAIN_S + 1.0)
             observer.stop()
-            self.check_unready(observer, gateway.name, cut_at, joined_at)
-            self.check_answers(observer, cut_at, joined_at)
-            self.check_others(observer, gateway.name, cut_at)
+            self.check_unready(observer, gateway.name, partitioned_at, healed_at)
+            self.check_results(observer, partitioned_at, healed_at)
+            self.check_others(observer, gateway.name, partitioned_at)
 
         self.tell(story, seeds, size)
 
-    def check_unready(self, observer, name, cut_at, joined_at):
+    def check_unready(self, observer, name, partitioned_at, healed_at):
         ready = observer.ready_times(name, True)
-        held = [now for now in ready if cut_at + UNREADY_WITHIN_S <= now <= joined_at]
-        self.assertEqual([], held, "ready while cut off")
-        self.assertTrue(any(cut_at - 0.2 <= now < cut_at for now in ready), "ready before the cut")
-        late = [now for now in observer.ready_times(name, False) if now > joined_at + READY_AGAIN_S]
+        while_partitioned = [now for now in ready if partitioned_at + UNREADY_WITHIN_S <= now <= healed_at]
+        self.assertEqual([], while_partitioned, "ready during the partition")
+        self.assertTrue(
+            any(partitioned_at - 0.2 <= now < partitioned_at for now in ready),
+            "not ready before the partition",
+        )
+        late = [now for now in observer.ready_times(name, False) if now > healed_at + READY_AGAIN_S]
         self.assertEqual([], late, "not ready again")
         refusing = [now for now, may in observer.may_refuse if may]
-        self.assertEqual([], [now for now in refusing if cut_at + UNREADY_WITHIN_S <= now <= joined_at])
-        self.assertTrue(any(now > joined_at + READY_AGAIN_S for now in refusing), "never confirmed again")
-
-    def check_answers(self, observer, cut_at, joined_at):
-        cut = [
-            one for one in observer.answers if cut_at + UNREADY_WITHIN_S <= one.requested_at <= joined_at - 2
+        self.assertEqual(
+            [], [now for now in refusing if partitioned_at + UNREADY_WITHIN_S <= now <= healed_at]
+        )
+        self.assertTrue(any(now > healed_at + READY_AGAIN_S for now in refusing), "never confirmed again")
+
+    def check_results(self, observer, partitioned_at, healed_at):
+        during_partition = [
+            result
+            for result in observer.results
+            if partitioned_at + UNREADY_WITHIN_S <= result.requested_at <= healed_at - 2
         ]
-        self.assertGreater(len(cut), 100)
-        self.assertEqual({Verdict.NO_ANSWER}, {one.verdict for one in cut})
-        self.assertLess(max(one.seconds for one in cut), ANSWER_S)
-        after = [one for one in observer.answers if one.requested_at > joined_at + READY_AGAIN_S]
-        self.assertEqual({Verdict.ADMITTED}, {one.verdict for one in after})
-
-    def check_others(self, observer, name, cut_at):
-        """An owner's loss alone makes no other gateway unready."""
+        self.assertGreater(len(during_partition), 100)
+        self.assertEqual({Verdict.NO_ANSWER}, {result.verdict for result in during_partition})
+        self.assertLess(max(result.seconds for result in during_partition), MAX_ANSWER_S)
+        after = [result for result in observer.results if result.requested_at > healed_at + READY_AGAIN_S]
+        self.assertEqual({Verdict.ADMITTED}, {result.verdict for result in after})
+
+    def check_others(self, observer, name, partitioned_at):
+        """No other gateway becomes unready, even if the machine held a shard's owner."""
         for now, ready in observer.ready:
-            if now > cut_at:
-                unready = [one for one, is_ready in ready.items() if one != name and not is_ready]
-                self.assertEqual([], unready, f"at {now}, cut at {cut_at}")
+            if now > partitioned_at:
+                unready = [other for other, is_ready in ready.items() if other != name and not is_ready]
+                self.assertEqual([], unready, f"at {now}, partitioned at {partitioned_at}")
 
 
-class TestCutOff(ContactStory):
-    def test_a_core_machine_is_cut_off_both_ways(self):
-        self.cut_off(one_way=False)
+class TestCutOff(PartitionTestCase):
+    def test_gateway_of_a_core_machine_is_unready_while_partitioned_both_ways(self):
+        self.run_partition(one_way=False)
 
-    def test_a_core_machine_hears_the_others_and_is_not_heard(self):
-        self.cut_off(one_way=True)
+    def test_gateway_of_a_core_machine_is_unready_while_its_outgoing_packets_are_lost(self):
+        self.run_partition(one_way=True)
 
-    def test_a_core_machine_that_keeps_budgets_is_cut_off(self):
-        self.cut_off(one_way=False, size=Size(control=3, stores=0, gateways=2))
+    def test_gateway_of_a_core_machine_with_budget_shards_is_unready_while_partitioned(self):
+        self.run_partition(one_way=False, size=Size(control=3, stores=0, gateways=2))
 
-    def test_a_gateway_without_a_disk_is_cut_off(self):
-        def plain(world):
+    def test_gateway_without_a_disk_is_unready_while_partitioned(self):
+        def gateway_without_disk(world):
             return next(m for m in world.fleet.machines.values() if set(m.processes) == {"gateway"})
 
-        self.cut_off(one_way=False, machine_of=plain, seeds=(1,))
+        self.run_partition(one_way=False, machine_of=gateway_without_disk, seeds=(1,))
 
 
-class TestRefusals(FleetStory):
-    """What requests on no route are answered: 404 only where the configuration was confirmed lately."""
+class TestUnknownRoutes(FleetStory):
+    """Requests on unknown routes get 404 only if the configuration was confirmed recently."""
 
-    def refused(self, one_way):
+    def check_unknown_route(self, one_way):
         async def story(world):
             fleet = world.fleet
             machine = owner_machine(world)
             others = [other for other in fleet.machines.values() if other is not machine]
             front = machine.processes["gateway"].instance.settings.listen_clients
 
-            async def ask():
+            async def request_status():
                 reply = await fleet.http.call(front, "GET", "/no/such/route/")
                 return reply.status
 
-            before = await ask()
+            before = await request_status()
             fleet.partition(machine, others, one_way)
             await asyncio.sleep(UNREADY_WITHIN_S)
-            during = [await ask() for _ in range(50)]
+            during = [await request_status() for _ in range(50)]
             fleet.heal(machine, others)
             await asyncio.sleep(READY_AGAIN_S)
-            self.assertEqual((404, {503}, 404), (before, set(during), await ask()))
+            self.assertEqual((404, {503}, 404), (before, set(during), await request_status()))
 
         return story
 
-    def test_a_cut_off_gateway_refuses_no_route(self):
-        self.tell(self.refused(one_way=False), seeds=(1, 2))
+    def test_partitioned_gateway_replies_503_and_not_404_on_unknown_routes(self):
+        self.tell(self.check_unknown_route(one_way=False), seeds=(1, 2))
 
-    def test_a_gateway_that_hears_and_is_not_heard_refuses_no_route(self):
-        self.tell(self.refused(one_way=True), seeds=(1, 2))
+    def test_gateway_whose_outgoing_packets_are_lost_replies_503_and_not_404_on_unknown_routes(self):
+        self.tell(self.check_unknown_route(one_way=True), seeds=(1, 2))
 
-    def test_a_gateway_started_beside_a_cut_off_control_node_refuses_no_route_and_is_not_ready(self):
+    def test_gateway_started_beside_a_partitioned_control_node_is_unready_and_never_replies_404(self):
         async def story(world):
             fleet = world.fleet
             machine = owner_machine(world)
@@ -209,27 +221,27 @@
 
 
 class TestElections(FleetStory):
-    def lose_owner(self, shard):
+    def check_owner_loss(self, shard):
         async def story(world):
             fleet = world.fleet
             machine = owner_machine(world, shard)
-            asked = next(g for g in fleet.processes("gateway") if g.machine is not machine)
-            observer = Observer(world, asked)
+            gateway_process = next(g for g in fleet.processes("gateway") if g.machine is not machine)
+            observer = Observer(world, gateway_process)
             await asyncio.sleep(1.0)
             lost_at = fleet.now()
             fleet.lose_power(machine)
             await asyncio.sleep(3.0)
             observer.stop()
             fleet.start(machine)
-            unready = [now for now in observer.ready_times(asked.name, False) if now > lost_at]
+            unready = [now for now in observer.ready_times(gateway_process.name, False) if now > lost_at]
             self.assertEqual([], unready)
-            silent = [one for one in observer.answers if one.verdict is Verdict.NO_ANSWER]
-            self.assertEqual([], silent, "refused, though an owner came")
+            unanswered = [result for result in observer.results if result.verdict is Verdict.NO_ANSWER]
+            self.assertEqual([], unanswered, "turns failed although a new owner was elected")
 
         return story
 
-    def test_an_owner_of_budgets_loses_power_and_turns_wait_for_the_next(self):
-        self.tell(self.lose_owner("budget-1"), seeds=(1, 2, 3))
+    def test_turns_wait_for_the_next_owner_when_an_owner_of_budgets_loses_power(self):
+        self.tell(self.check_owner_loss("budget-1"), seeds=(1, 2, 3))
 
-    def test_the_owner_of_the_configuration_loses_power_and_gateways_stay_ready(self):
-        self.tell(self.lose_owner("configuration"), seeds=(1, 2, 3))
+    def test_gateways_stay_ready_when_the_owner_of_the_configuration_loses_power(self):
+        self.tell(self.check_owner_loss("configuration"), seeds=(1, 2, 3))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -77,7 +77,8 @@
     "instance": "test_dataplane_requests.ForwardingTest"
     ".test_method_path_query_body_and_headers_are_forwarded_unchanged",
     "answer-id": "test_guards.TestAnswers.test_an_answer_that_names_no_request_or_two_is_given_to_nobody",
-    "gateway-refusal": "test_gateway_contact_stories.TestCutOff.test_a_gateway_without_a_disk_is_cut_off",
+    "gateway-refusal": "test_gateway_contact_stories.TestCutOff"
+    ".test_gateway_without_a_disk_is_unready_while_partitioned",
     "version-order": "test_guards.TestVersions.test_an_older_version_is_not_put_in_force",
     "overtaken": "test_snapshots.LargeEntryTest.test_a_large_entry_is_sent_once_and_heartbeats_continue",
     "snapshot-digest": "test_snapshots.SnapshotReceiverTest"
@@ -110,10 +111,10 @@
     "checked-base": "test_guards.TestCheckedEntries.test_one_whose_base_may_become_current_is_not_refused",
     "call-refusals": "test_configuration_operator_api.OperatorApiTest"
     ".test_given_any_outcome_of_an_order_then_it_is_refused_only_as_the_table_allows",
-    "newest-refuses": "test_gateway_contact.ContactTest"
-    ".test_given_a_newer_version_was_confirmed_when_an_older_is_in_force_then_it_refuses_nothing",
-    "elsewhere": "test_gateway_contact.ContactTest"
-    ".test_given_a_cut_when_nobody_elsewhere_answers_then_it_is_lost_within_a_second",
+    "newest-refuses": "test_gateway_contact.GatewayContactTest"
+    ".test_version_older_than_the_confirmed_one_may_not_refuse",
+    "elsewhere": "test_gateway_contact.GatewayContactTest"
+    ".test_gateway_without_replies_from_other_machines_loses_contact_within_a_second",
     "forgotten-name": "test_budgets_repeats.NamesTest"
     ".test_given_a_settlement_when_it_comes_again_past_the_bound_then_its_tokens_count_once",
     "budget-room": "test_budgets_table.BoundsTest"
--- a/tests/tier/test_status.py
+++ b/tests/tier/test_status.py
@@ -1,4 +1,4 @@
-"""What a control process tells of the tier, and how `kestrelbend status` prints it."""
+"""Tests of a control process's status response, and of its output by `kestrelbend status`."""
 
 import contextlib
 import http.server
@@ -37,7 +37,7 @@
 
 
 class StatusTest(testtools.TestCase):
-    """Three stores, a gateway, one shard."""
+    """A tier of three stores and a gateway, with one shard."""
 
     def setUp(self):
         super().setUp()
@@ -50,12 +50,12 @@
         self.table.record_heartbeat(heartbeat(4, 0, role="gateway", version=7), NOW)
 
     def status(self, now=NOW):
-        wanted = DesiredShards(self.placements, self.retiring)
-        answer = status(member(1), True, 7, self.table, wanted, self.backends, now)
+        desired = DesiredShards(self.placements, self.retiring)
+        answer = status(member(1), True, 7, self.table, desired, self.backends, now)
         return json.loads(json.dumps(answer))
 
     def printed(self, answer, *words):
-        """(exit code, output) of the command, asking a server that tells this."""
+        """Returns exit code and output of the command for a server that sends this response."""
 
         class Handler(http.server.BaseHTTPRequestHandler):
             def do_GET(self):
@@ -71,71 +71,71 @@
         self.addCleanup(server.server_close)
         answering = threading.Thread(target=server.handle_request)
         answering.start()
-        said = io.StringIO()
-        with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
             code = run(["status", f"127.0.0.1:{server.server_port}", *words], serve)
         answering.join()
-        return code, said.getvalue()
+        return code, output.getvalue()
 
-    def test_given_a_calm_tier_then_roles_shards_lag_and_backends_are_listed(self):
+    def test_status_lists_processes_shards_lag_and_backends(self):
         answer = self.status()
         self.assertEqual(["store", "store", "store", "gateway"], [row["Role"] for row in answer["Processes"]])
         shard = answer["Shards"][0]
         self.assertEqual((4, VOTERS[0], list(VOTERS)), (shard["Epoch"], shard["Owner"], shard["Voters"]))
         self.assertEqual([0, 10, 0], [replica["Lag"] for replica in shard["Replicas"]])
         self.assertEqual({"chat": {"Ready": 1, "Draining": 0, "Gone": 0}}, answer["Backends"])
-        code, said = self.printed(answer)
+        code, output = self.printed(answer)
         self.assertEqual(0, code)
         for part in ("store-1,store-2,store-3", "0,10,0", "gateway-4", "nothing to look at"):
-            self.assertIn(part, said)
+            self.assertIn(part, output)
 
-    def test_given_the_word_json_then_the_answer_is_printed_whole(self):
+    def test_json_option_prints_the_complete_response(self):
         answer = self.status()
-        code, said = self.printed(answer, "--json")
-        self.assertEqual((0, answer), (code, json.loads(said)))
+        code, output = self.printed(answer, "--json")
+        self.assertEqual((0, answer), (code, json.loads(output)))
 
-    def test_given_an_unresponsive_owner_then_it_is_remarked_with_how_long(self):
+    def test_unresponsive_owner_is_reported_with_its_heartbeat_age(self):
         for number in (2, 3):
             self.table.record_heartbeat(
                 Heartbeat(member(number), 2, 0, False, heartbeat(number, 5000).shards), NOW + 9
             )
-        said = self.printed(self.status(NOW + 9))[1]
-        self.assertIn("budget-0: no live owner", said)
-        self.assertIn("store on store-1: silent for 9.0 s", said)
+        output = self.printed(self.status(NOW + 9))[1]
+        self.assertIn("budget-0: no live owner", output)
+        self.assertIn("store on store-1: silent for 9.0 s", output)
 
-    def test_given_a_later_epoch_then_its_owner_and_its_commands_count(self):
+    def test_report_of_the_latest_epoch_determines_owner_and_lag(self):
         later = ShardReport("budget-0", VOTERS[2], 5, VOTERS[2], VOTERS, 7000, 7000)
         self.table.record_heartbeat(Heartbeat(member(3), 2, 0, False, (later,)), NOW)
         shard = self.status()["Shards"][0]
         self.assertEqual((5, VOTERS[2], 7000), (shard["Epoch"], shard["Owner"], shard["CommitIndex"]))
         self.assertIn("voter on store-2 lags by 2010 commands", self.printed(self.status())[1])
 
-    def test_given_a_move_and_an_emptied_node_then_both_are_remarked(self):
-        moved = (*VOTERS[:2], "10.0.0.9:70#d")
-        self.placements = (ShardPlacement("budget-0", VOTERS, moved),)
+    def test_placement_change_and_retiring_node_are_reported(self):
+        new_voters = (*VOTERS[:2], "10.0.0.9:70#d")
+        self.placements = (ShardPlacement("budget-0", VOTERS, new_voters),)
         self.retiring = ("store-3",)
-        said = self.printed(self.status())[1]
-        self.assertIn("budget-0: moves to store-1, store-2, 10.0.0.9:70#d", said)
-        self.assertIn("store-3: being emptied, still holds budget-0", said)
+        output = self.printed(self.status())[1]
+        self.assertIn("budget-0: moves to store-1, store-2, 10.0.0.9:70#d", output)
+        self.assertIn("store-3: being emptied, still holds budget-0", output)
 
-    def test_given_an_old_version_or_no_ready_backend_then_they_are_remarked(self):
+    def test_old_configuration_version_and_missing_ready_backend_are_reported(self):
         self.table.record_heartbeat(Heartbeat(member(4, "gateway"), 2, 6, False, ()), NOW)
         self.backends = [backend("i", BackendState.DEPARTED), backend("ii", BackendState.DRAINING)]
-        said = self.printed(self.status())[1]
-        self.assertIn("gateway on gateway-4: still serves by version 6", said)
-        self.assertIn("service chat: no ready backend", said)
+        output = self.printed(self.status())[1]
+        self.assertIn("gateway on gateway-4: still serves by version 6", output)
+        self.assertIn("service chat: no ready backend", output)
 
-    def test_given_a_shard_that_nobody_reports_then_it_is_listed_as_placed(self):
+    def test_placed_shard_without_reports_is_listed_without_an_owner(self):
         self.placements = (*self.placements, ShardPlacement("budget-1", VOTERS, VOTERS))
         shard = self.status()["Shards"][1]
         self.assertEqual(("budget-1", "", []), (shard["Shard"], shard["Owner"], shard["Replicas"]))
         self.assertIn("budget-1: no live owner", self.printed(self.status())[1])
 
-    def test_given_no_process_or_another_one_then_the_command_fails_in_one_line(self):
-        said = io.StringIO()
-        with contextlib.redirect_stderr(said):
+    def test_command_fails_with_one_line_if_no_control_process_answers(self):
+        output = io.StringIO()
+        with contextlib.redirect_stderr(output):
             self.assertEqual(1, run(["status", "127.0.0.1:9"], serve))
-        self.assertIn("is it the operator's address of a control process?", said.getvalue())
+        self.assertIn("is it the operator's address of a control process?", output.getvalue())
         for other in ({"Node": "x"}, [], None):
             code, text = self.printed(other)
             self.assertEqual((1, 1), (code, len(text.splitlines())))
