--- a/kestrelbend/tier/replication/election.py
+++ b/kestrelbend/tier/replication/election.py
@@ -141,9 +141,7 @@
         return True
 
     def handle_completed_writes(self, now: float) -> bool:
-        """Handles completed writes; returns True if the replica's own vote is durable now and makes it the
-        leader.
-        """
+        """Returns True if this replica's vote for itself has become durable and makes it the leader."""
         if not self._vote_pending or not self._state.hard_state_durable:
             return False
         self._vote_pending = False
--- a/kestrelbend/tier/replication/follower.py
+++ b/kestrelbend/tier/replication/follower.py
@@ -104,9 +104,7 @@
         self._reply(True, self._match_index, self._round)
 
     def _reject(self, message: AppendEntries) -> None:
-        """Rejects the message with the index to continue after: before the conflicting term, or the log's
-        end.
-        """
+        """Rejects the message; the hint precedes the conflicting term, or is the end of this log."""
         hint = min(message.previous_index - 1, self._log.last_index)
         if self._log.term_at(message.previous_index) is not None:
             hint = self._log.first_index_of_term_at(message.previous_index) - 1
--- a/kestrelbend/tier/replication/leader.py
+++ b/kestrelbend/tier/replication/leader.py
@@ -182,8 +182,7 @@
             progress.snapshot_sender = None
 
     def advance_commit(self) -> bool:
-        """Commits what is durable at a majority, if that includes an entry of this term; whether any entry
-        was.
+        """Commits what is durable at a majority; returns whether the commit index advanced.
 
         Entries of older terms are committed only together with one of this term (Ongaro 2014, 3.6.2).
         """
--- a/kestrelbend/tier/replication/log.py
+++ b/kestrelbend/tier/replication/log.py
@@ -34,8 +34,9 @@
 
 
 class ReplicaLog:
-    """Holds the entries `base_index + 1` to `last_index`; earlier entries are covered by `snapshot`, which
-    may also cover some of those held.
+    """The entries `base_index + 1` to `last_index`, and the latest snapshot.
+
+    The snapshot covers all earlier entries, and possibly some of those held.
     """
 
     def __init__(self, durable: DurableState) -> None:
--- a/kestrelbend/tier/replication/messages.py
+++ b/kestrelbend/tier/replication/messages.py
@@ -37,9 +37,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state machine's state after the entry `index`, with the voters and the placement number at that
-    entry.
-    """
+    """The state machine's state after the entry `index`, and the voters and placement number as of it."""
 
     index: int = 0
     term: int = 0
@@ -50,9 +48,7 @@
 
 @attrs.frozen
 class RequestVote:
-    """A candidate's request for a vote in `term`; with `pre_vote`, granting it has no effect on the voter's
-    state.
-    """
+    """A candidate's request for a vote in `term`; granting a `pre_vote` doesn't change the voter's state."""
 
     shard: ShardId
     sender: ReplicaId
@@ -75,9 +71,7 @@
 
 @attrs.frozen
 class AppendEntries:
-    """Entries that follow `previous_index`, and the leader's commit index; a heartbeat where `entries` is
-    empty.
-    """
+    """The entries that follow `previous_index`, and the commit index; without entries, a heartbeat."""
 
     shard: ShardId
     sender: ReplicaId
@@ -91,9 +85,7 @@
 
 @attrs.frozen
 class AppendReply:
-    """`match_index`: durable at the follower where accepted, else the index after which the leader should
-    continue.
-    """
+    """`match_index` is durable if accepted; else it is the index after which the leader should continue."""
 
     shard: ShardId
     sender: ReplicaId
--- a/kestrelbend/tier/replication/replica.py
+++ b/kestrelbend/tier/replication/replica.py
@@ -213,7 +213,7 @@
         return leader_state.append(EntryKind.COMMAND, command)
 
     def confirm_read(self, now: float) -> int | None:
-        """Begins a read index operation (Ongaro 2014, section 6.4); returns its ticket, or None at a non-
+        """Begins a read index operation (Ongaro 2014, section 6.4); returns its ticket, or None if not
         leader.
 
         The ticket is among `confirmed_reads` once it is certain that no later leader had committed
@@ -229,9 +229,7 @@
         return ticket
 
     def enable_read_index_polling(self) -> None:
-        """Requests the read index of the leader periodically from now on; a follower is never confirmed
-        otherwise.
-        """
+        """Polls the leader's read index from now on; a follower that doesn't is never confirmed."""
         self._roles.polls_read_index = True
 
     def set_learners(self, identities: tuple[ReplicaId, ...]) -> None:
@@ -284,9 +282,7 @@
             self._placement.update_followers(self._roles.leader_state, self._now)
 
     def _advance_clock(self, now: float) -> None:
-        """Advances the clock; after a pause of the process, the replica discards its view of the other
-        replicas.
-        """
+        """Advances the clock; after a pause, the replica discards what it knew of other replicas."""
         was_paused = now - self._now > self._timing.election_timeout
         self._now = now
         if was_paused:
--- a/tests/tier/test_replication_placement.py
+++ b/tests/tier/test_replication_placement.py
@@ -290,9 +290,7 @@
 
 
 class TestStableGroup(PlacementTestCase):
-    """A leader reports a stable group if no change is pending and every live voter holds all that is
-    committed.
-    """
+    """A group is stable if no change is pending and every live voter holds all that is committed."""
 
     def test_given_an_uncommitted_change_then_the_previous_group_is_reported_and_it_is_not_stable(self):
         cluster = self.start_cluster("abc", others="x")
--- a/tests/tier/test_snapshot_durability.py
+++ b/tests/tier/test_snapshot_durability.py
@@ -172,7 +172,7 @@
                 cluster.run_until(lambda each=cluster: each.committed(b"after the loss"), 5.0),
                 share,
             )
-            self.assertTrue(cluster.run_until(lambda simulated=cluster: is_caught_up(simulated), 1.0), share)
+            self.assertTrue(cluster.run_until(lambda running=cluster: is_caught_up(running), 1.0), share)
             self.assertEqual("b", cluster.leader().name)
 
     def test_a_replica_that_lost_an_installed_snapshot_in_a_power_loss_is_not_elected(self):
@@ -217,4 +217,4 @@
             cluster.start("c")
             self.assertTrue(cluster.run_until(cluster.leader, 3.0))
             self.assertEqual("b", cluster.leader().name)
-            self.assertTrue(cluster.run_until(lambda simulated=cluster: is_caught_up(simulated), 3.0))
+            self.assertTrue(cluster.run_until(lambda running=cluster: is_caught_up(running), 3.0))
--- a/tests/tier/test_snapshot_fleet.py
+++ b/tests/tier/test_snapshot_fleet.py
@@ -114,9 +114,7 @@
 
 
 def max_silence(machine, now):
-    """The longest time without a leader's message, of the machine's replicas that had contact in this
-    incarnation.
-    """
+    """The longest time without a leader's message, of the replicas that had one in this incarnation."""
     process = machine.processes["store"]
     if process.instance is None:
         return 0.0
