--- a/kestrelbend/gateway/decisions/quota.py
+++ b/kestrelbend/gateway/decisions/quota.py
@@ -118,7 +118,7 @@
     def _report_failed(
         self, customer: CustomerState, reply: CounterReply, units: float, unreported: float, in_flight: int
     ) -> None:
-        if reply.result is Result.TIMED_OUT:  # assume it was counted; the next total will tell
+        if reply.result is Result.TIMED_OUT:  # assume it was counted; the next total shows whether it was
             customer.total += units + unreported
             self.count_locally(customer, units, 0)
         else:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,9 +40,8 @@
     pairs = set()
     for step in range(rate_per_s * seconds):
         now = started + step * 1000 * MS // rate_per_s
-        for f in fronts[
-            step % max(1, gateways // 20) :: max(1, gateways // 20)
-        ]:  # run due timers of some gateways
+        # Run due timers of some gateways.
+        for f in fronts[step % max(1, gateways // 20) :: max(1, gateways // 20)]:
             f.now = f.gateway.now = now
             f.pass_time(0)
         f = rng.choice(fronts)
