--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -81,8 +81,8 @@
     def _remaining_without(self, node: str, now: float) -> set[str]:
         """Returns the other nodes that can hold replicas, now or after a short fault."""
         stores = self._configuration.state.stores
-        heard = self._members.members(now, within=SHORT_FAULT_S)
-        remaining = {member.node for member in heard if member.replica}
+        recent_members = self._members.members(now, within=SHORT_FAULT_S)
+        remaining = {member.node for member in recent_members if member.replica}
         if self._owned_for(now) < SHORT_FAULT_S:
             remaining.update(disk.node for disk in stores.disks)
         return remaining - {*stores.retiring, node}
--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -143,7 +143,7 @@
         """No other gateway becomes unready, even if the machine held a shard's owner."""
         for now, ready in observer.ready:
             if now > partitioned_at:
-                unready = [other for other, is_ready in ready.items() if other != name and not is_ready]
+                unready = [gateway for gateway, is_ready in ready.items() if gateway != name and not is_ready]
                 self.assertEqual([], unready, f"at {now}, partitioned at {partitioned_at}")
 
 
