--- a/tests/tier/memory_disk.py
+++ b/tests/tier/memory_disk.py
@@ -115,7 +115,10 @@
             contents = [file.possible_contents() for file in directory.values()]
             for remaining in itertools.product(*contents):
                 yield MemoryDisk(
-                    {name: _File(content) for name, content in zip(directory, remaining, strict=True)}
+                    {
+                        name: _File(file_content)
+                        for name, file_content in zip(directory, remaining, strict=True)
+                    }
                 )
 
     def _change(self, change: _Change) -> None:
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -70,7 +70,7 @@
     "emptied": "test_configuration_state.EmptyingTest"
     ".test_given_an_order_and_nothing_heard_then_the_state_is_running",
     "emptied-identity": "test_storage_journal.DataDirectoryTest"
-    ".test_given_an_emptied_disk_when_started_then_it_is_another_and_stays_so",
+    ".test_emptied_disk_gets_a_new_identity_and_keeps_it",
     "reservation-first": "test_dataplane_streams.TurnBudgetTest.test_spent_budget_gives_402_without_a_send",
     "reservation-name": "test_budgets_table.BudgetTest"
     ".test_given_an_outcome_when_the_command_is_repeated_then_it_is_the_same_and_adds_nothing",
