--- a/tests/tier/test_gateway_contact_stories.py
+++ b/tests/tier/test_gateway_contact_stories.py
@@ -143,7 +143,11 @@
         """No other gateway becomes unready, even if the machine held a shard's owner."""
         for now, ready in observer.ready:
             if now > partitioned_at:
-                unready = [gateway for gateway, is_ready in ready.items() if gateway != name and not is_ready]
+                unready = [
+                    other_name
+                    for other_name, is_ready in ready.items()
+                    if other_name != name and not is_ready
+                ]
                 self.assertEqual([], unready, f"at {now}, partitioned at {partitioned_at}")
 
 
