--- a/kestrelbend/tier/model/node.py
+++ b/kestrelbend/tier/model/node.py
@@ -36,14 +36,10 @@
         self.applied_index = 0
         self.commands: list[bytes] = []
         self.committed_at_read: dict[int, int] = {}  # history length at the request, by ticket of the read
-        self.last_contacts: dict[
-            ReplicaId, float
-        ] = {}  # send time of the last message by sender, on this clock
+        self.last_contacts: dict[ReplicaId, float] = {}  # last send time by sender, on this node's clock
         self.leader_since = NEVER
         self.resumed_at = NEVER  # when the process last resumed after a pause
-        self.committed_lengths: list[
-            tuple[float, int]
-        ] = []  # times on this clock, each with the history length
+        self.committed_lengths: list[tuple[float, int]] = []  # time on this clock, and history length
 
     @property
     def is_started(self) -> bool:
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -253,7 +253,7 @@
 
 def search_orders(name: str, faults: int, partition: Partition = FULL_SEARCH) -> SearchResult:
     """Searches all runs of an order script with up to `faults` faults, or one partition of them."""
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     counters = RunCounters()
     violation, steps = asyncio.run(_search(ORDER_SCRIPTS[name], faults, counters, partition))
     return SearchResult(
@@ -261,7 +261,7 @@
         faults=faults,
         states=counters.steps,
         longest=counters.longest,
-        seconds=time.perf_counter() - begun,
+        seconds=time.perf_counter() - started_at,
         complete=not violation,
         violation=violation,
         steps=steps,
@@ -276,15 +276,15 @@
         chosen = pending_runs.pop()
         world = OrderWorld(script, faults)
         try:
-            alternatives = await _replay(world, chosen, counters)
+            possible_faults = await _replay(world, chosen, counters)
         except AssertionError as error:
             return str(error) or repr(error), tuple(step for _, step in chosen)
         finally:
             world.cancel_calls()
         if len(chosen) < faults:
-            after = chosen[-1][0] if chosen else -1
+            last_position = chosen[-1][0] if chosen else -1
             extended_runs = [
-                (*chosen, (position, step)) for position, step in alternatives if position > after
+                (*chosen, (position, step)) for position, step in possible_faults if position > last_position
             ]
             pending_runs += (
                 extended_runs
@@ -299,13 +299,13 @@
 ) -> list[tuple[int, Step]]:
     """Replays a run with the chosen faults; returns all faults that were possible, with their positions."""
     faults = dict(chosen)
-    alternatives: list[tuple[int, Step]] = []
+    possible_faults: list[tuple[int, Step]] = []
     position = 0
     while True:
         steps = list(world.steps())
         if not steps or steps[0] != ("proceed",):
             break
-        alternatives += [(position, step) for step in steps[1:]]
+        possible_faults += [(position, step) for step in steps[1:]]
         world.apply_step(faults.get(position, ("proceed",)))
         await world.run_calls()
         position += 1
@@ -315,4 +315,4 @@
     world.converge()
     await world.run_calls()
     world.check_final_state()
-    return alternatives
+    return possible_faults
--- a/kestrelbend/tier/model/scripts.py
+++ b/kestrelbend/tier/model/scripts.py
@@ -7,7 +7,7 @@
 
 from .world import Script
 
-HEARTBEATS = "; ".join(["advance a 0.1"] * 6)  # enough for new replicas to be heard and the group to change
+HEARTBEATS = "; ".join(["advance a 0.1"] * 6)  # enough for new replicas to reply and the group to change
 
 SCRIPTS: dict[str, Script] = {}
 ORDER_SCRIPTS: dict[str, Script] = {}  # scripts with configuration orders, see `orders`
--- a/kestrelbend/tier/model/search.py
+++ b/kestrelbend/tier/model/search.py
@@ -46,7 +46,9 @@
         )
         if not self.violation:
             return text
-        faults = [f"{place} {' '.join(step)}" for place, step in enumerate(self.steps) if step != PROCEED]
+        faults = [
+            f"{position} {' '.join(step)}" for position, step in enumerate(self.steps) if step != PROCEED
+        ]
         return f"{text}\n    BROKEN {self.violation}\n    by {len(self.steps)} steps, of them {faults}"
 
 
@@ -174,10 +176,10 @@
         self._group = world.invariants.group
 
     def _apply_step(self, world: World, step: Step, path: tuple[Step, ...]) -> None:
-        taken = (*path, step)
-        self._path = taken
+        extended_path = (*path, step)
+        self._path = extended_path
         world.apply_step(step)
-        self._add_state(world, taken)
+        self._add_state(world, extended_path)
 
     def _add_state(self, world: World, path: tuple[Step, ...]) -> None:
         state = self._serialize(world)
--- a/kestrelbend/tier/model/world.py
+++ b/kestrelbend/tier/model/world.py
@@ -17,12 +17,10 @@
 from .rules import Invariants, log_by_index, require, voters_before
 
 EVENT_DURATION_S = 0.001  # how far a node's clock advances for each event that it handles
-ELECTION_WAIT_S = (
-    0.4  # two such spans without contact exceed any replica's election timeout, one exceeds none
-)
-FOLLOWER_WAIT_S = (
-    0.31  # for the other replicas: voters give up on their leader, but a leader does not step down
-)
+# Two such spans without contact exceed any replica's election timeout, one span exceeds none.
+ELECTION_WAIT_S = 0.4
+# Time that passes for the other replicas: voters give up on their leader, but a leader does not step down.
+FOLLOWER_WAIT_S = 0.31
 TICK_INTERVAL_S = 0.02
 CONVERGENCE_S = 4.0
 
@@ -339,9 +337,9 @@
             if entry.kind == EntryKind.GROUP and entry.term == node.replica.term:
                 before = voters_before(node.replica, entry.index)
                 required = node.committed_before(node.clock - self.timing.election_timeout)
-                for joined in set(decode_group(entry.data)) - set(before):
-                    other = self.nodes[joined.partition("#")[0]]
-                    if other.identity == joined:
+                for new_voter in set(decode_group(entry.data)) - set(before):
+                    other = self.nodes[new_voter.partition("#")[0]]
+                    if other.identity == new_voter:
                         self.invariants.check_new_voter(other, required)
 
     def _apply_entries(self, node: Node, effects: Effects) -> None:
@@ -355,9 +353,10 @@
                 node.commands.append(entry.data)
         if effects.applied or effects.restore is not None:
             before = self.invariants.history[: node.applied_index]
-            known = [entry.data for entry in before if entry.kind == EntryKind.COMMAND]
+            expected = [entry.data for entry in before if entry.kind == EntryKind.COMMAND]
             require(
-                node.commands == known, f"{node.name} applied {node.commands}, but the history has {known}"
+                node.commands == expected,
+                f"{node.name} applied {node.commands}, but the history has {expected}",
             )
 
     def _record_applied(self, node: Node, entry: Entry) -> None:
@@ -391,13 +390,13 @@
 
     def _is_converged(self) -> bool:
         """Returns whether all voters have applied the complete history, including the final command."""
-        held = [node for node in self.nodes.values() if node.identity in self.invariants.group]
-        alive = [voter for voter in self.invariants.group if voter not in self.invariants.wiped]
-        newest = len(self.invariants.history)
+        voter_nodes = [node for node in self.nodes.values() if node.identity in self.invariants.group]
+        live_voters = [voter for voter in self.invariants.group if voter not in self.invariants.wiped]
+        history_length = len(self.invariants.history)
         return (
             b"calm" in self.invariants.committed_commands()
-            and len(held) == len(alive)
-            and all(node.applied_index == newest for node in held)
+            and len(voter_nodes) == len(live_voters)
+            and all(node.applied_index == history_length for node in voter_nodes)
         )
 
     def _drain_queue(self) -> None:
