--- a/kestrelbend/tier/model/rules.py
+++ b/kestrelbend/tier/model/rules.py
@@ -45,11 +45,11 @@
         """A new leader is the only one of its term and holds all entries committed in earlier terms."""
         leader = self._leader_by_term.setdefault(replica.term, replica.identity)
         require(leader == replica.identity, f"{leader} and {replica.identity} both lead term {replica.term}")
-        record = replica.durable_record()
-        assert record.snapshot is not None
-        entries = {entry.index: entry for entry in record.entries}
+        leader_record = replica.durable_record()
+        assert leader_record.snapshot is not None
+        entries = {entry.index: entry for entry in leader_record.entries}
         for entry, term in zip(self.history, self._commit_terms, strict=True):
-            if record.snapshot.index < entry.index and term < replica.term:
+            if leader_record.snapshot.index < entry.index and term < replica.term:
                 require(entries.get(entry.index) == entry, f"the new leader lacks committed {entry}")
 
     def record_applied(self, entry: Entry, term: int, nodes: Iterable[Node]) -> None:
