--- a/kestrelbend/tier/storage/journal.py
+++ b/kestrelbend/tier/storage/journal.py
@@ -112,7 +112,7 @@
             self._condition.notify()
 
     def checkpoint(self, records: list[Record]) -> None:
-        """Replaces all records appended so far by the given ones, which must hold the effect of all of them."""
+        """Replaces all records appended so far; the given ones must hold the effect of all of them."""
         with self._condition:
             self._pending_checkpoints += 1
             self._queue.append(PendingCheckpoint(records))
