--- a/kestrelbend/tier/budgets/client.py
+++ b/kestrelbend/tier/budgets/client.py
@@ -13,12 +13,12 @@
 from kestrelbend.tier.budgets.bounds import bounded_name, bounded_reserve, bounded_settlement
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, Verdict
 from kestrelbend.tier.budgets.route import ClientSettings
-from kestrelbend.tier.budgets.shard_queue import Replicas, Send, ShardRequestQueue, unanswered
+from kestrelbend.tier.budgets.shard_queue import Replicas, Send, ShardRequestQueue, unavailable_outcome
 from kestrelbend.tier.budgets.shards import shard_of
 
-MAX_PROGRAMS_REMEMBERED = 10_000
+MAX_TRACKED_PROGRAMS = 10_000
 
-MayWait = Callable[[str], bool]
+OwnerReachable = Callable[[str], bool]
 """Whether an owner of a shard answers or soon will; where not, a reservation is refused at once."""
 
 
@@ -31,25 +31,25 @@
         replicas: Replicas,
         shard_count: int,
         settings: ClientSettings | None = None,
-        may_wait: MayWait = lambda shard: True,
+        owner_reachable: OwnerReachable = lambda shard: True,
     ) -> None:
         self._send = send
         self._replicas = replicas
         self._shard_count = shard_count
         self._settings = settings or ClientSettings()
-        self._may_wait = may_wait
+        self._owner_reachable = owner_reachable
         self._queues: dict[str, ShardRequestQueue] = {}
         self._known_settled: dict[str, int] = {}  # by program, in the order of use
 
-    async def reserve(self, reserve: Reserve, within: float | None = None) -> ReserveOutcome:
+    async def reserve(self, reserve: Reserve, max_wait_s: float | None = None) -> ReserveOutcome:
         """Asks for a turn's tokens.
 
-        OWNER_UNAVAILABLE if no owner answered within `within` seconds, at once if none can be reached.
+        OWNER_UNAVAILABLE if no owner answered within `max_wait_s` seconds, at once if none can be reached.
         """
-        timeout_s = self._settings.reserve_timeout_s if within is None else within
+        timeout_s = self._settings.reserve_timeout_s if max_wait_s is None else max_wait_s
         reserve = bounded_reserve(reserve)
-        if not self._may_wait(shard_of(reserve.program, self._shard_count)):
-            return unanswered(reserve)
+        if not self._owner_reachable(shard_of(reserve.program, self._shard_count)):
+            return unavailable_outcome(reserve)
         outcome = await self._queue(reserve.program).reserve(reserve, timeout_s)
         if outcome.verdict != Verdict.OWNER_UNAVAILABLE:
             self._record_settled(reserve.program, outcome.settled)
@@ -78,10 +78,10 @@
         """Settlements that no owner has recorded yet."""
         return sum(queue.pending_settlements for queue in self._queues.values())
 
-    async def close(self, within: float) -> bool:
-        """Brings the pending settlements to their owners, within a time in seconds; whether all arrived."""
+    async def close(self, max_wait_s: float) -> bool:
+        """Delivers the pending settlements within `max_wait_s` seconds; returns whether all were recorded."""
         queues = list(self._queues.values())
-        closed = await asyncio.gather(*(queue.close(within) for queue in queues))
+        closed = await asyncio.gather(*(queue.close(max_wait_s) for queue in queues))
         return all(closed)
 
     def _queue(self, program: str) -> ShardRequestQueue:
@@ -95,5 +95,5 @@
     def _record_settled(self, program: str, settled: int) -> None:
         known = self._known_settled.pop(program, 0)
         self._known_settled[program] = max(known, settled)
-        if len(self._known_settled) > MAX_PROGRAMS_REMEMBERED:
+        if len(self._known_settled) > MAX_TRACKED_PROGRAMS:
             del self._known_settled[next(iter(self._known_settled))]
--- a/kestrelbend/tier/budgets/commands.py
+++ b/kestrelbend/tier/budgets/commands.py
@@ -30,7 +30,7 @@
     return b"".join(buffers)
 
 
-def elapsed_ms_of(data: bytes) -> int:
+def decode_elapsed_ms(data: bytes) -> int:
     """The time since the entry before, as its owner counted it."""
     elapsed_ms: int = _HEADER.unpack_from(data)[0]
     return elapsed_ms
--- a/kestrelbend/tier/budgets/names.py
+++ b/kestrelbend/tier/budgets/names.py
@@ -15,7 +15,7 @@
 _SEPARATOR = "."
 
 
-class ReservationNames:
+class ReservationNameGenerator:
     """Gives names in one incarnation of a gateway; `incarnation` differs between runs at one `address`."""
 
     def __init__(self, address: str, incarnation: int) -> None:
--- a/kestrelbend/tier/budgets/program.py
+++ b/kestrelbend/tier/budgets/program.py
@@ -33,7 +33,7 @@
     reservation: str
     end: TurnEnd | None = None
 
-    def is_repeated_by(self, reserve: Reserve) -> bool:
+    def is_retried_by(self, reserve: Reserve) -> bool:
         """Whether the attempt is a retry: a turn that ended complete is not repeated, it is taken again."""
         return self.fingerprint == reserve.fingerprint and self.end is not TurnEnd.COMPLETE
 
@@ -82,12 +82,12 @@
 
     def reserve(self, reserve: Reserve) -> ReserveOutcome:
         """Adds a turn's upper bound of tokens, or refuses and adds nothing."""
-        verdict = self._answered_before(reserve.reservation)
+        verdict = self._recorded_verdict(reserve.reservation)
         if verdict is not None:
             return self._outcome(reserve, verdict)
         last = self.sessions.get(reserve.session)
-        retry = last is not None and last.is_repeated_by(reserve)
-        verdict = self._judge(reserve, retry)
+        retry = last is not None and last.is_retried_by(reserve)
+        verdict = self._decide(reserve, retry)
         if verdict is Verdict.ADMITTED:
             self._admit(reserve, retry)
         else:
@@ -110,13 +110,13 @@
         if settlement.reservation not in self.closed:
             self._close(settlement.reservation, Verdict.RETRY_LATER)
 
-    def _answered_before(self, reservation: str) -> Verdict | None:
+    def _recorded_verdict(self, reservation: str) -> Verdict | None:
         """The verdict on a reservation of this name, which stands however often it is asked for."""
         if reservation in self.open_turns:
             return Verdict.ADMITTED
         return self.closed.get(reservation)
 
-    def _judge(self, reserve: Reserve, retry: bool) -> Verdict:
+    def _decide(self, reserve: Reserve, retry: bool) -> Verdict:
         """At the limit a retry is refused as spent, before it could count as a retry."""
         total = self.total + reserve.max_tokens
         if 0 < reserve.budget < total:
--- a/kestrelbend/tier/budgets/shard_queue.py
+++ b/kestrelbend/tier/budgets/shard_queue.py
@@ -63,17 +63,17 @@
         """Settlements that no owner has recorded yet."""
         return len(self._settlements)
 
-    async def reserve(self, reserve: Reserve, within: float) -> ReserveOutcome:
+    async def reserve(self, reserve: Reserve, max_wait_s: float) -> ReserveOutcome:
         """The owner's outcome, or OWNER_UNAVAILABLE where none came within a time in seconds."""
         pending = _PendingReservation(reserve, asyncio.get_running_loop().create_future())
         self._reservations[_key(reserve)] = pending
         self._wake(urgent=True)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(max_wait_s):
                 return await pending.outcome
         except TimeoutError:
             self._abandon(pending)
-            return unanswered(reserve)
+            return unavailable_outcome(reserve)
         except asyncio.CancelledError:
             self._abandon(pending)
             raise
@@ -82,7 +82,7 @@
         """Completes all pending reservations with OWNER_UNAVAILABLE; settles those sent as NOT_EXECUTED."""
         for pending in list(self._reservations.values()):
             if not pending.outcome.done():
-                pending.outcome.set_result(unanswered(pending.reserve))
+                pending.outcome.set_result(unavailable_outcome(pending.reserve))
                 self._abandon(pending)
 
     def settle(self, settlement: Settlement) -> None:
@@ -92,13 +92,13 @@
             del self._settlements[next(iter(self._settlements))]
         self._wake(urgent=False)
 
-    async def close(self, within: float) -> bool:
+    async def close(self, max_wait_s: float) -> bool:
         """Sends what is pending; whether all settlements were recorded within the time in seconds."""
         self._closing = True
         if self._task is None:
             return True
         self._urgent.set()
-        await asyncio.wait([self._task], timeout=within)
+        await asyncio.wait([self._task], timeout=max_wait_s)
         self._task.cancel()
         return not self._settlements
 
@@ -146,7 +146,7 @@
         reply = await self._request(target, request)
         if reply is None:
             self._route.record_no_reply(target, now, asyncio.get_running_loop().time())
-        elif not answers(request, reply):
+        elif not reply_matches(request, reply):
             self._route.record_not_owner(target, reply.owner_hint, reply.epoch)
         else:
             self._route.record_owner(target, reply.epoch)
@@ -174,7 +174,7 @@
                 pending.outcome.set_result(outcome)
 
 
-def answers(request: BudgetRequest, reply: BudgetReply) -> bool:
+def reply_matches(request: BudgetRequest, reply: BudgetReply) -> bool:
     """Whether an owner replies to this very request: its shard, and its reservations one by one."""
     if not reply.owner or reply.shard != request.shard:
         return False
@@ -182,7 +182,7 @@
     return requested == [outcome.reservation for outcome in reply.outcomes]
 
 
-def unanswered(reserve: Reserve) -> ReserveOutcome:
+def unavailable_outcome(reserve: Reserve) -> ReserveOutcome:
     """The outcome of a reservation that no owner has answered."""
     return ReserveOutcome(reserve.reservation, Verdict.OWNER_UNAVAILABLE, 0, 0, 0)
 
--- a/kestrelbend/tier/budgets/shard_service.py
+++ b/kestrelbend/tier/budgets/shard_service.py
@@ -35,7 +35,7 @@
         self._now = now
 
     @staticmethod
-    def machine_for(shard: str) -> BudgetStateMachine:
+    def create_state_machine(shard: str) -> BudgetStateMachine:
         """An empty state machine."""
         return BudgetStateMachine()
 
--- a/kestrelbend/tier/budgets/state_machine.py
+++ b/kestrelbend/tier/budgets/state_machine.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kestrelbend.tier.budgets.commands import decode_commands, elapsed_ms_of
+from kestrelbend.tier.budgets.commands import decode_commands, decode_elapsed_ms
 from kestrelbend.tier.budgets.messages import ReserveOutcome
 from kestrelbend.tier.budgets.table import BudgetTable
 from kestrelbend.tier.budgets.table_snapshot import TableSnapshot
@@ -19,7 +19,7 @@
 
     def apply(self, command: bytes) -> tuple[ReserveOutcome, ...]:
         """Applies one request's commands, settlements first; the outcomes are its reservations'."""
-        self.table.advance(elapsed_ms_of(command))
+        self.table.advance(decode_elapsed_ms(command))
         settlements, reserves = decode_commands(command)
         for settlement in settlements:
             self.table.settle(settlement)
--- a/kestrelbend/tier/fleet/mutations/gateways.py
+++ b/kestrelbend/tier/fleet/mutations/gateways.py
@@ -28,7 +28,7 @@
     holder._table = RoutingTable.from_document(version, read_accepted(body).values)
 
 
-@guard("reservation-name", "budgets.program:ProgramBudget._answered_before", "one turn counted twice")
+@guard("reservation-name", "budgets.program:ProgramBudget._recorded_verdict", "one turn counted twice")
 def know_no_reservation(program: ProgramBudget, reservation: str) -> Verdict | None:
     """Takes a repeated reservation for a new one."""
     return None
@@ -60,7 +60,7 @@
     return True
 
 
-@guard("budget-answer", "budgets.shard_queue:answers", "another request's outcomes taken")
+@guard("budget-answer", "budgets.shard_queue:reply_matches", "another request's outcomes taken")
 def take_any_outcomes(request: BudgetRequest, reply: BudgetReply) -> bool:
     """Takes an owner's reply to another request."""
     return reply.owner
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -110,7 +110,7 @@
         """The configuration's state, or a budget table where stores are too few."""
         if shard == CONFIGURATION_SHARD:
             return ConfigurationMachine()
-        return self.budgets.machine_for(shard)
+        return self.budgets.create_state_machine(shard)
 
     def hosts_shard(self, shard: ShardId) -> bool:
         """Control nodes hold the configuration, too."""
--- a/kestrelbend/tier/roles/gateway.py
+++ b/kestrelbend/tier/roles/gateway.py
@@ -15,7 +15,7 @@
 import asyncio
 from typing import Any
 
-from ..budgets.names import ReservationNames
+from ..budgets.names import ReservationNameGenerator
 from ..dataplane.app import build_data_plane
 from ..dataplane.lifecycle import Lifecycle
 from ..dataplane.network import TcpNetwork
@@ -59,7 +59,7 @@
         )
         self.backends = GatewayBackends(self.view, self.now)
         self.budgets = GatewayBudgets(
-            ReservationNames(settings.ip, self.incarnation),
+            ReservationNameGenerator(settings.ip, self.incarnation),
             self.directory,
             self.connections,
             self.contact,
--- a/kestrelbend/tier/roles/gateway_budgets.py
+++ b/kestrelbend/tier/roles/gateway_budgets.py
@@ -6,7 +6,7 @@
 
 from ..budgets.client import BudgetClient
 from ..budgets.messages import BudgetReply, BudgetRequest, Reserve, ReserveOutcome, Settlement, Verdict
-from ..budgets.names import ReservationNames
+from ..budgets.names import ReservationNameGenerator
 from ..errors import TierError
 from ..membership.directory import DirectoryView
 from ..membership.placement import BUDGET_SHARD_COUNT, address_of, budget_shards
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        names: ReservationNames,
+        names: ReservationNameGenerator,
         directory: DirectoryView,
         connections: PeerConnections,
         contact: GatewayContact,
@@ -48,7 +48,7 @@
         placed = self._directory.placements
         if self.client is None and all(shard in placed for shard in budget_shards()):
             self.client = BudgetClient(
-                self._send, self.addresses, BUDGET_SHARD_COUNT, may_wait=self._may_wait
+                self._send, self.addresses, BUDGET_SHARD_COUNT, owner_reachable=self._may_wait
             )
 
     def addresses(self, shard: str) -> list[str]:
--- a/kestrelbend/tier/roles/store.py
+++ b/kestrelbend/tier/roles/store.py
@@ -37,7 +37,7 @@
 
     def machine_for(self, shard: ShardId) -> StateMachine:
         """Budget tables are all that a store holds."""
-        return self.budgets.machine_for(shard)
+        return self.budgets.create_state_machine(shard)
 
     def on_applied(self, shard: ShardId) -> None:
         """Nothing waits for it but the proposers."""
--- a/tests/tier/test_budgets_client.py
+++ b/tests/tier/test_budgets_client.py
@@ -50,7 +50,7 @@
             outcome = await client.reserve(reserve())
             self.assertEqual((Verdict.ADMITTED, MOST), (outcome.verdict, outcome.total))
             client.settle(Settlement("program", "a", 40, TurnEnd.COMPLETE))
-            self.assertTrue(await client.close(within=1))
+            self.assertTrue(await client.close(max_wait_s=1))
             self.assertEqual((0, 40), totals(fleet))
             self.assertEqual(["a", "a"], [address for address, _request in fleet.requests])
 
@@ -83,7 +83,7 @@
 
     def test_given_no_replies_when_the_time_is_over_then_silent_and_its_tokens_come_back(self):
         async def play(fleet, client):
-            outcome = await client.reserve(reserve(), within=0.4)
+            outcome = await client.reserve(reserve(), max_wait_s=0.4)
             self.assertEqual(Verdict.OWNER_UNAVAILABLE, outcome.verdict)
             self.assertEqual(0.4, asyncio.get_running_loop().time())
             self.assertEqual((MOST, 0), totals(fleet))
@@ -110,7 +110,7 @@
             self.assertEqual(1, client.pending_settlements)
             self.assertLess(len(fleet.requests), 400)
             fleet.faults = Faults()
-            self.assertTrue(await client.close(within=2))
+            self.assertTrue(await client.close(max_wait_s=2))
 
         self.story(play, refused=1.0)
 
@@ -163,7 +163,7 @@
         await asyncio.gather(self.trouble(fleet), *turns)
         fleet.faults = Faults()
         await asyncio.sleep(5)
-        self.assertEqual([True] * 3, [await client.close(within=5) for client in clients])
+        self.assertEqual([True] * 3, [await client.close(max_wait_s=5) for client in clients])
         states = {host.machine.snapshot() for host in fleet.hosts.values()}
         self.assertEqual(1, len(states), f"seed {seed}: replicas differ")
         for program, tokens in self.handed_out.items():
@@ -176,7 +176,7 @@
         command = reserve(program, f"turn {number}")
         if client.spent_locally(program, MOST, BUDGET):
             return
-        outcome = await client.reserve(command, within=self.chance.choice((0.01, 0.5, 1.2)))
+        outcome = await client.reserve(command, max_wait_s=self.chance.choice((0.01, 0.5, 1.2)))
         if outcome.verdict != Verdict.ADMITTED:
             return
         if self.chance.random() < 0.05:
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -12,10 +12,10 @@
 
 from kestrelbend.tier.budgets import names, program
 from kestrelbend.tier.budgets.client import BudgetClient
-from kestrelbend.tier.budgets.commands import elapsed_ms_of
+from kestrelbend.tier.budgets.commands import decode_elapsed_ms
 from kestrelbend.tier.budgets.messages import BudgetRequest, Reserve, Settlement, TurnEnd, Verdict
 from kestrelbend.tier.budgets.idle_programs import DEFAULT_RETAIN_S
-from kestrelbend.tier.budgets.names import MAX_INCARNATIONS, ForgottenNames, ReservationNames
+from kestrelbend.tier.budgets.names import MAX_INCARNATIONS, ForgottenNames, ReservationNameGenerator
 from kestrelbend.tier.budgets.route import ClientSettings
 from kestrelbend.tier.budgets.program import MAX_CLOSED_RESERVATIONS, MAX_SESSIONS
 from kestrelbend.tier.budgets.shard_service import BudgetShards
@@ -34,7 +34,7 @@
 
     def __init__(self, table, incarnation=1):
         self.table = table
-        self.names = ReservationNames("10.0.0.1", incarnation)
+        self.names = ReservationNameGenerator("10.0.0.1", incarnation)
 
     def command(self, name="program", session="main", fingerprint=1, budget=BUDGET, retain_s=0):
         return Reserve(name, session, self.names.next(), fingerprint, MOST, budget, False, retain_s)
@@ -130,9 +130,9 @@
     def test_given_more_lives_than_are_kept_then_the_last_ones_are_known(self):
         forgotten = ForgottenNames()
         for incarnation in range(MAX_INCARNATIONS + 1):
-            forgotten.add(ReservationNames("10.0.0.1", incarnation).next())
+            forgotten.add(ReservationNameGenerator("10.0.0.1", incarnation).next())
         known = [
-            ReservationNames("10.0.0.1", incarnation).next() in forgotten
+            ReservationNameGenerator("10.0.0.1", incarnation).next() in forgotten
             for incarnation in range(MAX_INCARNATIONS + 1)
         ]
         self.assertEqual([False] + [True] * MAX_INCARNATIONS, known)
@@ -259,7 +259,7 @@
         return self
 
     def propose(self, shard, data, done, now):
-        self.entries.append(elapsed_ms_of(data))
+        self.entries.append(decode_elapsed_ms(data))
         return True
 
     def flush(self, shard):
@@ -301,7 +301,10 @@
         chance = random.Random(seed)
         fleet = BudgetFleet(chance, Faults(duplicated=0.4, reply_lost=0.1, delay_s=0.1))
         gateways = [
-            (BudgetClient(fleet.send, lambda shard: ADDRESSES, 1), ReservationNames("10.0.0.1", incarnation))
+            (
+                BudgetClient(fleet.send, lambda shard: ADDRESSES, 1),
+                ReservationNameGenerator("10.0.0.1", incarnation),
+            )
             for incarnation in range(2)
         ]
         handed_out = 0
@@ -311,7 +314,7 @@
             await asyncio.sleep(chance.uniform(0, 8))
             client, given = chance.choice(gateways)
             command = Reserve("program", str(number), given.next(), number, MOST, self.budget, True)
-            outcome = await client.reserve(command, within=chance.choice((0.05, 1.0)))
+            outcome = await client.reserve(command, max_wait_s=chance.choice((0.05, 1.0)))
             if outcome.verdict == Verdict.ADMITTED:
                 used = chance.randint(0, MOST)
                 handed_out += used
@@ -321,7 +324,7 @@
         await asyncio.gather(*(turn(number) for number in range(60)))
         fleet.faults = Faults()
         await asyncio.sleep(5)
-        closed = [await client.close(within=5) for client, _ in gateways]
+        closed = [await client.close(max_wait_s=5) for client, _ in gateways]
         self.assertEqual([True, True], closed)
         probe = fleet.hosts["b"].machine.table.reserve(Reserve("program", "", "probe", 0, 1, 1, False))
         self.assertEqual((handed_out, handed_out), (probe.total, probe.settled), f"seed {seed}")
@@ -333,7 +336,7 @@
             fleet = BudgetFleet(random.Random(1))
             settings = ClientSettings(max_pending_settlements=2)
             client = BudgetClient(fleet.send, lambda shard: ADDRESSES, 1, settings)
-            given = ReservationNames("10.0.0.1", 1)
+            given = ReservationNameGenerator("10.0.0.1", 1)
             commands = [Reserve("program", str(n), given.next(), n, MOST, BUDGET, True) for n in range(5)]
             for command in commands:
                 await client.reserve(command)
@@ -343,7 +346,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(2, client.pending_settlements)
             fleet.faults = Faults()
-            self.assertTrue(await client.close(within=5))
+            self.assertTrue(await client.close(max_wait_s=5))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
             outcome = fleet.hosts["a"].machine.table.reserve(probe)
             self.assertEqual((3 * MOST + 20, 20), (outcome.total, outcome.settled))
@@ -353,8 +356,8 @@
 
 class GatewayNamesTest(testtools.TestCase):
     def test_given_tries_of_one_client_id_then_each_has_a_reservation_of_its_own(self):
-        given = ReservationNames("10.0.0.1", 5)
-        other = ReservationNames("10.0.0.1", 6)
+        given = ReservationNameGenerator("10.0.0.1", 5)
+        other = ReservationNameGenerator("10.0.0.1", 6)
         told = [given.next(), given.next(), other.next()]
         self.assertEqual(3, len(set(told)))
         self.assertLess(max(len(name) for name in told), 40)
@@ -376,7 +379,7 @@
 
     def __init__(self, fleet, incarnation):
         self._client = BudgetClient(fleet.send, lambda shard: ADDRESSES, 1)
-        self._names = ReservationNames("10.0.0.1", incarnation)
+        self._names = ReservationNameGenerator("10.0.0.1", incarnation)
 
     def reservation_name(self, request_id):
         return self._names.next()
--- a/tests/tier/test_gateway_contact.py
+++ b/tests/tier/test_gateway_contact.py
@@ -209,7 +209,10 @@
             fleet = BudgetFleet(random.Random(1))
             lost = set()
             client = BudgetClient(
-                fleet.send, lambda shard: ADDRESSES, shard_count=1, may_wait=lambda shard: shard not in lost
+                fleet.send,
+                lambda shard: ADDRESSES,
+                shard_count=1,
+                owner_reachable=lambda shard: shard not in lost,
             )
             fleet.faults = Faults(reply_lost=1.0)
             first = asyncio.create_task(client.reserve(self.reserve("first")))
@@ -226,7 +229,7 @@
             await asyncio.sleep(2.0)
             outcome = await client.reserve(self.reserve("third"))
             self.assertEqual((Verdict.ADMITTED, 100), (outcome.verdict, outcome.total))
-            self.assertTrue(await client.close(within=1.0))
+            self.assertTrue(await client.close(max_wait_s=1.0))
 
         virtual_time.run(scenario())
 
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -339,7 +339,9 @@
 
         async def play():
             line = ShardRequestQueue("budget-0", send, lambda shard: ("a:1",), ClientSettings())
-            outcome = await line.reserve(Reserve("program", "session", "own", 1, 10, 100, True), within=1.0)
+            outcome = await line.reserve(
+                Reserve("program", "session", "own", 1, 10, 100, True), max_wait_s=1.0
+            )
             self.assertEqual("own", outcome.reservation)
 
         virtual_time.run(play())
--- a/tests/tier/test_protocol_replies.py
+++ b/tests/tier/test_protocol_replies.py
@@ -11,7 +11,7 @@
 
 import testtools
 
-from kestrelbend.tier.budgets.shard_queue import answers
+from kestrelbend.tier.budgets.shard_queue import reply_matches
 from kestrelbend.tier.budgets.messages import (
     BudgetReply,
     BudgetRequest,
@@ -211,14 +211,14 @@
         reserves = tuple(Reserve("program", "s", name, 1, 10, 100, True) for name in "ab")
         outcomes = tuple(ReserveOutcome(name, Verdict.ADMITTED, 10, 0, 0) for name in "ab")
         request = BudgetRequest("budget-0", reserves, ())
-        self.assertTrue(answers(request, BudgetReply("budget-0", True, "", outcomes)))
+        self.assertTrue(reply_matches(request, BudgetReply("budget-0", True, "", outcomes)))
         others = (
             BudgetReply("budget-1", True, "", outcomes),
             BudgetReply("budget-0", False, "", outcomes),
             BudgetReply("budget-0", True, "", outcomes[:1]),
             BudgetReply("budget-0", True, "", outcomes[::-1]),
         )
-        self.assertEqual([False] * 4, [answers(request, reply) for reply in others])
+        self.assertEqual([False] * 4, [reply_matches(request, reply) for reply in others])
 
 
 class OrderTest(testtools.TestCase):
--- a/tests/tier/test_recorded_wire.py
+++ b/tests/tier/test_recorded_wire.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from kestrelbend.tier.budgets.commands import decode_commands, elapsed_ms_of, encode_commands
+from kestrelbend.tier.budgets.commands import decode_commands, decode_elapsed_ms, encode_commands
 from kestrelbend.tier.budgets.messages import Reserve, Settlement
 from kestrelbend.tier.budgets.state_machine import BudgetStateMachine
 from kestrelbend.tier.budgets.table import BudgetTable
@@ -132,7 +132,7 @@
             command = encode_commands(settlements, reserves, recorded[2])
             self.assertEqual(recorded[3], command.hex())
             self.assertEqual(([*settlements], [*reserves]), decode_commands(command))
-            self.assertEqual(recorded[4], elapsed_ms_of(command))
+            self.assertEqual(recorded[4], decode_elapsed_ms(command))
             outcomes = [list(attrs.astuple(outcome)) for outcome in machine.apply(command)]
             self.assertEqual(recorded[place_of_outcomes], outcomes)
 
