--- a/kestrelbend/tier/configuration/messages.py
+++ b/kestrelbend/tier/configuration/messages.py
@@ -18,8 +18,8 @@
     PATCH = 1
     PLACEMENT = 2  # the tier's own: body is a `ShardPlacement`
     RETIRE = 3  # body is the node's name
-    STORE = 4  # the tier's own: body is a `KnownDisk`
-    EMPTIED = 5  # the tier's own: body is an `Emptied`
+    DISK = 4  # the tier's own: body is a `DiskRecord`
+    SHARD_REMOVAL = 5  # the tier's own: body is a `ShardRemoval`
     RETIRE_STATE = 6  # body is the node's name; changes nothing, so the owner answers once it is confirmed
     CHECKED_PUT = 7  # as PUT: an entry whose owner has found it valid on its base
     CHECKED_PATCH = 8  # as PATCH, likewise
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -68,7 +68,7 @@
         return ConfigOutcome(PRECONDITION_FAILED, version, reason)
     voters = known.voters if known is not None else ()
     added = [voter for voter in placement.voters if voter not in voters]
-    if any(stores.must_be_emptied(voter) for voter in added):
+    if any(stores.is_on_retiring_node(voter) for voter in added):
         return ConfigOutcome(PRECONDITION_FAILED, version, "a new voter is on a node to be emptied")
     return None
 
--- a/kestrelbend/tier/configuration/snapshot.py
+++ b/kestrelbend/tier/configuration/snapshot.py
@@ -19,12 +19,12 @@
 from kestrelbend.tier.configuration.json_codec import encode_json
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.stores import (
-    Emptied,
-    KnownDisk,
+    DiskRecord,
+    ShardRemoval,
     decode_disk,
-    decode_emptied,
+    decode_shard_removal,
     encode_disk,
-    encode_emptied,
+    encode_shard_removal,
 )
 from kestrelbend.tier.errors import TierError
 from kestrelbend.tier.membership.messages import ShardPlacement
@@ -79,8 +79,8 @@
     forgotten_version: int  # the highest version that an order brought which the history holds no more
     placements: tuple[ShardPlacement, ...]
     retiring: tuple[str, ...]  # names of nodes
-    disks: tuple[KnownDisk, ...]
-    emptied: tuple[Emptied, ...]
+    disks: tuple[DiskRecord, ...]
+    emptied: tuple[ShardRemoval, ...]
 
 
 def encode_snapshot(content: SnapshotContent) -> bytes:
@@ -92,7 +92,7 @@
         _PLACEMENTS: [encode_placement(placement).decode() for placement in content.placements],
         _RETIRING: list(content.retiring),
         _DISKS: [encode_disk(disk).decode() for disk in content.disks],
-        _EMPTIED: [encode_emptied(fact).decode() for fact in content.emptied],
+        _EMPTIED: [encode_shard_removal(fact).decode() for fact in content.emptied],
     }
     body = content.document.body if content.document is not None else b""
     return encode_json(head) + b"\n" + body
@@ -112,7 +112,7 @@
             placements=_decode_all(decode_placement, head[_PLACEMENTS]),
             retiring=tuple(str(node) for node in head[_RETIRING]),
             disks=_decode_all(decode_disk, head.get(_DISKS, ())),
-            emptied=_decode_all(decode_emptied, head.get(_EMPTIED, ())),
+            emptied=_decode_all(decode_shard_removal, head.get(_EMPTIED, ())),
         )
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise UnreadableSnapshot(f"{type(error).__name__}: {error}") from None
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -16,11 +16,11 @@
 from kestrelbend.tier.configuration.snapshot import SnapshotContent, decode_snapshot, encode_snapshot
 from kestrelbend.tier.configuration.store_orders import (
     check_disk,
-    check_emptied,
     check_retirement,
+    check_shard_removal,
     retire_state,
 )
-from kestrelbend.tier.configuration.stores import StoreRecords, decode_disk, decode_emptied
+from kestrelbend.tier.configuration.stores import StoreRecords, decode_disk, decode_shard_removal
 from kestrelbend.tier.membership.messages import ShardPlacement
 
 _Record = TypeVar("_Record")
@@ -81,10 +81,10 @@
                 return self._check_placement(order)
             case OrderKind.RETIRE:
                 return check_retirement(order, self._stores, self.version)
-            case OrderKind.STORE:
+            case OrderKind.DISK:
                 return check_disk(order, self._stores, self.version)
-            case OrderKind.EMPTIED:
-                return self._check_emptied(order)
+            case OrderKind.SHARD_REMOVAL:
+                return self._check_shard_removal(order)
             case OrderKind.RETIRE_STATE:
                 return retire_state(order, self._stores, self.placements, self.version)
             case _:
@@ -103,10 +103,10 @@
                 self._placements[placement.shard] = placement
             case OrderKind.RETIRE:
                 self._stores.retire(order.body.decode())
-            case OrderKind.STORE:
+            case OrderKind.DISK:
                 self._stores.record_disk(_after_check(decode_disk(order.body)), self._placed_replicas())
-            case OrderKind.EMPTIED:
-                self._stores.record_emptied(_after_check(decode_emptied(order.body)))
+            case OrderKind.SHARD_REMOVAL:
+                self._stores.record_removal(_after_check(decode_shard_removal(order.body)))
             case _:
                 return self._documents.accept(order)
         return accepted_now(self.version)
@@ -116,10 +116,10 @@
         known = self.placement(placement.shard) if placement is not None else None
         return check_placement(placement, known, self._stores, self.version)
 
-    def _check_emptied(self, order: ConfigOrder) -> ConfigOutcome | None:
-        fact = decode_emptied(order.body)
+    def _check_shard_removal(self, order: ConfigOrder) -> ConfigOutcome | None:
+        fact = decode_shard_removal(order.body)
         placement = self.placement(fact.shard) if fact is not None else None
-        return check_emptied(fact, self._stores, placement, self.version)
+        return check_shard_removal(fact, self._stores, placement, self.version)
 
     def _placed_replicas(self) -> set[str]:
         return {voter for placement in self.placements for voter in placement.voters}
--- a/kestrelbend/tier/configuration/store_orders.py
+++ b/kestrelbend/tier/configuration/store_orders.py
@@ -1,7 +1,7 @@
 """Orders on nodes that are to be emptied: to empty one, to record its disks, to record what it holds no more.
 
 A `Retire.Start` of the operator makes a node *retiring*: it is to be emptied and gets no replica any more.
-Each shard that has left it is recorded by an `Emptied`; with the last one the node's state is complete, and
+Each shard that has left it is recorded by a `ShardRemoval`; with the last one the node's state is complete, and
 the operator may take the machine away.
 
 Each function here gives the answer to an order that changes nothing, or None: then it must be applied.
@@ -16,7 +16,7 @@
 from kestrelbend.tier.configuration.statuses import CONFLICT, INVALID, OK, PRECONDITION_FAILED
 from kestrelbend.tier.configuration.stores import (
     MAX_NODE_NAME,
-    Emptied,
+    ShardRemoval,
     StoreRecords,
     decode_disk,
 )
@@ -54,15 +54,15 @@
     return accepted_before(version) if stores.knows(disk) else None
 
 
-def check_emptied(
-    fact: Emptied | None, stores: StoreRecords, placement: ShardPlacement | None, version: int
+def check_shard_removal(
+    fact: ShardRemoval | None, stores: StoreRecords, placement: ShardPlacement | None, version: int
 ) -> ConfigOutcome | None:
     """For the order to record that a shard has left a node; `placement` is the shard's one in force."""
     if fact is None:
         return ConfigOutcome(INVALID, version, "not a node that is empty")
-    if stores.is_emptied(fact.node, fact.shard):
+    if stores.is_removed(fact.node, fact.shard):
         return accepted_before(version)
-    if not stores.may_record(fact, placement):
+    if not stores.may_record_removal(fact, placement):
         return ConfigOutcome(PRECONDITION_FAILED, version, f"{fact.node} may hold {fact.shard}")
     return None
 
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -1,6 +1,6 @@
 """Which disks are known, which nodes are to be emptied, and what is known to be empty: committed facts.
 
-Invariant: a node counts as empty only by facts that stay true.  An `Emptied` names a committed group without
+Invariant: a node counts as empty only by facts that stay true.  A `ShardRemoval` names a committed group without
 the node, moved there by a placement without it; later placements have higher numbers, none of them may add
 a disk of a node that is to be emptied, and no group follows a lower number than its own.
 """
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class KnownDisk:
+class DiskRecord:
     """A disk that may hold replicas: an emptied one is another replica of the same node."""
 
     node: str
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Emptied:
+class ShardRemoval:
     """A shard has left a node: its owner reported a committed group without the node's disks.
 
     The live voters of that group hold everything, so the node is not needed for this shard any more.
@@ -53,12 +53,12 @@
     number: int  # of the placement that the group was moved to
 
 
-def encode_disk(disk: KnownDisk) -> bytes:
-    """The body of an order of kind STORE."""
+def encode_disk(disk: DiskRecord) -> bytes:
+    """The body of an order of kind DISK."""
     return encode_json({_NODE: disk.node, _REPLICA: disk.replica, _SERVES_STORAGE: disk.serves_storage})
 
 
-def decode_disk(body: bytes) -> KnownDisk | None:
+def decode_disk(body: bytes) -> DiskRecord | None:
     """The disk that a body names, or None if it names none."""
     values = decode_object(body)
     if values is None:
@@ -68,11 +68,11 @@
     serves: Any = values.get(_SERVES_STORAGE)
     if not (_is_node(node) and is_text(replica) and isinstance(serves, bool)):
         return None
-    return KnownDisk(node, replica, serves)
+    return DiskRecord(node, replica, serves)
 
 
-def encode_emptied(emptied: Emptied) -> bytes:
-    """The body of an order of kind EMPTIED."""
+def encode_shard_removal(emptied: ShardRemoval) -> bytes:
+    """The body of an order of kind SHARD_REMOVAL."""
     return encode_json(
         {
             _NODE: emptied.node,
@@ -84,7 +84,7 @@
     )
 
 
-def decode_emptied(body: bytes) -> Emptied | None:
+def decode_shard_removal(body: bytes) -> ShardRemoval | None:
     """What a body says to be empty, or None if it says nothing of the kind."""
     values = decode_object(body)
     if values is None:
@@ -98,7 +98,7 @@
         return None
     if not (all(map(is_text, group)) and _is_count(epoch) and _is_count(number)):
         return None
-    return Emptied(node, shard, epoch, tuple(group), number)
+    return ShardRemoval(node, shard, epoch, tuple(group), number)
 
 
 class StoreRecords:
@@ -106,16 +106,16 @@
 
     def __init__(
         self,
-        disks: Iterable[KnownDisk] = (),
+        disks: Iterable[DiskRecord] = (),
         retiring: Iterable[str] = (),
-        emptied: Iterable[Emptied] = (),
+        emptied: Iterable[ShardRemoval] = (),
     ) -> None:
         self._disks = {disk.replica: disk for disk in disks}
         self._retiring = dict.fromkeys(retiring)
         self._emptied = {(fact.node, fact.shard): fact for fact in emptied}
 
     @property
-    def disks(self) -> tuple[KnownDisk, ...]:
+    def disks(self) -> tuple[DiskRecord, ...]:
         """The disks known, oldest first."""
         return tuple(self._disks.values())
 
@@ -125,11 +125,11 @@
         return tuple(self._retiring)
 
     @property
-    def emptied(self) -> tuple[Emptied, ...]:
+    def emptied(self) -> tuple[ShardRemoval, ...]:
         """What is known to have left a node."""
         return tuple(self._emptied.values())
 
-    def knows(self, disk: KnownDisk) -> bool:
+    def knows(self, disk: DiskRecord) -> bool:
         """Whether exactly this was recorded."""
         return self._disks.get(disk.replica) == disk
 
@@ -141,21 +141,21 @@
         """All disks that the node ever had."""
         return {disk.replica for disk in self._disks.values() if disk.node == node}
 
-    def must_be_emptied(self, replica: str) -> bool:
+    def is_on_retiring_node(self, replica: str) -> bool:
         """Whether the replica is on the disk of a node that is to be emptied."""
         disk = self._disks.get(replica)
         return disk is not None and disk.node in self._retiring
 
-    def is_emptied(self, node: str, shard: str) -> bool:
+    def is_removed(self, node: str, shard: str) -> bool:
         """Whether the shard is known to have left the node."""
         return (node, shard) in self._emptied
 
     def is_complete(self, node: str, placements: Iterable[ShardPlacement]) -> bool:
         """Whether every shard that exists is known to have left a node that is to be emptied."""
         shards = [CONFIGURATION_SHARD, *(placement.shard for placement in placements)]
-        return node in self._retiring and all(self.is_emptied(node, shard) for shard in shards)
+        return node in self._retiring and all(self.is_removed(node, shard) for shard in shards)
 
-    def may_record(self, fact: Emptied, placement: ShardPlacement | None) -> bool:
+    def may_record_removal(self, fact: ShardRemoval, placement: ShardPlacement | None) -> bool:
         """Whether a fact stays true from here on; `placement` is the one in force of its shard.
 
         It does if no replica of the node is in the group or may come into a later one: the group is the one
@@ -170,7 +170,7 @@
             return False
         return node_replicas.isdisjoint(fact.group) and node_replicas.isdisjoint(placement.voters)
 
-    def record_disk(self, disk: KnownDisk, placed: set[str]) -> None:
+    def record_disk(self, disk: DiskRecord, placed: set[str]) -> None:
         """Records a disk; beyond the bound the oldest that is none of the `placed` ones is forgotten."""
         self._disks[disk.replica] = disk
         if len(self._disks) > MAX_DISKS:
@@ -182,7 +182,7 @@
         """Records that a node is to be emptied."""
         self._retiring[node] = None
 
-    def record_emptied(self, fact: Emptied) -> None:
+    def record_removal(self, fact: ShardRemoval) -> None:
         """Records that a shard has left a node."""
         self._emptied[fact.node, fact.shard] = fact
 
--- a/kestrelbend/tier/control/shard_placer.py
+++ b/kestrelbend/tier/control/shard_placer.py
@@ -105,7 +105,7 @@
             self._group_size,
             available,
             lambda voter: self._absence(voter, now),
-            [voter for voter in replica.voters if stores.must_be_emptied(voter)],
+            [voter for voter in replica.voters if stores.is_on_retiring_node(voter)],
         )
         replica.set_target(voters, term=replica.term)
 
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -11,7 +11,7 @@
 
 from ..configuration.messages import ConfigOrder, OrderKind
 from ..configuration.state import ConfigurationState
-from ..configuration.stores import Emptied, KnownDisk, encode_disk, encode_emptied
+from ..configuration.stores import DiskRecord, ShardRemoval, encode_disk, encode_shard_removal
 from ..membership.messages import Member, ShardReport
 from ..membership.placement import CONFIGURATION_SHARD
 
@@ -19,10 +19,10 @@
 def unknown_disk_orders(state: ConfigurationState, members: Iterable[Member]) -> list[ConfigOrder]:
     """Returns orders to record those disks of the members that are not recorded yet."""
     disks = [
-        KnownDisk(member.node, member.replica, member.serves_storage) for member in members if member.replica
+        DiskRecord(member.node, member.replica, member.serves_storage) for member in members if member.replica
     ]
     unknown = [disk for disk in disks if not state.stores.knows(disk)]
-    return [ConfigOrder(OrderKind.STORE, 0, encode_disk(disk)) for disk in unknown]
+    return [ConfigOrder(OrderKind.DISK, 0, encode_disk(disk)) for disk in unknown]
 
 
 def due_emptied_orders(state: ConfigurationState, reports: dict[str, ShardReport]) -> list[ConfigOrder]:
@@ -32,19 +32,19 @@
     for node in state.retiring:
         for shard in shards:
             report = reports.get(shard)
-            if report is None or state.stores.is_emptied(node, shard):
+            if report is None or state.stores.is_removed(node, shard):
                 continue
             fact = emptied_evidence(node, report)
-            if fact is not None and state.stores.may_record(fact, state.placement(shard)):
-                orders.append(ConfigOrder(OrderKind.EMPTIED, 0, encode_emptied(fact)))
+            if fact is not None and state.stores.may_record_removal(fact, state.placement(shard)):
+                orders.append(ConfigOrder(OrderKind.SHARD_REMOVAL, 0, encode_shard_removal(fact)))
     return orders
 
 
-def emptied_evidence(node: str, report: ShardReport) -> Emptied | None:
+def emptied_evidence(node: str, report: ShardReport) -> ShardRemoval | None:
     """Returns the fact that a shard has left a node, if the report is by the shard's owner in a stable group.
 
-    Whether the group really has no voter on the node is checked by the store records (`may_record`).
+    Whether the group really has no voter on the node is checked by the store records (`may_record_removal`).
     """
     if report.replica != report.owner or not report.stable or not report.committed_voters:
         return None
-    return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
+    return ShardRemoval(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ...configuration.messages import OrderKind
-from ...configuration.stores import Emptied
+from ...configuration.stores import ShardRemoval
 from ...membership.placement import initial_budget_placements
 from ...replication.group import has_quorum, remove_voter
 from ...storage.identity import BOOTSTRAP_IDENTITY
@@ -71,7 +71,7 @@
     return True
 
 
-@guard("emptied", "configuration.stores:StoreRecords.is_emptied", "`complete` where nothing is known")
+@guard("emptied", "configuration.stores:StoreRecords.is_removed", "`complete` where nothing is known")
 def count_as_emptied(stores: StoreRecords, node: str, shard: str) -> bool:
     """Counts every node as emptied of every shard."""
     return True
@@ -89,22 +89,26 @@
     placement._target = target
 
 
-@guard("emptied-stays", "configuration.stores:StoreRecords.may_record", "a fact that does not stay true")
-def note_any_fact(stores: StoreRecords, fact: Emptied, placed: ShardPlacement | None) -> bool:
+@guard(
+    "emptied-stays", "configuration.stores:StoreRecords.may_record_removal", "a fact that does not stay true"
+)
+def note_any_fact(stores: StoreRecords, fact: ShardRemoval, placed: ShardPlacement | None) -> bool:
     """Records that a shard left a node whether it stays so or not."""
     return True
 
 
-@guard("new-voter", "configuration.stores:StoreRecords.must_be_emptied", "a voter on a node to be emptied")
+@guard(
+    "new-voter", "configuration.stores:StoreRecords.is_on_retiring_node", "a voter on a node to be emptied"
+)
 def place_anywhere(stores: StoreRecords, replica: str) -> bool:
     """Lets a node that is to be emptied get new voters."""
     return False
 
 
 @guard("emptied-by-owner", "control.store_facts:emptied_evidence", "emptied by the word of a former owner")
-def believe_any_report(node: str, report: ShardReport) -> Emptied | None:
+def believe_any_report(node: str, report: ShardReport) -> ShardRemoval | None:
     """Takes every report as proof, not only that of a stable group's owner."""
-    return Emptied(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
+    return ShardRemoval(node, report.shard, report.epoch, report.committed_voters, report.placement_number)
 
 
 @guard("heard-all", "control.retirement:Retirement.rejection", "refusals by an owner that knows little yet")
--- a/tests/tier/test_configuration_state.py
+++ b/tests/tier/test_configuration_state.py
@@ -15,12 +15,12 @@
 from kestrelbend.tier.configuration.snapshot import SnapshotError
 from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.configuration.stores import (
-    Emptied,
-    KnownDisk,
+    ShardRemoval,
+    DiskRecord,
     decode_disk,
-    decode_emptied,
+    decode_shard_removal,
     encode_disk,
-    encode_emptied,
+    encode_shard_removal,
 )
 from kestrelbend.tier.membership.messages import ShardPlacement
 from tests.tier.test_configuration_document import body, document, route
@@ -51,12 +51,14 @@
 
 def disk(node, replica, serves_storage=True):
     """An order that notes a disk."""
-    return ConfigOrder(int(OrderKind.STORE), 0, encode_disk(KnownDisk(node, replica, serves_storage)))
+    return ConfigOrder(int(OrderKind.DISK), 0, encode_disk(DiskRecord(node, replica, serves_storage)))
 
 
 def emptied(node, group, number=1, shard="budget-0"):
     """An order that notes that a shard is gone from a node."""
-    return ConfigOrder(int(OrderKind.EMPTIED), 0, encode_emptied(Emptied(node, shard, 3, group, number)))
+    return ConfigOrder(
+        int(OrderKind.SHARD_REMOVAL), 0, encode_shard_removal(ShardRemoval(node, shard, 3, group, number))
+    )
 
 
 def retire_state(node):
@@ -318,7 +320,7 @@
         self.assertEqual(self.state.snapshot(), restored.snapshot())
 
     def test_given_what_is_no_disk_and_no_fact_then_it_is_invalid(self):
-        for kind in (OrderKind.STORE, OrderKind.EMPTIED):
+        for kind in (OrderKind.DISK, OrderKind.SHARD_REMOVAL):
             for data in (b"", b"[]", b"{}", b'{"node":"n1","replica":"","shard":"","group":[]}'):
                 self.assertEqual([400], self.answers(ConfigOrder(int(kind), 0, data)))
 
@@ -339,16 +341,16 @@
         self.assertEqual(numbered, decode_placement(encode_placement(numbered)))
 
     def test_given_a_disk_then_its_bytes_are_those_of_earlier_releases(self):
-        known = KnownDisk("n1", "a", True)
+        known = DiskRecord("n1", "a", True)
         stored = b'{"node":"n1","replica":"a","serves_storage":true}'
         self.assertEqual(stored, encode_disk(known))
         self.assertEqual(known, decode_disk(stored))
 
     def test_given_an_emptied_node_then_its_bytes_are_those_of_earlier_releases(self):
-        fact = Emptied("n1", "budget-0", 3, ("b", "c"), 2)
+        fact = ShardRemoval("n1", "budget-0", 3, ("b", "c"), 2)
         stored = b'{"node":"n1","shard":"budget-0","epoch":3,"group":["b","c"],"number":2}'
-        self.assertEqual(stored, encode_emptied(fact))
-        self.assertEqual(fact, decode_emptied(stored))
+        self.assertEqual(stored, encode_shard_removal(fact))
+        self.assertEqual(fact, decode_shard_removal(stored))
 
     def test_given_a_state_then_its_snapshot_has_the_bytes_of_earlier_releases(self):
         state = ConfigurationState()
--- a/tests/tier/test_control_store_facts.py
+++ b/tests/tier/test_control_store_facts.py
@@ -6,7 +6,7 @@
 from kestrelbend.tier.configuration.messages import ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.placements import encode_placement
 from kestrelbend.tier.configuration.state import ConfigurationState
-from kestrelbend.tier.configuration.stores import Emptied, decode_disk, decode_emptied
+from kestrelbend.tier.configuration.stores import ShardRemoval, decode_disk, decode_shard_removal
 from kestrelbend.tier.control.store_facts import due_emptied_orders, emptied_evidence, unknown_disk_orders
 from kestrelbend.tier.membership.messages import Member, ShardPlacement, ShardReport
 from kestrelbend.tier.membership.placement import CONFIGURATION_SHARD
@@ -40,7 +40,7 @@
 
     def emptied_facts(self, *reports):
         orders = due_emptied_orders(self.state, {report.shard: report for report in reports})
-        return [decode_emptied(order.body) for order in orders]
+        return [decode_shard_removal(order.body) for order in orders]
 
     def test_only_unknown_disks_are_recorded(self):
         members = [member("a"), member("e"), member("gateway", replica=""), member("a", replica="a:1#y")]
@@ -48,7 +48,7 @@
         self.assertEqual(["e:1#x", "a:1#y"], recorded)
 
     def test_report_of_a_stable_group_by_its_owner_records_the_emptied_node_once(self):
-        fact = Emptied("a", "budget-0", 4, VOTERS, 2)
+        fact = ShardRemoval("a", "budget-0", 4, VOTERS, 2)
         self.assertEqual([fact], self.emptied_facts(REPORT))
         self.apply(due_emptied_orders(self.state, {"budget-0": REPORT}))
         self.assertEqual([], self.emptied_facts(REPORT))
--- a/tests/tier/test_recorded_wire.py
+++ b/tests/tier/test_recorded_wire.py
@@ -13,12 +13,12 @@
 from kestrelbend.tier.configuration.placements import decode_placement, encode_placement
 from kestrelbend.tier.configuration.state import ConfigurationState
 from kestrelbend.tier.configuration.stores import (
-    Emptied,
-    KnownDisk,
+    ShardRemoval,
+    DiskRecord,
     decode_disk,
-    decode_emptied,
+    decode_shard_removal,
     encode_disk,
-    encode_emptied,
+    encode_shard_removal,
 )
 from kestrelbend.tier.membership.messages import ConfigUpdate, ShardPlacement
 from kestrelbend.tier.protocol.codec import MESSAGES, decode_with_sequence, encode
@@ -86,14 +86,14 @@
 
     def test_given_disks_then_their_bodies_are_as_before(self):
         for values, body in BODIES["disks"]:
-            self.assertEqual(body.encode(), encode_disk(KnownDisk(*values)))
-            self.assertEqual(KnownDisk(*values), decode_disk(body.encode()))
+            self.assertEqual(body.encode(), encode_disk(DiskRecord(*values)))
+            self.assertEqual(DiskRecord(*values), decode_disk(body.encode()))
 
     def test_given_emptied_nodes_then_their_bodies_are_as_before(self):
         for values, body in BODIES["emptied"]:
-            emptied = Emptied(*tuples(values))
-            self.assertEqual(body.encode(), encode_emptied(emptied))
-            self.assertEqual(emptied, decode_emptied(body.encode()))
+            emptied = ShardRemoval(*tuples(values))
+            self.assertEqual(body.encode(), encode_shard_removal(emptied))
+            self.assertEqual(emptied, decode_shard_removal(body.encode()))
 
     def test_given_groups_then_their_entries_are_as_before(self):
         for (voters, number), data in BODIES["groups"]:
