--- a/kestrelbend/tier/configuration/stream.py
+++ b/kestrelbend/tier/configuration/stream.py
@@ -57,19 +57,19 @@
         """A gateway that serves by `version` (0: none) wants what is newer, or notices of it."""
         self._subscribers[connection] = _Subscriber(connection, with_bodies, version, version)
 
-    def lost(self, connection: GatewayConnection) -> None:
+    def connection_lost(self, connection: GatewayConnection) -> None:
         """A connection ended; it needs not be a gateway's."""
         if self._subscribers.pop(connection, None) is not None:
             self._release()
 
-    def acknowledged(self, connection: GatewayConnection, version: int) -> None:
+    def record_ack(self, connection: GatewayConnection, version: int) -> None:
         """A gateway serves by this version."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
             subscriber.acknowledged = max(subscriber.acknowledged, version)
             self._release()
 
-    def stream(self, version: int, body: bytes, current: bool) -> None:
+    def publish(self, version: int, body: bytes, current: bool) -> None:
         """Brings every gateway to this version; one encoding serves all."""
         complete: bytes | None = None
         notice: bytes | None = None
@@ -87,7 +87,7 @@
             subscriber.sent = version
             subscriber.notified_current = subscriber.notified_current or current
 
-    async def until_acknowledged(self, version: int, within: float = ACK_TIMEOUT_S) -> None:
+    async def wait_for_acks(self, version: int, within: float = ACK_TIMEOUT_S) -> None:
         """Returns once all gateways here serve by `version`, or after `within` seconds.
 
         It never takes more than `ACK_TIMEOUT_S`: a gateway that does not answer delays no operator for long.
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -90,7 +90,7 @@
             cast(HostedShards, self.host),  # outcomes of its shard are the configuration machine's
             self.connections,
             self.now,
-            self.config_stream.until_acknowledged,
+            self.config_stream.wait_for_acks,
             self.environment.run_off_loop,
         )
         self._streams = ControlStreams(
@@ -171,7 +171,7 @@
             case Subscribe():
                 self._streams.subscribe(connection, message)
             case ConfigAck():
-                self.config_stream.acknowledged(connection, message.version)
+                self.config_stream.record_ack(connection, message.version)
             case ConfigFetch():
                 self._streams.send_newer_configuration(connection, message.version)
             case BackendAck():
--- a/kestrelbend/tier/roles/control_streams.py
+++ b/kestrelbend/tier/roles/control_streams.py
@@ -51,14 +51,14 @@
     def lost(self, connection: PeerConnection) -> None:
         """The connection ended; whoever waits for its acknowledgements waits no longer."""
         self._exchange.connection_lost(connection)
-        self._config_stream.lost(connection)
+        self._config_stream.connection_lost(connection)
         self._directory_stream.connection_lost(connection)
 
     def stream_configuration(self) -> None:
         """Sends the version applied here to those that don't have it, or not as the current one."""
         state = self._configuration.state
         if state.version:
-            self._config_stream.stream(state.version, state.body, self._is_current())
+            self._config_stream.publish(state.version, state.body, self._is_current())
 
     def send_newer_configuration(self, connection: PeerConnection, known_version: int) -> None:
         """Answers a gateway that heard of a newer version than it has."""
--- a/tests/tier/test_streams.py
+++ b/tests/tier/test_streams.py
@@ -45,25 +45,25 @@
     def test_late_or_duplicate_versions_are_not_sent_to_a_subscriber(self):
         self.stream.subscribe(self.connection, 0)
         for version in (3, 3, 2, 5):
-            self.stream.stream(version, b"{}", current=True)
+            self.stream.publish(version, b"{}", current=True)
         self.assertEqual([3, 5], [update.version for update in self.connection.sent])
 
     def test_confirmation_of_a_version_is_sent_once(self):
         self.stream.subscribe(self.connection, 0)
-        self.stream.stream(3, b"{}", current=False)
-        self.stream.stream(3, b"{}", current=True)
-        self.stream.stream(3, b"{}", current=True)
+        self.stream.publish(3, b"{}", current=False)
+        self.stream.publish(3, b"{}", current=True)
+        self.stream.publish(3, b"{}", current=True)
         expected = [ConfigUpdate(3, False, b"{}"), ConfigUpdate(3, True, b"")]
         self.assertEqual(expected, self.connection.sent)
 
     def test_subscriber_with_a_newer_version_gets_no_update(self):
         self.stream.subscribe(self.connection, 9)
-        self.stream.stream(3, b"{}", current=True)
+        self.stream.publish(3, b"{}", current=True)
         self.assertEqual([], self.connection.sent)
 
     def test_subscriber_without_bodies_gets_only_the_version(self):
         self.stream.subscribe(self.connection, 2, with_bodies=False)
-        self.stream.stream(3, b"{}", current=True)
+        self.stream.publish(3, b"{}", current=True)
         self.assertEqual([ConfigUpdate(3, True, b"")], self.connection.sent)
 
     def test_wait_for_acknowledgements_ends_when_all_acknowledge_or_disconnect(self):
@@ -71,12 +71,12 @@
             other = FakeConnection()
             for connection in (self.connection, other):
                 self.stream.subscribe(connection, 0)
-            waiting = asyncio.ensure_future(self.stream.until_acknowledged(4))
+            waiting = asyncio.ensure_future(self.stream.wait_for_acks(4))
             await asyncio.sleep(0)
-            self.stream.acknowledged(self.connection, 4)
+            self.stream.record_ack(self.connection, 4)
             await asyncio.sleep(0)
             self.assertFalse(waiting.done())
-            self.stream.lost(other)
+            self.stream.connection_lost(other)
             await waiting
 
         asyncio.run(run_scenario())
