--- a/kestrelbend/tier/configuration/announced_versions.py
+++ b/kestrelbend/tier/configuration/announced_versions.py
@@ -25,7 +25,7 @@
         if self._due_at is None:
             self._due_at = now + FETCH_DELAY_S
 
-    def next_to_ask(self, current: int, now: float) -> str | None:
+    def next_fetch_address(self, current: int, now: float) -> str | None:
         """The control node to ask now, if any, by the version that is in force here."""
         if self._due_at is None:
             return None
--- a/kestrelbend/tier/roles/gateway_configuration.py
+++ b/kestrelbend/tier/roles/gateway_configuration.py
@@ -52,7 +52,7 @@
 
     def fetch_due(self, now: float) -> None:
         """Asks for a version that was announced and has not come."""
-        address = self._announced.next_to_ask(self._routing.version, now)
+        address = self._announced.next_fetch_address(self._routing.version, now)
         connection = None if address is None else self._connections.to(address)
         if connection is not None:
             connection.send(ConfigFetch(self._routing.version))
--- a/tests/tier/test_announced.py
+++ b/tests/tier/test_announced.py
@@ -16,23 +16,23 @@
 
     def test_given_the_body_comes_in_time_then_nobody_is_asked(self):
         self.announced.record("a", 5, 0.0)
-        self.assertIsNone(self.announced.next_to_ask(5, FETCH_DELAY_S))
-        self.assertIsNone(self.announced.next_to_ask(5, 10.0))
+        self.assertIsNone(self.announced.next_fetch_address(5, FETCH_DELAY_S))
+        self.assertIsNone(self.announced.next_fetch_address(5, 10.0))
 
     def test_given_it_does_not_come_then_announcers_are_asked_in_turn(self):
         self.announced.record("a", 5, 0.0)
         self.announced.record("b", 5, 0.01)
-        self.assertIsNone(self.announced.next_to_ask(4, FETCH_DELAY_S - 0.01))
-        first = self.announced.next_to_ask(4, FETCH_DELAY_S)
-        self.assertIsNone(self.announced.next_to_ask(4, FETCH_DELAY_S + 0.01))
-        second = self.announced.next_to_ask(4, FETCH_DELAY_S + FETCH_INTERVAL_S)
+        self.assertIsNone(self.announced.next_fetch_address(4, FETCH_DELAY_S - 0.01))
+        first = self.announced.next_fetch_address(4, FETCH_DELAY_S)
+        self.assertIsNone(self.announced.next_fetch_address(4, FETCH_DELAY_S + 0.01))
+        second = self.announced.next_fetch_address(4, FETCH_DELAY_S + FETCH_INTERVAL_S)
         self.assertEqual({"a", "b"}, {first, second})
 
     def test_given_one_who_announced_an_older_version_then_it_is_not_asked(self):
         self.announced.record("old", 4, 0.0)
         self.announced.record("new", 5, 0.0)
         asked = {
-            self.announced.next_to_ask(4, FETCH_DELAY_S + turn * (FETCH_INTERVAL_S + 0.01))
+            self.announced.next_fetch_address(4, FETCH_DELAY_S + turn * (FETCH_INTERVAL_S + 0.01))
             for turn in range(4)
         }
         self.assertEqual({"new"}, asked)
