--- a/kestrelbend/command/checking.py
+++ b/kestrelbend/command/checking.py
@@ -128,9 +128,9 @@
 
 def check_document(path: Path) -> None:
     """A whole configuration, as an operator puts it to the tier."""
-    from kestrelbend.tier.configuration.checks import document_faults
+    from kestrelbend.tier.configuration.checks import find_document_errors
 
-    faults = document_faults(path.read_bytes())
+    faults = find_document_errors(path.read_bytes())
     if faults:
         raise wrong("\n".join(f"{path}: {fault.reason}" for fault in faults))
 
--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -1,7 +1,7 @@
 """Whether an operator's document may be accepted: its bytes, its schema, and what only shows when its parts
 are looked at together.
 
-Invariant: `document_faults` is empty for exactly the documents that `check_document` lets pass, and begins
+Invariant: `find_document_errors` is empty for exactly the documents that `check_document` lets pass, and begins
 with the rejection that it raises; `check_document` stops there, as it stands in the way of an answer.
 """
 
@@ -71,7 +71,7 @@
         raise InvalidDocument(fault)
 
 
-def document_faults(body: bytes) -> tuple[DocumentRejection, ...]:
+def find_document_errors(body: bytes) -> tuple[DocumentRejection, ...]:
     """All that is wrong with a configuration; a route that doesn't fit its schema isn't looked at further."""
     try:
         values = decode(body)
--- a/tests/tier/test_configuration_document.py
+++ b/tests/tier/test_configuration_document.py
@@ -7,7 +7,7 @@
 import testtools
 from hypothesis import strategies
 
-from kestrelbend.tier.configuration.checks import document_faults
+from kestrelbend.tier.configuration.checks import find_document_errors
 from kestrelbend.tier.configuration.document import Document, Patch, apply_patch, parse_patch, parse_put
 from kestrelbend.tier.configuration.document_errors import DocumentRejection
 
@@ -151,7 +151,7 @@
         for parse in (parse_put, parse_patch):
             result = parse(data)
             self.assertIsInstance(result, (DocumentRejection, Document, Patch))
-        self.assertEqual((parse_put(data),), document_faults(data))
+        self.assertEqual((parse_put(data),), find_document_errors(data))
 
     @hypothesis.settings(REPEATABLE, max_examples=300)
     @hypothesis.given(strategies.data())
@@ -168,7 +168,7 @@
             sent = values if name == "put" else {"Ver": values.get("Ver"), "Upsert": without_version(values)}
             result = parse(body(sent))
             if name == "put":
-                self.assertEqual(document_faults(body(sent))[:1], (result,) if code(result) else ())
+                self.assertEqual(find_document_errors(body(sent))[:1], (result,) if code(result) else ())
             if not isinstance(result, DocumentRejection):
                 assert_valid(self, json.loads(result.body))
 
@@ -182,7 +182,7 @@
             {"Name": "six"},
         ]
         sent = body(document(version=0, Routes=routes, Limits={"MaxBodyBytes": -1}))
-        faults = document_faults(sent)
+        faults = find_document_errors(sent)
         self.assertEqual(
             [
                 "configuration: Ver: 0 is not allowed",
@@ -206,7 +206,7 @@
 
     def test_given_parts_of_another_kind_then_their_faults_are_told_and_nothing_fails(self):
         for values in ({}, {"Ver": 1, "Routes": 5, "Services": [1]}, {"Routes": [route("a", "/a/"), 7]}):
-            faults = document_faults(body(values))
+            faults = find_document_errors(body(values))
             self.assertEqual({"wrong_form"}, {fault.code for fault in faults})
             self.assertEqual(parse_put(body(values)), faults[0])
 
