--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -1,8 +1,9 @@
 """Whether an operator's document may be accepted: its bytes, its schema, and what only shows when its parts
 are looked at together.
 
-Invariant: `find_document_errors` is empty for exactly the documents that `check_document` lets pass, and begins
-with the rejection that it raises; `check_document` stops there, as it stands in the way of an answer.
+Invariant: `find_document_errors` returns nothing for exactly the documents that `check_document` accepts, and
+its first item is the rejection that `check_document` raises.  `check_document` stops at the first error
+because a response waits for it.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/configuration/store_orders.py
+++ b/kestrelbend/tier/configuration/store_orders.py
@@ -1,8 +1,8 @@
 """Orders on nodes that are to be emptied: to empty one, to record its disks, to record what it holds no more.
 
 A `Retire.Start` of the operator makes a node *retiring*: it is to be emptied and gets no replica any more.
-Each shard that has left it is recorded by a `ShardRemoval`; with the last one the node's state is complete, and
-the operator may take the machine away.
+Each shard that has left it is recorded by a `ShardRemoval`; with the last one the node's state is complete,
+and the operator may take the machine away.
 
 Each function here gives the answer to an order that changes nothing, or None: then it must be applied.
 """
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -1,8 +1,8 @@
 """Which disks are known, which nodes are to be emptied, and what is known to be empty: committed facts.
 
-Invariant: a node counts as empty only by facts that stay true.  A `ShardRemoval` names a committed group without
-the node, moved there by a placement without it; later placements have higher numbers, none of them may add
-a disk of a node that is to be emptied, and no group follows a lower number than its own.
+Invariant: a node counts as empty only by facts that stay true.  A `ShardRemoval` names a committed group
+without the node, moved there by a placement without it; later placements have higher numbers, none of them
+may add a disk of a node that is to be emptied, and no group follows a lower number than its own.
 """
 
 from __future__ import annotations
