--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -76,7 +76,7 @@
         return self.state
 
 
-class ConfigurationMachine:
+class ConfigurationStateMachine:
     """The configuration's state as a shard's state machine."""
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
     @property
     def state(self) -> ConfigurationState:
         """The state as far as this replica has applied it; raises `ShardNotOpen`."""
-        machine: ConfigurationMachine | None = self._host.state_machine(CONFIGURATION_SHARD)
+        machine: ConfigurationStateMachine | None = self._host.state_machine(CONFIGURATION_SHARD)
         if machine is None:
             raise ShardNotOpen
         return machine.state
--- a/kestrelbend/tier/model/orders.py
+++ b/kestrelbend/tier/model/orders.py
@@ -19,7 +19,7 @@
 
 from ..configuration.document_orders import checked_entry
 from ..configuration.messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind
-from ..configuration.shard_service import ConfigurationMachine, ConfigurationService
+from ..configuration.shard_service import ConfigurationService, ConfigurationStateMachine
 from ..configuration.statuses import OK
 from ..fleet.operator import marker_route, route, services
 from ..protocol.codec import encode
@@ -66,11 +66,11 @@
     def __init__(self, world: OrderWorld, node: Node) -> None:
         self._world = world
         self._node = node
-        self.configuration = ConfigurationMachine()
+        self.configuration = ConfigurationStateMachine()
         self.proposals: dict[int, PendingProposal] = {}  # by index
         self.pending_reads: dict[int, Callable[[bool], None]] = {}  # by ticket
 
-    def state_machine(self, shard: str) -> ConfigurationMachine:
+    def state_machine(self, shard: str) -> ConfigurationStateMachine:
         """Returns the node's configuration."""
         return self.configuration
 
@@ -171,7 +171,7 @@
 
     def check_final_state(self) -> None:
         """Checks that acknowledged orders took effect and refused orders did not."""
-        state = ConfigurationMachine()
+        state = ConfigurationStateMachine()
         accepted_orders = set()
         for entry in self.invariants.history:
             if entry.kind == EntryKind.COMMAND and entry.data != b"calm":
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -22,8 +22,8 @@
 from ..configuration.shard_service import (
     FORWARD_TIMEOUT_S,
     NOT_OWNER,
-    ConfigurationMachine,
     ConfigurationService,
+    ConfigurationStateMachine,
 )
 from ..configuration.stream import ConfigStream
 from ..control.backend_reports import BackendReports
@@ -109,7 +109,7 @@
     def machine_for(self, shard: ShardId) -> StateMachine:
         """The configuration's state, or a budget table where stores are too few."""
         if shard == CONFIGURATION_SHARD:
-            return ConfigurationMachine()
+            return ConfigurationStateMachine()
         return self.budgets.create_state_machine(shard)
 
     def hosts_shard(self, shard: ShardId) -> bool:
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -12,7 +12,7 @@
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import (
     LARGE_BYTES,
-    ConfigurationMachine,
+    ConfigurationStateMachine,
     ConfigurationService,
     ShardNotOpen,
 )
@@ -298,7 +298,7 @@
 
     def play(self, story):
         async def whole():
-            self.machine = ConfigurationMachine()
+            self.machine = ConfigurationStateMachine()
             self.host = Host(self.machine)
             self.accepted = []
             loop = asyncio.get_running_loop()
--- a/tests/tier/test_recorded_disk.py
+++ b/tests/tier/test_recorded_disk.py
@@ -9,7 +9,7 @@
 import testtools
 
 from kestrelbend.tier.budgets.state_machine import BudgetStateMachine
-from kestrelbend.tier.configuration.shard_service import ConfigurationMachine
+from kestrelbend.tier.configuration.shard_service import ConfigurationStateMachine
 from kestrelbend.tier.protocol.codec import decode, encode
 from kestrelbend.tier.replication.durable import replay
 from kestrelbend.tier.replication.messages import EntryKind
@@ -24,7 +24,7 @@
 
 def new_state_machine(shard):
     """Returns an empty state machine for a shard."""
-    return ConfigurationMachine() if shard == CONFIGURATION_SHARD else BudgetStateMachine()
+    return ConfigurationStateMachine() if shard == CONFIGURATION_SHARD else BudgetStateMachine()
 
 
 def state_of(shard, durable):
