--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -37,7 +37,7 @@
         base = _base_version(call.base)
         if base is None:
             return rejected(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
-        outcome = await self._port.order(ConfigOrder(int(kind), base, call.body))
+        outcome = await self._port.submit_order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == OK:
             return json_answer(OK, {"Ver": outcome.version})
         if outcome.status == UNDETERMINED:
--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -37,7 +37,7 @@
 class ControlPort(Protocol):
     """The control node behind the API."""
 
-    async def order(self, order: ConfigOrder) -> ConfigOutcome:
+    async def submit_order(self, order: ConfigOrder) -> ConfigOutcome:
         """Carries an order on the configuration out, here or at the shard's owner."""
 
     async def read(self) -> ReadReply:
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -3,7 +3,7 @@
 The shard's owner decides.  A rejection is given only after the owner has confirmed that it still is the
 owner, since a former one would reject by an old version; an acceptance is a committed entry.
 
-The life of an order (`ConfigurationService.order`, `decide`):
+The life of an order (`ConfigurationService.submit`, `decide`):
 
     received      at any control node (`operator_api`)
        |          forwarded to the owner that this node's replica knows, again every `ATTEMPT_INTERVAL_S`;
@@ -143,7 +143,7 @@
             raise ShardNotOpen
         return replica
 
-    async def order(self, order: ConfigOrder) -> ConfigOutcome:
+    async def submit(self, order: ConfigOrder) -> ConfigOutcome:
         """The outcome; `UNDETERMINED` where no owner said anything clear in time."""
         deadline = self._now() + ANSWER_TIMEOUT_S
         while True:
--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -49,12 +49,12 @@
 
     async def start(self, node: str) -> RetireOutcome:
         """Starts to move all replicas away from a store."""
-        outcome = await self._configuration.order(ConfigOrder(OrderKind.RETIRE, 0, node.encode()))
+        outcome = await self._configuration.submit(ConfigOrder(OrderKind.RETIRE, 0, node.encode()))
         return OUTCOME_BY_STATUS.get(outcome.status, RetireOutcome.UNAVAILABLE)
 
     async def state(self, node: str) -> RetireState:
         """Returns COMPLETE once every shard has left the node according to the confirmed owner's state."""
-        outcome = await self._configuration.order(ConfigOrder(OrderKind.RETIRE_STATE, 0, node.encode()))
+        outcome = await self._configuration.submit(ConfigOrder(OrderKind.RETIRE_STATE, 0, node.encode()))
         return RetireState(outcome.reason) if outcome.status == OK else RetireState.UNAVAILABLE
 
     def rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
--- a/kestrelbend/tier/roles/control_operations.py
+++ b/kestrelbend/tier/roles/control_operations.py
@@ -31,9 +31,9 @@
     retirement: Retirement
     now: Callable[[], float]
 
-    async def order(self, order: ConfigOrder) -> ConfigOutcome:
+    async def submit_order(self, order: ConfigOrder) -> ConfigOutcome:
         """An order on the configuration, here or at the shard's owner."""
-        return await self.configuration.order(order)
+        return await self.configuration.submit(order)
 
     async def read(self) -> ReadReply:
         """The newest configuration."""
--- a/tests/tier/test_configuration_operator_api.py
+++ b/tests/tier/test_configuration_operator_api.py
@@ -28,7 +28,7 @@
     def status(self):
         return self.told
 
-    async def order(self, order):
+    async def submit_order(self, order):
         self.calls.append(order)
         return self.outcome
 
