--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -238,11 +238,11 @@
 
     async def _attempt_read(self, deadline: float) -> ReadReply:
         if self.replica.is_leader:
-            return await self.read_here(deadline - self._now())
+            return await self.read_as_owner(deadline - self._now())
         reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), deadline)
         return reply if isinstance(reply, ReadReply) else NOT_READ
 
-    async def read_here(self, within: float = ANSWER_TIMEOUT_S) -> ReadReply:
+    async def read_as_owner(self, within: float = ANSWER_TIMEOUT_S) -> ReadReply:
         """As the owner: the state, once confirmed within so many seconds to be the newest."""
         if not await self._confirmed(within):
             return NOT_READ
--- a/kestrelbend/tier/roles/control.py
+++ b/kestrelbend/tier/roles/control.py
@@ -182,7 +182,7 @@
             case ConfigOrder():
                 self.spawn(_reply_with(connection, sequence, self._decide(message)))
             case ReadRequest():
-                self.spawn(_reply_with(connection, sequence, self.configuration.read_here()))
+                self.spawn(_reply_with(connection, sequence, self.configuration.read_as_owner()))
             case BudgetRequest():
                 self.budgets.request(message, lambda reply: connection.reply(sequence, reply))
 
