--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -1,6 +1,6 @@
 """Which route a request takes: a table built once for each version of the configuration.
 
-Invariant: `route` gives the route of the request's host with the longest `PathPrefix` that begins its path.
+Invariant: `find_route` gives the route of the request's host with the longest `PathPrefix` that begins its path.
 """
 
 from __future__ import annotations
@@ -132,7 +132,7 @@
             limits=_limits(document.get("Limits") or {}),
         )
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """The route for a request's `Host` header and its path (without the query), if there is one."""
         routes = self._hosts.get(host)
         if routes is None:
--- a/kestrelbend/tier/dataplane/reading.py
+++ b/kestrelbend/tier/dataplane/reading.py
@@ -107,7 +107,7 @@
 
     def route(self, table: ports.RoutingTable) -> ports.Route | None:
         """The request's route in `table`, if any."""
-        return table.route(self.fields.get(b"host", b"").decode("latin1"), self.path)
+        return table.find_route(self.fields.get(b"host", b"").decode("latin1"), self.path)
 
     def allowed_s(self, route: ports.Route) -> float:
         """Seconds that the request may take: the client's deadline, capped by the route's timeout."""
--- a/tests/tier/test_configuration_routing.py
+++ b/tests/tier/test_configuration_routing.py
@@ -19,7 +19,7 @@
     """Routes by host and path."""
 
     def name_at(self, routes, host, path):
-        found = routes.route(host, path)
+        found = routes.find_route(host, path)
         return found.name if found else None
 
     def test_given_several_prefixes_then_the_longest_that_begins_the_path_wins(self):
@@ -64,8 +64,8 @@
         routes = table(
             split("w", "/w/", ("blue", 90), ("green", 0)), split("f", "/f/", ("blue", 0.25), ("green", 0.75))
         )
-        self.assertEqual((("blue", 90),), routes.route("a.example", "/w/").targets)
-        self.assertEqual((("blue", 250), ("green", 750)), routes.route("a.example", "/f/").targets)
+        self.assertEqual((("blue", 90),), routes.find_route("a.example", "/w/").targets)
+        self.assertEqual((("blue", 250), ("green", 750)), routes.find_route("a.example", "/f/").targets)
 
     def test_given_a_document_then_services_and_limits_have_defaults(self):
         engine = {"Slots": 16, "KvTokens": 500, "Stride": 8, "Models": [{"Name": "m"}]}
@@ -75,7 +75,7 @@
         self.assertEqual((16, 500, 8, True), (blue.slots, blue.kv_tokens, blue.stride, blue.is_model))
         self.assertEqual(("/up", 7, False), (green.health_path, green.max_conns, green.is_model))
         self.assertEqual(Limits(idle_timeout_ms=900), routes.limits)
-        self.assertEqual((5, 4000), (routes.version, routes.route("a.example", "/x/").slo_ms))
+        self.assertEqual((5, 4000), (routes.version, routes.find_route("a.example", "/x/").slo_ms))
 
     def test_given_no_configuration_then_there_is_no_route(self):
-        self.assertIsNone(RoutingTable.empty().route("a.example", "/"))
+        self.assertIsNone(RoutingTable.empty().find_route("a.example", "/"))
