--- a/kestrelbend/tier/configuration/document_orders.py
+++ b/kestrelbend/tier/configuration/document_orders.py
@@ -124,7 +124,7 @@
         if accepted is not None:
             return accepted_before(accepted)
         if order.base_version != self.version:
-            return self._other_base(order)
+            return self._base_mismatch_outcome(order)
         self._accept(order, self._valid_document(order, digest))
         return accepted_now(self.version)
 
@@ -192,8 +192,8 @@
             oldest = next(iter(self._evaluations))
             size -= self._evaluations.pop(oldest).size
 
-    def _other_base(self, order: ConfigOrder) -> ConfigOutcome:
-        return other_base(order, self.version, self._forgotten_version)
+    def _base_mismatch_outcome(self, order: ConfigOrder) -> ConfigOutcome:
+        return base_mismatch_outcome(order, self.version, self._forgotten_version)
 
 
 def evaluate(order: ConfigOrder, current: Document | None, forgotten_version: int) -> EvaluationResult:
@@ -205,7 +205,7 @@
     if change.version <= order.base_version and order.base_version >= version:
         return ConfigOutcome(INVALID, version, f"version {change.version} is not above {order.base_version}")
     if order.base_version != version:
-        return other_base(order, version, forgotten_version)
+        return base_mismatch_outcome(order, version, forgotten_version)
     if isinstance(change, Document):
         return change
     if current is None:
@@ -228,7 +228,7 @@
     return ConfigOutcome(INVALID, version, f"{rejection.code}: {rejection.reason}")
 
 
-def other_base(order: ConfigOrder, version: int, forgotten_version: int) -> ConfigOutcome:
+def base_mismatch_outcome(order: ConfigOrder, version: int, forgotten_version: int) -> ConfigOutcome:
     """The answer to an order on another version than the current one.
 
     A base that may yet become current, or that is so old that the order may have been accepted and
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -63,7 +63,7 @@
         return accepted_before(version)
     if known is not None and known.founders != placement.founders:
         return ConfigOutcome(PRECONDITION_FAILED, version, f"shard {placement.shard} has other founders")
-    if not follows(placement, known):
+    if not is_successor(placement, known):
         reason = f"placement {placement.number} does not follow the one in force"
         return ConfigOutcome(PRECONDITION_FAILED, version, reason)
     voters = known.voters if known is not None else ()
@@ -73,7 +73,7 @@
     return None
 
 
-def follows(placement: ShardPlacement, known: ShardPlacement | None) -> bool:
+def is_successor(placement: ShardPlacement, known: ShardPlacement | None) -> bool:
     """Whether a placement may take the place of the one known: its number is the next one.
 
     Those without numbers are of journals that were begun before there were any.
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -1,6 +1,7 @@
-"""Which route a request takes: a table built once for each version of the configuration.
+"""The routing table, built once for each version of the configuration.
 
-Invariant: `find_route` gives the route of the request's host with the longest `PathPrefix` that begins its path.
+Invariant: `find_route` returns the route of the request's host with the longest `PathPrefix` that matches the
+request's path.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/fleet/mutations/contact.py
+++ b/kestrelbend/tier/fleet/mutations/contact.py
@@ -126,14 +126,16 @@
     roles.reads.record_answer(reply.ticket, reply.index)
 
 
-@guard("other-base", "configuration.document_orders:other_base", "refusals that do not last")
+@guard("other-base", "configuration.document_orders:base_mismatch_outcome", "refusals that do not last")
 def refuse_any_base(order: ConfigOrder, version: int, forgotten_version: int) -> ConfigOutcome:
     """Rejects an order on another version with a final 412, whatever that version is."""
     return ConfigOutcome(412, version, "another version is current")
 
 
 @guard(
-    "checked-base", "configuration.document_orders:DocumentOrders._other_base", "refusals that do not last"
+    "checked-base",
+    "configuration.document_orders:DocumentOrders._base_mismatch_outcome",
+    "refusals that do not last",
 )
 def refuse_any_base_of_a_checked_entry(state: DocumentOrders, order: ConfigOrder) -> ConfigOutcome:
     """Rejects a checked entry on another version with a final 412."""
--- a/kestrelbend/tier/fleet/mutations/groups.py
+++ b/kestrelbend/tier/fleet/mutations/groups.py
@@ -59,7 +59,9 @@
     return True
 
 
-@guard("placement-order", "configuration.placements:follows", "an old placement put in a newer one's place")
+@guard(
+    "placement-order", "configuration.placements:is_successor", "an old placement put in a newer one's place"
+)
 def take_any_placement(placement: ShardPlacement, known: ShardPlacement | None) -> bool:
     """Takes a placement of any number in place of the one known."""
     return True
