--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -70,7 +70,7 @@
     services: dict = attrs.field(factory=lambda: {"models": Service()})
     limits: Limits = Limits()
 
-    def route(self, host: str, path: str) -> Route:
+    def find_route(self, host: str, path: str) -> Route:
         return Route()
 
 
--- a/kestrelbend/tier/configuration/backend_calls.py
+++ b/kestrelbend/tier/configuration/backend_calls.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from kestrelbend.tier.configuration.http_answers import (
-    Answer,
-    json_answer,
-    rejected,
-    status_answer,
+    ApiResponse,
+    error_response,
+    json_response,
+    status_response,
 )
 from kestrelbend.tier.configuration.json_codec import decode_object
 from kestrelbend.tier.configuration.operator_call import Call
@@ -26,17 +26,17 @@
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
-    async def heartbeat(self, call: Call) -> Answer:
+    async def heartbeat(self, call: Call) -> ApiResponse:
         """Takes a heartbeat; the answer may name an address for the next ones."""
         report = decode_object(call.body)
         if report is None:
-            return rejected(INVALID, "the report is no JSON object")
+            return error_response(INVALID, "the report is no JSON object")
         outcome = await self._port.backend_heartbeat(call.name, report)
         url = self._port.heartbeat_url()
         if outcome is ReportOutcome.ACCEPTED and url:
-            return json_answer(OK, {"BeatUrl": url})
-        return status_answer(REPORT_STATUS[outcome])
+            return json_response(OK, {"BeatUrl": url})
+        return status_response(REPORT_STATUS[outcome])
 
-    async def leave(self, call: Call) -> Answer:
+    async def leave(self, call: Call) -> ApiResponse:
         """Takes a backend's report that it is gone; the body does not matter."""
-        return status_answer(REPORT_STATUS[await self._port.leave(call.name)])
+        return status_response(REPORT_STATUS[await self._port.leave(call.name)])
--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from kestrelbend.tier.configuration.http_answers import Answer, json_answer, rejected, unavailable
+from kestrelbend.tier.configuration.http_answers import (
+    ApiResponse,
+    error_response,
+    json_response,
+    unavailable_response,
+)
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.operator_call import Call
 from kestrelbend.tier.configuration.ports import ControlPort
@@ -16,33 +21,33 @@
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
-    async def put(self, call: Call) -> Answer:
+    async def put(self, call: Call) -> ApiResponse:
         """Gives a complete configuration."""
         return await self._order(OrderKind.PUT, call)
 
-    async def patch(self, call: Call) -> Answer:
+    async def patch(self, call: Call) -> ApiResponse:
         """Changes the current configuration."""
         return await self._order(OrderKind.PATCH, call)
 
-    async def get(self, call: Call) -> Answer:
+    async def get(self, call: Call) -> ApiResponse:
         """The newest configuration, byte for byte."""
         reply = await self._port.read()
         if not reply.owner:
-            return unavailable()
+            return unavailable_response()
         if not reply.body:
-            return rejected(NOT_FOUND, "there is no configuration yet")
-        return Answer(OK, bytes(reply.body))
+            return error_response(NOT_FOUND, "there is no configuration yet")
+        return ApiResponse(OK, bytes(reply.body))
 
-    async def _order(self, kind: OrderKind, call: Call) -> Answer:
+    async def _order(self, kind: OrderKind, call: Call) -> ApiResponse:
         base = _base_version(call.base)
         if base is None:
-            return rejected(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
+            return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
         outcome = await self._port.submit_order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == OK:
-            return json_answer(OK, {"Ver": outcome.version})
+            return json_response(OK, {"Ver": outcome.version})
         if outcome.status == UNDETERMINED:
-            return unavailable()
-        return json_answer(outcome.status, {"Error": outcome.reason, "Ver": outcome.version})
+            return unavailable_response()
+        return json_response(outcome.status, {"Error": outcome.reason, "Ver": outcome.version})
 
 
 def _base_version(value: bytes | None) -> int | None:
--- a/kestrelbend/tier/configuration/http_answers.py
+++ b/kestrelbend/tier/configuration/http_answers.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Answer:
+class ApiResponse:
     """A status and a JSON body; `allow` is the method to be used where another one was."""
 
     status: int
@@ -19,23 +19,23 @@
     allow: str = ""
 
 
-def json_answer(status: int, values: dict[str, Any]) -> Answer:
+def json_response(status: int, values: dict[str, Any]) -> ApiResponse:
     """An answer whose body is an object."""
-    return Answer(status, encode_json(values))
+    return ApiResponse(status, encode_json(values))
 
 
-def rejected(status: int, reason: str) -> Answer:
+def error_response(status: int, reason: str) -> ApiResponse:
     """An answer that says why a call is not carried out."""
-    return json_answer(status, {"Error": reason})
+    return json_response(status, {"Error": reason})
 
 
-def unavailable() -> Answer:
+def unavailable_response() -> ApiResponse:
     """The answer that promises nothing: the caller may ask again, any node."""
-    return rejected(UNAVAILABLE, "can't be answered here now")
+    return error_response(UNAVAILABLE, "can't be answered here now")
 
 
-def status_answer(status: int) -> Answer:
+def status_response(status: int) -> ApiResponse:
     """An answer whose status says it all."""
     if status == UNAVAILABLE:
-        return unavailable()
-    return json_answer(status, {} if status < 300 else {"Error": "refused"})
+        return unavailable_response()
+    return json_response(status, {} if status < 300 else {"Error": "refused"})
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -16,10 +16,10 @@
 from kestrelbend.tier.configuration.backend_calls import BackendCalls
 from kestrelbend.tier.configuration.config_calls import ConfigCalls
 from kestrelbend.tier.configuration.http_answers import (
-    Answer,
-    json_answer,
-    rejected,
-    unavailable,
+    ApiResponse,
+    error_response,
+    json_response,
+    unavailable_response,
 )
 from kestrelbend.tier.configuration.operator_call import Call, Handler
 from kestrelbend.tier.configuration.ports import ControlPort
@@ -88,48 +88,48 @@
 
     async def _serve_http(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         found = self._find(scope)
-        max_bytes = 0 if isinstance(found, Answer) else found.handler.max_bytes
+        max_bytes = 0 if isinstance(found, ApiResponse) else found.handler.max_bytes
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, rejected(BODY_TIMEOUT, "the body did not come in time"))
+            await _send(send, error_response(BODY_TIMEOUT, "the body did not come in time"))
             return
         except _Disconnected:
             return
-        if isinstance(found, Answer):
+        if isinstance(found, ApiResponse):
             await _send(send, found)
             return
-        await _send(send, await self._answer(found, scope, body))
+        await _send(send, await self._respond(found, scope, body))
 
-    def _find(self, scope: dict[str, Any]) -> _Match | Answer:
+    def _find(self, scope: dict[str, Any]) -> _Match | ApiResponse:
         """The handler of a call, or the answer to a call that there is not."""
         match = CALL.fullmatch(scope["path"])
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
         if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
-            return rejected(NOT_FOUND, "no such call")
+            return error_response(NOT_FOUND, "no such call")
         if scope["method"] != handler.method:
             return attrs.evolve(
-                rejected(METHOD_NOT_ALLOWED, f"the call takes {handler.method}"), allow=handler.method
+                error_response(METHOD_NOT_ALLOWED, f"the call takes {handler.method}"), allow=handler.method
             )
         return _Match(handler, name)
 
-    async def _answer(self, found: _Match, scope: dict[str, Any], body: bytes | None) -> Answer:
+    async def _respond(self, found: _Match, scope: dict[str, Any], body: bytes | None) -> ApiResponse:
         if body is None:
-            return rejected(BODY_TOO_LARGE, "the body is too large")
+            return error_response(BODY_TOO_LARGE, "the body is too large")
         base = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION]
         call = Call(found.name, base[0] if len(base) == 1 else None, body)
         return _allowed(found.handler.call, await found.handler.run(call))
 
-    async def _status(self, call: Call) -> Answer:
-        return json_answer(OK, self._port.status())
+    async def _status(self, call: Call) -> ApiResponse:
+        return json_response(OK, self._port.status())
 
 
-def _allowed(call: str, answer: Answer) -> Answer:
+def _allowed(call: str, answer: ApiResponse) -> ApiResponse:
     """The answer, or a 503 in place of a rejection that the call may not get."""
     if is_rejection(answer.status) and not may_reject(call, answer.status):
-        return unavailable()
+        return unavailable_response()
     return answer
 
 
@@ -159,7 +159,7 @@
     return b"".join(chunks)
 
 
-async def _send(send: Send, answer: Answer) -> None:
+async def _send(send: Send, answer: ApiResponse) -> None:
     headers = [
         (b"content-type", b"application/json"),
         (b"content-length", str(len(answer.body)).encode()),
--- a/kestrelbend/tier/configuration/operator_call.py
+++ b/kestrelbend/tier/configuration/operator_call.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from kestrelbend.tier.configuration.http_answers import Answer
+from kestrelbend.tier.configuration.http_answers import ApiResponse
 
 
 @attrs.frozen(eq=False)
@@ -26,4 +26,4 @@
     method: str
     takes_name: bool
     max_bytes: int
-    run: Callable[[Call], Awaitable[Answer]]
+    run: Callable[[Call], Awaitable[ApiResponse]]
--- a/kestrelbend/tier/configuration/retirement_calls.py
+++ b/kestrelbend/tier/configuration/retirement_calls.py
@@ -6,11 +6,11 @@
 
 from kestrelbend.tier.configuration.field_checks import is_positive
 from kestrelbend.tier.configuration.http_answers import (
-    Answer,
-    json_answer,
-    rejected,
-    status_answer,
-    unavailable,
+    ApiResponse,
+    error_response,
+    json_response,
+    status_response,
+    unavailable_response,
 )
 from kestrelbend.tier.configuration.json_codec import decode_object
 from kestrelbend.tier.configuration.operator_call import Call
@@ -31,19 +31,19 @@
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
-    async def start(self, call: Call) -> Answer:
+    async def start(self, call: Call) -> ApiResponse:
         """Begins to empty a node; `DeadlineS` is in seconds."""
         order = decode_object(call.body)
         deadline_s: Any = order.get("DeadlineS") if order is not None else None
         if not is_positive(deadline_s):
-            return rejected(INVALID, "DeadlineS is no positive number of seconds")
-        return status_answer(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline_s))])
+            return error_response(INVALID, "DeadlineS is no positive number of seconds")
+        return status_response(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline_s))])
 
-    async def get(self, call: Call) -> Answer:
+    async def get(self, call: Call) -> ApiResponse:
         """How far the emptying of a node has come."""
         state = await self._port.retire_state(call.name)
         if state is RetireState.UNAVAILABLE:
-            return unavailable()
+            return unavailable_response()
         if state is RetireState.NOT_ORDERED:
-            return rejected(NOT_FOUND, "nobody asked for the node to be emptied")
-        return json_answer(OK, {"State": state.value})
+            return error_response(NOT_FOUND, "nobody asked for the node to be emptied")
+        return json_response(OK, {"State": state.value})
--- a/kestrelbend/tier/dataplane/ports.py
+++ b/kestrelbend/tier/dataplane/ports.py
@@ -139,7 +139,7 @@
     def limits(self) -> Limits:
         """The limits on clients' requests."""
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """The route of a request for `path` (not percent-decoded, without the query) at `host`, if any."""
 
 
--- a/kestrelbend/tier/fleet/mutations/contact.py
+++ b/kestrelbend/tier/fleet/mutations/contact.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from ...configuration.document_orders import DocumentOrders
-    from ...configuration.http_answers import Answer
+    from ...configuration.http_answers import ApiResponse
     from ...configuration.messages import ConfigOrder
     from ...configuration.shard_service import ConfigurationService
     from ...membership.owner_contact import ConfirmedReplica
@@ -143,7 +143,7 @@
 
 
 @guard("call-refusals", "configuration.operator_api:_allowed", "refusals that a call may not get")
-def allow_any_refusal(call: str, answer: Answer) -> Answer:
+def allow_any_refusal(call: str, answer: ApiResponse) -> ApiResponse:
     """Lets a call get any rejection."""
     return answer
 
