--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -183,7 +183,7 @@
     except (OSError, ValueError, IndexError, InvalidFile) as error:
         raise Malformed(f"KESTRELBEND_MEMBERS: {error}") from None
     assert members is not None  # without faults there is an instance
-    return members.resolved(env.get("ROUTER_NAME") or given["name"])
+    return members.to_membership_settings(env.get("ROUTER_NAME") or given["name"])
 
 
 def read_file(path: str) -> GatewayConfiguration:
@@ -197,16 +197,16 @@
         raise Malformed(str(error)) from None
     return GatewayConfiguration(
         name=stated.name,
-        listen=stated.listen.pair,
+        listen=stated.listen.host_and_port,
         discovery=str(stated.discovery),
-        counter=stated.counter_at.pair if stated.counter_at else None,
+        counter=stated.counter_at.host_and_port if stated.counter_at else None,
         seed=int(stated.seed, HEXADECIMAL),
         sockets=stated.limits.sockets,
         known=None,
         settings=stated.settings(),
         again=lambda: read_file(path),
         logs=(stated.logs.form, stated.logs.level),
-        members=stated.members.resolved(stated.name) if stated.members else None,
+        members=stated.members.to_membership_settings(stated.name) if stated.members else None,
         checks=stated.checks,
         authorisers=stated.authorisers,
     )
--- a/kestrelbend/gateway/net/headers.py
+++ b/kestrelbend/gateway/net/headers.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from ..settings.platform import LOADS
+from ..settings.platform import LOAD_FIELD_NAMES
 from .metrics import counters
 from .requests import bounded
 
@@ -41,7 +41,10 @@
     """
     try:
         report = json.loads(text) if text else {}
-        numbers = {LOADS.get(key, key): bounded(float, value, 0, math.inf) for key, value in report.items()}
+        numbers = {
+            LOAD_FIELD_NAMES.get(key, key): bounded(float, value, 0, math.inf)
+            for key, value in report.items()
+        }
         return numbers or None
     except (ValueError, TypeError, AttributeError, OverflowError):
         counters["unreadable_reports"] += 1
--- a/kestrelbend/gateway/settings/installation.py
+++ b/kestrelbend/gateway/settings/installation.py
@@ -9,11 +9,11 @@
 
 from ..external_authorization.attributes import CheckSettings
 from ..external_authorization.authoriser import AuthoriserSettings
-from .model import MS, Plan, PositiveFloat, PositiveInt, S, Terms
+from .model import MILLISECOND, SECOND, DecisionSettings, Plan, PositiveFloat, PositiveInt
 from .units import Address, ByteSize, Microseconds
 
-MIN_PERIOD = 50 * MS
-MAX_PERIOD = 60 * S
+MIN_PERIOD = 50 * MILLISECOND
+MAX_PERIOD = 60 * SECOND
 MIN_DATAGRAMS_PER_S = 4
 MIN_KEY_BYTES = 16
 MAX_KEY_NUMBER = 255
@@ -43,7 +43,7 @@
     seen_at: Address | None = None  # where others reach it, if that is another address
     peers: list[Address] = field(default_factory=list)  # some of the others, or all with this one
     keys: dict[str, str] = field(default_factory=dict)  # by number, 1 to 255: 16 bytes, hexadecimal
-    period: Microseconds = Microseconds(300 * MS)  # between pings
+    period: Microseconds = Microseconds(300 * MILLISECOND)  # between pings
     most_per_s: PositiveFloat = 40.0  # datagrams sent; never more
     share_probes: bool = True  # cold backends are probed by one gateway for all
 
@@ -52,7 +52,7 @@
         if not self.keys:
             yield "keys", "at least one is needed: gateways that share none do not know each other"
         for number, text in self.keys.items():
-            if not _is_key(number, text):
+            if not _is_valid_key(number, text):
                 yield ("keys", number), "expected a number, 1 to 255, and 32 hexadecimal digits or more"
         for position, peer in enumerate(self.peers):
             if not is_ipv4(peer):
@@ -65,14 +65,14 @@
         if self.most_per_s < MIN_DATAGRAMS_PER_S:
             yield "most_per_s", "less than 4 leaves no room for pings and their answers"
 
-    def resolved(self, name: str) -> MembershipSettings:
+    def to_membership_settings(self, name: str) -> MembershipSettings:
         """What `net.peers` is made of, for the gateway of this name."""
-        listen = self.listen.pair
+        listen = self.listen.host_and_port
         return MembershipSettings(
             name=name,
             listen=listen,
-            seen_at=self.seen_at.pair if self.seen_at else listen,
-            peers=[address.pair for address in self.peers],
+            seen_at=self.seen_at.host_and_port if self.seen_at else listen,
+            peers=[address.host_and_port for address in self.peers],
             keys={int(number): bytes.fromhex(text) for number, text in self.keys.items()},
             period=int(self.period),
             most_per_s=float(self.most_per_s),
@@ -93,7 +93,7 @@
     share_probes: bool
 
 
-def _is_key(number: str, text: str) -> bool:
+def _is_valid_key(number: str, text: str) -> bool:
     """Whether a key's number and its hexadecimal text can be used."""
     try:
         is_number = number.isdecimal() and 0 < int(number) <= MAX_KEY_NUMBER
@@ -108,7 +108,7 @@
     return len(parts) == 4 and all(part.isdecimal() and int(part) < 256 for part in parts)
 
 
-class Installation(Terms, kw_only=True):
+class Installation(DecisionSettings, kw_only=True):
     """One gateway: its terms, and where everything is."""
 
     name: str
@@ -167,7 +167,7 @@
                 each for each in self.authorisers if not each.operations or operation.name in each.operations
             ]
             budget_s = sum(authoriser.budget for authoriser in asked)
-            if budget_s * S > operation.objective / 2:
+            if budget_s * SECOND > operation.objective / 2:
                 text = f"its authorisers may take {budget_s:g} s of it together, more than half"
                 yield ("operations", position, "objective"), text
 
--- a/kestrelbend/gateway/settings/model.py
+++ b/kestrelbend/gateway/settings/model.py
@@ -18,14 +18,14 @@
 NonNegativeInt = Annotated[int, Meta(ge=0)]
 NonNegativeFloat = Annotated[float, Meta(ge=0)]
 PositiveFloat = Annotated[float, Meta(gt=0)]
-MS = 1000  # microseconds
-S = 1_000_000  # microseconds
-EFFECTS = {
+MILLISECOND = 1000  # microseconds
+SECOND = 1_000_000  # microseconds
+IDEMPOTENCY_BY_NAME = {
     "idempotent": interface.Idempotency.IDEMPOTENT,
     "tokened": interface.Idempotency.TOKENED,
     "non-idempotent": interface.Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {
+TOKEN_SCOPE_BY_NAME = {
     "all": interface.TokenScope.ALL,
     "zone": interface.TokenScope.ZONE,
     "group": interface.TokenScope.GROUP,
@@ -39,18 +39,18 @@
     effect: Literal["idempotent", "tokened", "non-idempotent"] = "non-idempotent"
     scope: Literal["all", "zone", "group"] = "group"  # tokened: which backends drop its repeats
     memory: Microseconds = Microseconds(0)  # tokened: how long they know a token
-    objective: Microseconds = Microseconds(1 * S)  # the latency objective
+    objective: Microseconds = Microseconds(1 * SECOND)  # the latency objective
     timeout: Microseconds = Microseconds(0)  # the integration timeout
     late_worth: Fraction = Fraction(0)  # worth of an answer between the two
     streamed: bool = False
     worth: NonNegativeFloat = 1.0  # billed value, before the plan's price
 
-    def decision_terms(self) -> interface.Operation:
+    def to_interface(self) -> interface.Operation:
         """The operation as the decisions take it; times in microseconds."""
         return interface.Operation(
             name=self.name,
-            effect=EFFECTS[self.effect],
-            scope=SCOPES[self.scope],
+            effect=IDEMPOTENCY_BY_NAME[self.effect],
+            scope=TOKEN_SCOPE_BY_NAME[self.scope],
             token_lifetime=int(self.memory),
             objective=max(1, int(self.objective)),
             timeout=int(self.timeout),
@@ -75,7 +75,7 @@
     ceiling_burst: NonNegativeFloat = 0.0
     ceiling_slack: NonNegativeFloat = 0.0
 
-    def decision_terms(self, number: int = 0) -> interface.Plan:
+    def to_interface(self, number: int = 0) -> interface.Plan:
         """The plan as the decisions take it; `number` is its position among all."""
         return interface.Plan(
             name=self.name,
@@ -99,8 +99,8 @@
     number: NonNegativeInt = 0  # of this one, from 0
     zone: str = ""
     discovery: Literal["pushed", "asked"] = "pushed"  # asked: changes come only to who asks for them
-    ask_within: Microseconds = Microseconds(10 * S)
-    tick: Microseconds = Microseconds(1 * MS)  # the finest step of its clock
+    ask_within: Microseconds = Microseconds(10 * SECOND)
+    tick: Microseconds = Microseconds(1 * MILLISECOND)  # the finest step of its clock
     answer_slack: Microseconds = Microseconds(0)  # after a client's time, within which an answer still counts
 
 
@@ -115,7 +115,7 @@
     most_deliveries: PositiveInt = 1  # of one invocation
     most_open: NonNegativeInt = 0  # invocations open at a gateway; 0: no such limit
     idle_close: Microseconds = Microseconds(0)  # after which its machine closes an idle connection
-    connect_timeout: Microseconds = Microseconds(250 * MS)
+    connect_timeout: Microseconds = Microseconds(250 * MILLISECOND)
     cold: Microseconds = Microseconds(0)  # warm so long after a start
     cold_from: Fraction = Fraction(1)  # the part of its capacity that it starts with, at least
     drain_grace: Microseconds = Microseconds(0)  # rule 3
@@ -133,7 +133,7 @@
     """The counter service, where there is one."""
 
     allowed: bool = False
-    timeout: Microseconds = Microseconds(50 * MS)
+    timeout: Microseconds = Microseconds(50 * MILLISECOND)
 
 
 class Use(Struct):
@@ -145,7 +145,7 @@
     retry_after: bool = True  # whether a refusal may say when to come back
 
 
-class Terms(Struct):
+class DecisionSettings(Struct):
     """All that a gateway's decisions rest on."""
 
     fleet: Fleet = field(default_factory=Fleet)
@@ -160,8 +160,8 @@
         backends = self.backends
         fleet = self.fleet
         return {
-            "operations": [operation.decision_terms() for operation in self.operations],
-            "plans": [plan.decision_terms(number) for number, plan in enumerate(self.plans)],
+            "operations": [operation.to_interface() for operation in self.operations],
+            "plans": [plan.to_interface(number) for number, plan in enumerate(self.plans)],
             "load_fields": backends.report_fields,
             "load_reports": backends.reports,
             "must_subscribe": fleet.discovery == "asked",
--- a/kestrelbend/gateway/settings/platform.py
+++ b/kestrelbend/gateway/settings/platform.py
@@ -12,8 +12,8 @@
 from typing import Any, TypeVar
 
 from ..errors import GatewayError
-from .model import Terms
-from .toml_files import convert, dotted
+from .model import DecisionSettings
+from .toml_files import convert, format_path
 from .toml_lines import Path
 from .units import Fraction, Microseconds
 
@@ -21,12 +21,12 @@
 Pairs = Mapping[str, str]
 """The platform's settings: values as text by dotted path."""
 
-ABSENT = ("-", "")  # as the wire writes what is not stated
-MICROSECONDS_OF_MS = 1000
+ABSENT_VALUES = ("-", "")  # as the wire writes what is not stated
+MICROSECONDS_PER_MS = 1000
 
-EFFECTS = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
-SCOPES = {"all": "all", "zone": "zone", "cell": "group"}
-LOADS = {
+EFFECT_NAMES = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
+SCOPE_NAMES = {"all": "all", "zone": "zone", "cell": "group"}
+LOAD_FIELD_NAMES = {
     "pending": "queued",
     "busy_reqs": "held",
     "cpu_share": "busy",
@@ -49,7 +49,7 @@
     code = "settings.malformed"
 
 
-def one_of(table: Mapping[str, Value], what: str) -> Callable[[str], Value]:
+def choice_reader(table: Mapping[str, Value], what: str) -> Callable[[str], Value]:
     """A reader of one of a few words; it raises `ValueError`, which says `what` is unknown."""
 
     def read(text: str) -> Value:
@@ -61,7 +61,7 @@
     return read
 
 
-def number(text: str) -> float:
+def read_number(text: str) -> float:
     """A finite number; raises `ValueError`."""
     value = float(text)
     if not math.isfinite(value):
@@ -69,19 +69,19 @@
     return value
 
 
-def micros(text: str) -> int:
+def read_milliseconds(text: str) -> int:
     """Microseconds, from text in milliseconds; raises `ValueError`."""
-    return round(number(text) * MICROSECONDS_OF_MS)
+    return round(read_number(text) * MICROSECONDS_PER_MS)
 
 
 def read_time(text: str) -> Microseconds:
-    """As `micros`, in the model's type."""
-    return Microseconds(micros(text))
+    """As `read_milliseconds`, in the model's type."""
+    return Microseconds(read_milliseconds(text))
 
 
 def read_fraction(text: str) -> Fraction:
     """A part of a whole, 0 to 1."""
-    return Fraction(number(text))
+    return Fraction(read_number(text))
 
 
 def read_flag(text: str) -> bool:
@@ -93,7 +93,7 @@
 
 def read_load_fields(text: str) -> list[str]:
     """The names of load reports' fields, in the model's words; unknown ones stay."""
-    return [LOADS.get(name, name) for name in text.split(",")]
+    return [LOAD_FIELD_NAMES.get(name, name) for name in text.split(",")]
 
 
 def read_report_source(text: str) -> str:
@@ -109,7 +109,7 @@
 Reader = Callable[[str], Any]
 """Reads a value's text; raises `ValueError`."""
 
-NAMES: dict[tuple[str, str], tuple[str, Reader]] = {
+SETTING_PATHS: dict[tuple[str, str], tuple[str, Reader]] = {
     ("fleet", "gateways"): ("instances", int),
     ("fleet", "number"): ("index", int),
     ("fleet", "zone"): ("myZone", str),
@@ -130,44 +130,44 @@
     ("backends", "cold_from"): ("rules.coldFrom", read_fraction),
     ("backends", "drain_grace"): ("rules.drainGrace", read_time),
     ("backends", "fall"): ("rules.fall", read_time),
-    ("backends", "fall_multiple"): ("rules.fallMultiple", number),
+    ("backends", "fall_multiple"): ("rules.fallMultiple", read_number),
     ("counter", "allowed"): ("familyInfo.mayCount", read_flag),
     ("counter", "timeout"): ("familyInfo.countWait", read_time),
-    ("use", "most_units"): ("familyInfo.mostUnits", number),
+    ("use", "most_units"): ("familyInfo.mostUnits", read_number),
     ("use", "metering"): ("familyInfo.metering", read_time),
     ("use", "longest_retry_after"): ("policyLimits.maxRetryAfter", read_time),
     ("use", "retry_after"): ("policyLimits.retryAfter", read_flag),
 }
 """By the model's path: the platform's path, and what reads the value."""
 
-ROWS: dict[str, tuple[str, dict[str, tuple[str, Reader]]]] = {
+LIST_COLUMNS: dict[str, tuple[str, dict[str, tuple[str, Reader]]]] = {
     "operations": (
         "classes",
         {
             "name": ("name", str),
-            "effect": ("effect", one_of(EFFECTS, "effect")),
-            "scope": ("keyScope", one_of(SCOPES, "scope")),
+            "effect": ("effect", choice_reader(EFFECT_NAMES, "effect")),
+            "scope": ("keyScope", choice_reader(SCOPE_NAMES, "scope")),
             "memory": ("keyTtl", read_time),
             "objective": ("objective", read_time),
             "timeout": ("deadline", read_time),
             "late_worth": ("lateWorth", read_fraction),
             "streamed": ("streaming", read_flag),
-            "worth": ("worth", number),
+            "worth": ("worth", read_number),
         },
     ),
     "plans": (
         "contracts",
         {
             "name": ("name", str),
-            "rate": ("refill", number),
-            "burst": ("storeSize", number),
+            "rate": ("refill", read_number),
+            "burst": ("storeSize", read_number),
             "most_out": ("concurrency", int),
-            "price": ("valueFactor", number),
-            "over_worth": ("overWorth", number),
-            "over_cost": ("excessCost", number),
-            "ceiling_rate": ("ceilingRate", number),
-            "ceiling_burst": ("capDepth", number),
-            "ceiling_slack": ("hardSlack", number),
+            "price": ("valueFactor", read_number),
+            "over_worth": ("overWorth", read_number),
+            "over_cost": ("excessCost", read_number),
+            "ceiling_rate": ("ceilingRate", read_number),
+            "ceiling_burst": ("capDepth", read_number),
+            "ceiling_slack": ("hardSlack", read_number),
         },
     ),
 }
@@ -196,7 +196,7 @@
         yield from flatten(part, f"{path}.{name}" if path else str(name))
 
 
-class _Reading:
+class _SettingsParser:
     """The terms that the platform's pairs state, in the model's words."""
 
     def __init__(self, pairs: Pairs) -> None:
@@ -206,10 +206,10 @@
 
     def read_all(self) -> None:
         """Reads every value that the tables name; raises `Malformed` at the first that can't be read."""
-        for model_path, (path, read) in NAMES.items():
+        for model_path, (path, read) in SETTING_PATHS.items():
             section = self.values.setdefault(model_path[0], {})
             self._read(model_path, path, read, section)
-        for name, (path, columns) in ROWS.items():
+        for name, (path, columns) in LIST_COLUMNS.items():
             self.values[name] = self._read_rows(name, path, columns)
 
     def _read_rows(
@@ -227,7 +227,7 @@
         """Reads one value into the last key of its path in the model, where it is stated."""
         text = self._pairs.get(path, "-")
         self.paths[model_path] = path
-        if text in ABSENT:
+        if text in ABSENT_VALUES:
             return
         try:
             into[str(model_path[-1])] = read(text)
@@ -235,19 +235,19 @@
             raise Malformed(f"settings: {path}: {error}") from None
 
 
-def terms(pairs: Pairs) -> Terms:
+def parse_decision_settings(pairs: Pairs) -> DecisionSettings:
     """The terms that the platform states; raises `Malformed` with the first fault, under its own name."""
-    reading = _Reading(pairs)
-    reading.read_all()
+    parser = _SettingsParser(pairs)
+    parser.read_all()
     # Its fields are not looked at beside one another: what the platform states, it answers for.
-    model, faults = convert(Terms, reading.values, together=False)
+    model, faults = convert(DecisionSettings, parser.values, validate=False)
     if faults or model is None:
         first = faults[0]
-        path = reading.paths.get(first.path, dotted(first.path))
+        path = parser.paths.get(first.path, format_path(first.path))
         raise Malformed(f"settings: {path}: {first.text}")
     return model
 
 
 def settings(pairs: Pairs) -> dict[str, Any]:
     """The map of names to values that the module gets; raises `Malformed`."""
-    return terms(pairs).settings()
+    return parse_decision_settings(pairs).settings()
--- a/kestrelbend/gateway/settings/toml_lines.py
+++ b/kestrelbend/gateway/settings/toml_lines.py
@@ -33,7 +33,7 @@
     return [next(part for part in match if part) if any(match) else "" for match in PART.findall(text)]
 
 
-def key_lines(text: str) -> dict[Path, int]:
+def find_key_lines(text: str) -> dict[Path, int]:
     """The line, from 1, that each key stands on.
 
     Values that go over several lines do not hide the keys behind them; keys of inline tables stand on their
--- a/kestrelbend/gateway/settings/units.py
+++ b/kestrelbend/gateway/settings/units.py
@@ -10,8 +10,8 @@
 import re
 from collections.abc import Callable
 
-TIMES = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
-SIZES = {
+TIME_UNITS = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
+SIZE_UNITS = {
     "B": 1,
     "kB": 1000,
     "KB": 1000,
@@ -41,13 +41,13 @@
     """host:port."""
 
     @property
-    def pair(self) -> tuple[str, int]:
+    def host_and_port(self) -> tuple[str, int]:
         """The host and the port."""
         host, _, port = self.rpartition(":")
         return host, int(port)
 
 
-def quantity(text: str, units: dict[str, int], example: str) -> int:
+def read_quantity(text: str, units: dict[str, int], example: str) -> int:
     """A number with its unit, in the smallest unit; raises `ValueError`, which shows the `example`."""
     match = QUANTITY.match(text)
     if match is None or match[2] not in units:
@@ -60,27 +60,27 @@
     return int(integer) * units[match[2]]
 
 
-def micros(value: object) -> Microseconds:
+def read_duration(value: object) -> Microseconds:
     """A time as text with its unit; 0 needs none.  Raises `ValueError`."""
     if isinstance(value, Microseconds):
         return value
     if isinstance(value, str):
-        return Microseconds(quantity(value, TIMES, '"250ms"'))
+        return Microseconds(read_quantity(value, TIME_UNITS, '"250ms"'))
     if value == 0 and not isinstance(value, bool):
         return Microseconds(0)
     raise ValueError(f'a time needs its unit, as in "250ms"; got {value!r}')
 
 
-def byte_size(value: object) -> ByteSize:
+def read_byte_size(value: object) -> ByteSize:
     """A size as a number of bytes or as text with its unit.  Raises `ValueError`."""
     if isinstance(value, str):
-        return ByteSize(quantity(value, SIZES, '"64MiB"'))
+        return ByteSize(read_quantity(value, SIZE_UNITS, '"64MiB"'))
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
         return ByteSize(value)
     raise ValueError(f'a size is a number of bytes or text as in "64MiB"; got {value!r}')
 
 
-def fraction(value: object) -> Fraction:
+def read_fraction(value: object) -> Fraction:
     """A part of a whole as a number or as text with a per cent sign.  Raises `ValueError`."""
     if isinstance(value, str) and value.rstrip().endswith("%"):
         try:
@@ -94,7 +94,7 @@
     raise ValueError(f'a share is 0 to 1 or text as in "20%"; got {value!r}')
 
 
-def address(value: object) -> Address:
+def read_address(value: object) -> Address:
     """host:port.  Raises `ValueError`."""
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -103,9 +103,9 @@
 
 
 READERS: dict[type, Callable[[object], object]] = {
-    Microseconds: micros,
-    ByteSize: byte_size,
-    Fraction: fraction,
-    Address: address,
+    Microseconds: read_duration,
+    ByteSize: read_byte_size,
+    Fraction: read_fraction,
+    Address: read_address,
 }
 """What reads a value of each type."""
--- a/kestrelbend/gateway/simulator_adapter/codec.py
+++ b/kestrelbend/gateway/simulator_adapter/codec.py
@@ -15,7 +15,7 @@
 from typing import Any, BinaryIO, Final, NamedTuple, TypeAlias, TypeVar
 
 from ..interface import EndpointState, Result
-from ..settings.platform import micros, number, one_of
+from ..settings.platform import choice_reader, read_milliseconds, read_number
 from .errors import MalformedLine
 
 Value = TypeVar("Value")
@@ -73,7 +73,7 @@
 
 
 def _load_report(text: str) -> list[float | None]:
-    return [None if part == "-" else number(part) for part in text.split(",")]
+    return [None if part == "-" else read_number(part) for part in text.split(",")]
 
 
 def _optional(read: Callable[[str], Value], absent: Absent) -> Callable[[str], Value | Absent]:
@@ -81,12 +81,12 @@
     return lambda text: absent if text == "-" else read(text)
 
 
-_read_result = one_of(RESULTS, "outcome")
+_read_result = choice_reader(RESULTS, "outcome")
 EVENTS: Final[Mapping[str, Sequence[Reader]]] = {
     "init": (unsigned, _pairs),  # seed, settings
     "roster_change": (  # version, kind of list, number of `backend` lines
         _optional(unsigned, 0),
-        one_of({name: name for name in LIST_KINDS}, "kind of list"),
+        choice_reader({name: name for name in LIST_KINDS}, "kind of list"),
         _optional(unsigned, 0),
     ),
     "accept": (
@@ -94,8 +94,8 @@
         str,  # operation
         str,  # plan
         str,  # customer
-        micros,  # deadline
-        _optional(number, 1.0),  # units
+        read_milliseconds,  # deadline
+        _optional(read_number, 1.0),  # units
         _optional(unsigned, 0),  # spread
         _optional(unsigned, 0),  # first gateway
         _optional(unsigned, 0),  # flags
@@ -105,7 +105,7 @@
         unsigned,  # delivery
         _optional(unsigned, None),  # backend
         _read_result,
-        _optional(micros, 0),  # duration
+        _optional(read_milliseconds, 0),  # duration
         _optional(flag, False),  # whether it gave the client its final answer
         _optional(unsigned, 0),  # usage in percent plus 1; 0: not stated
         _optional(unsigned, 0),  # actual units
@@ -114,15 +114,15 @@
     "reminder": (unsigned,),  # timer handle
     "destroy": (),
     "peer": (_optional(unsigned, 0), _optional(_payload, b"")),  # sender, message
-    "probe_result": (unsigned, _read_result, _optional(micros, 0), _optional(_load_report, None)),
+    "probe_result": (unsigned, _read_result, _optional(read_milliseconds, 0), _optional(_load_report, None)),
     "counter_reply": (  # name, duration, result, total
         unsigned,
-        _optional(micros, 0),
+        _optional(read_milliseconds, 0),
         _read_result,
-        _optional(number, 0.0),
+        _optional(read_number, 0.0),
     ),
     "withdrawn": (unsigned,),  # invocation
-    "streaming": (unsigned, _optional(unsigned, None), _optional(micros, 0), unsigned),
+    "streaming": (unsigned, _optional(unsigned, None), _optional(read_milliseconds, 0), unsigned),
 }
 """By message: the readers of the fields after the instance name, in order."""
 
@@ -131,9 +131,9 @@
     str,  # zone
     str,  # kind
     _optional(unsigned, 0),  # group
-    one_of(STATES, "state"),
-    _optional(number, 1.0),  # weight
-    _optional(micros, 0),  # start time
+    choice_reader(STATES, "state"),
+    _optional(read_number, 1.0),  # weight
+    _optional(read_milliseconds, 0),  # start time
 )
 """The readers of a `backend` line, in the order of `hosting.EndpointRow`."""
 
@@ -154,7 +154,7 @@
     while (line := _read_line(stream)) is not None:
         if not line.startswith("round "):
             raise MalformedLine(f"expected 'round', got {line[:MAX_QUOTED_CHARACTERS]!r}")
-        clock: int = _read_fields(line, (micros,), 1)[0]
+        clock: int = _read_fields(line, (read_milliseconds,), 1)[0]
         yield clock, _read_events(stream)
 
 
--- a/kestrelbend/lab/settings.py
+++ b/kestrelbend/lab/settings.py
@@ -4,8 +4,8 @@
 
 from ..gateway.settings import platform
 
-EFFECTS = {ours: theirs for theirs, ours in platform.EFFECTS.items()}
-SCOPES = {ours: theirs for theirs, ours in platform.SCOPES.items()}
+EFFECTS = {ours: theirs for theirs, ours in platform.EFFECT_NAMES.items()}
+SCOPES = {ours: theirs for theirs, ours in platform.SCOPE_NAMES.items()}
 
 
 def ms(span):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -139,9 +139,9 @@
     assert len(said) == 1 and part in said[0]
 
 
-@given(st.integers(0, 10**12), st.sampled_from(list(units.TIMES)))
+@given(st.integers(0, 10**12), st.sampled_from(list(units.TIME_UNITS)))
 def test_a_time_is_read_as_written(number, unit):
-    assert units.micros(f"{number}{unit}") == number * units.TIMES[unit]
+    assert units.read_duration(f"{number}{unit}") == number * units.TIME_UNITS[unit]
 
 
 @given(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -775,7 +775,7 @@
 def test_a_wrong_key_or_peer_is_named():
     text = EXAMPLE.read_text()
     stated = toml_files.parse_toml(text + MEMBERS, Installation)
-    assert stated.members.resolved("x").peers[1] == ("127.0.0.3", 7946)
+    assert stated.members.to_membership_settings("x").peers[1] == ("127.0.0.3", 7946)
     wrong = (
         MEMBERS.replace("0e0f", "0e0g")
         .replace('"127.0.0.3:7946"', '"host.example:7946", "nowhere"')
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -529,7 +529,7 @@
     async def test():
         async with World() as world:
             for status, effect in ((200, "idempotent"), (502, "at_most_once")):
-                world.owner.operations["op"].effect = model.EFFECTS[terms.EFFECTS[effect]]
+                world.owner.operations["op"].effect = model.IDEMPOTENCY_BY_NAME[terms.EFFECT_NAMES[effect]]
                 world.backends[0].play, at = [b"raw " + spoilt, b"raw " + GOOD], time.monotonic()
                 assert (await world.ask())[::2] == (status, b"good" if status == 200 else b"")
                 assert time.monotonic() - at < 0.5
--- a/tests/test_recorded_names.py
+++ b/tests/test_recorded_names.py
@@ -39,11 +39,11 @@
 
 
 def test_the_gateways_settings_have_the_recorded_names():
-    names = {f"{section}.{key}": name for (section, key), (name, _) in platform.NAMES.items()}
+    names = {f"{section}.{key}": name for (section, key), (name, _) in platform.SETTING_PATHS.items()}
     assert names == RECORDED["platform_names"]
     rows = {
         section: [name, {key: column for key, (column, _) in columns.items()}]
-        for section, (name, columns) in platform.ROWS.items()
+        for section, (name, columns) in platform.LIST_COLUMNS.items()
     }
     assert rows == RECORDED["platform_rows"]
 
