--- a/benchmarks/late_second_answers.py
+++ b/benchmarks/late_second_answers.py
@@ -12,7 +12,7 @@
 
 import random
 
-from kestrelbend.gateway.net.trust import REST_S, TIMES_KEPT, Trust
+from kestrelbend.gateway.net.connection_reuse import REUSE_DELAY_S, MAX_LATENCIES, ReuseHistory
 
 DRAWS = 20_000
 MEANS_S = (0.002, 0.005, 0.01, 0.02, 0.141)
@@ -25,18 +25,18 @@
 
 def known_backend(chance, draw, mean):
     """The trust in a backend whose latest answers took so long."""
-    trust = Trust()
-    for _ in range(TIMES_KEPT):
-        trust.record_latency(draw(chance, mean))
-    return trust
+    history = ReuseHistory()
+    for _ in range(MAX_LATENCIES):
+        history.record_latency(draw(chance, mean))
+    return history
 
 
 def drawn_once(chance, draw, mean):
     """Whether the second answer came first, and whether it was taken all the same."""
-    trust = known_backend(chance, draw, mean)
-    late, own = chance.uniform(0, REST_S), draw(chance, mean)
+    history = known_backend(chance, draw, mean)
+    late, own = chance.uniform(0, REUSE_DELAY_S), draw(chance, mean)
     first = late < own
-    return first, first and not trust.is_slow and own > late + REST_S
+    return first, first and not history.is_slow and own > late + REUSE_DELAY_S
 
 
 def main():
--- a/kestrelbend/gateway/net/answers.py
+++ b/kestrelbend/gateway/net/answers.py
@@ -17,14 +17,14 @@
 from ..errors import GatewayError
 from .accept_queue import age
 from .closing import readable
+from .connection_reuse import REUSE_DELAY_S, ReuseHistory
 from .counter import LOOP_TURN_S
 from .metrics import counters
-from .trust import REST_S, Trust
 
 if TYPE_CHECKING:
-    from .sending import Sending
+    from .sending import SendAttempt
 
-SENDING: Final[ContextVar[Sending]] = ContextVar("sending")  # of the running task
+SENDING: Final[ContextVar[SendAttempt]] = ContextVar("sending")  # of the running task
 HEAD_END: Final = b"\r\n\r\n"
 MICROSECONDS_OF_SECOND: Final = 1e6
 SWITCHING_PROTOCOLS: Final = 101  # the one final status among those of 100 to 199
@@ -54,15 +54,15 @@
     this request's. `ends`: the present answer says that none follows on its connection.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, patience: float, trust: Trust) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, patience: float, reuse_history: ReuseHistory) -> None:
         super().__init__(loop)
-        self.trust = trust
+        self.reuse_history = reuse_history
         self.patience = patience
         self.asked = False
         self.final: aiohttp.StreamReader | None = None
         self.left: int | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.sending: Sending | None = None
+        self.sending: SendAttempt | None = None
         self.settled = True  # when this request was written
         self.settles_at = -math.inf  # loop time
         self.written_at = -math.inf  # loop time; read only once a request was written
@@ -73,7 +73,7 @@
     def set_response_params(self, **options: Any) -> None:
         """This connection is chosen for a request."""
         self.sending = SENDING.get()
-        self.sending.answers = self
+        self.sending.response_reader = self
         super().set_response_params(**options)
 
     def unread(self) -> bool:
@@ -113,8 +113,8 @@
         came_at = self._loop.time()
         if self.settled:
             assert self.sending is not None  # a request was written
-            if self.sending.d is not None:
-                self.trust.record_latency(came_at - self.written_at)
+            if self.sending.delivery is not None:
+                self.reuse_history.record_latency(came_at - self.written_at)
             return
         assert self.transport is not None  # bytes come by it
         came_at -= age(self.transport.get_extra_info("socket")) / MICROSECONDS_OF_SECOND
@@ -138,7 +138,7 @@
     def more_behind(self) -> None:
         """Bytes came that belong to no request."""
         counters["answers_with_more_behind"] += 1
-        self.trust.record_noise()
+        self.reuse_history.record_unsolicited_data()
         if not self.settled and self.proof is None:
             self.proof = self._loop.create_future()
         self.prove(False)
@@ -181,7 +181,7 @@
                 self.final.set_exception(aiohttp.ClientPayloadError("cannot be read"))
             if is_spoilt or self.final is not None and self.final.is_eof():
                 self.asked = False
-                self.settles_at = self._loop.time() + REST_S
+                self.settles_at = self._loop.time() + REUSE_DELAY_S
                 self.quiet()
         if data:
             self.more_behind()
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -17,12 +17,12 @@
 from ..interface import Result
 from .answers import SENDING
 from .connection_pool import ConnectionPool
+from .connection_reuse import REUSE_DELAY_S, ReuseHistory
 from .connections import LONGEST_BODY
 from .events import BackendProbed, DeliveryEnded
 from .headers import PASSED_BACK, load_report, passed_on, reported_number
 from .metrics import DescriptorLimits, counters
-from .sending import NotWanted, Sending, Settling, Stale
-from .trust import REST_S, Trust
+from .sending import ReuseDelayPending, SendAttempt, SendNotAllowed, StaleConnection
 
 if TYPE_CHECKING:
     from ..decisions import BackendState
@@ -45,11 +45,12 @@
 class Backends:
     """The connections to all backends, and what is under way on them.
 
-    `queue`: the owner's events. `clock`: now, in microseconds. `sockets`: how many descriptors may be held.
-    `connecting`: connections being made. `endpoints`: host:port by backend. `links`: the connection pools of
-    the backends that were ever sent to. `running`: the tasks of deliveries. `tasks`: other tasks, kept until
-    they are done. `trust`: by backend, as long as it stays at its address. `barred`: backends that a list not
-    yet taken in takes off or moves, by that list.
+    `queue`: the owner's events. `clock`: the current time in microseconds. `descriptor_limits`: the limits
+    on open file descriptors. `connecting`: how many connections are being established. `endpoints`: host:port
+    by backend. `pools`: the connection pools, created when a backend is first used. `delivery_tasks`: the
+    task of each delivery in flight. `background_tasks`: other running tasks. `reuse_histories`: by backend;
+    discarded when its address changes. `blocked`: backends to which no new request may be written, since a
+    received list that is not yet applied removes or moves them, with that list.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.links: dict[BackendState, ConnectionPool] = {}
         self.running: dict[Delivery, asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.trust: defaultdict[BackendState, Trust] = defaultdict(Trust)
+        self.reuse_histories: defaultdict[BackendState, ReuseHistory] = defaultdict(ReuseHistory)
         self.barred: dict[BackendState, Any] = {}
 
     # Addresses.
@@ -87,14 +88,14 @@
         link = self.links.get(backend)
         if link is None and backend in self.endpoints:
             link = self.links[backend] = ConnectionPool(
-                self.endpoints[backend], self.settings, self.trust[backend]
+                self.endpoints[backend], self.settings, self.reuse_histories[backend]
             )
         return link
 
     def unlisted(self, backend: BackendState) -> None:
         """A backend is no longer at its address; what is under way on its connections goes on."""
         self.endpoints.pop(backend, None)
-        self.trust.pop(backend, None)
+        self.reuse_histories.pop(backend, None)
         self._retire(backend)
 
     def _retire(self, backend: BackendState) -> None:
@@ -159,7 +160,7 @@
 
     async def _deliver(self, d: Delivery, request: Request) -> None:
         """Send it, and end with exactly one event, whatever comes."""
-        sending = Sending(d.backend, self, d, request)
+        attempt = SendAttempt(d.backend, self, d, request)
         answer: tuple[bytes, dict[str, str]] | None = None
         load: dict[str, float] | None = None
         actual: float = 0
@@ -170,7 +171,7 @@
             passed = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's, which is a Mapping
             headers = [*passed, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
             status, body, got = await self._exchange(
-                sending,
+                attempt,
                 request.method,
                 request.target,
                 remaining_s,
@@ -185,13 +186,13 @@
         except asyncio.CancelledError:
             pass  # by `cancel`: the event says so
         except Exception as error:  # noqa: BLE001  whatever it is, the delivery has its end by it
-            result = self._failure(error, sending)
+            result = self._failure(error, attempt)
         finally:
             link = self.links.get(d.backend)
             if answer is None and d.overdue and link is not None and link.heard < d.sent_at:
                 # Silent for all that time: other connections kept from before would each cost a delivery.
                 self.renew(d.backend)
-            at = None if answer is None else sending.ended_at()
+            at = None if answer is None else attempt.finished_at()
             self._ended(d, result, answer, load, actual, used, at)
 
     def _reported_use(self, headers: Mapping[str, str]) -> float | None:
@@ -202,35 +203,35 @@
         return None if percent is None else percent / PERCENT
 
     async def _exchange(
-        self, sending: Sending, method: str, target: str, timeout_s: float, **options: Any
+        self, attempt: SendAttempt, method: str, target: str, timeout_s: float, **options: Any
     ) -> BackendAnswer:
         """One request on one connection; another connection is taken only before its first byte.
 
         Raises `NothingWritten`, `TimeoutError` after `timeout_s` seconds, or what aiohttp's client raises.
         """
-        link = self.link(sending.backend)
+        link = self.link(attempt.backend)
         if link is None or timeout_s <= 0:
-            raise NotWanted
+            raise SendNotAllowed
         link.users += 1
-        sending.link = link
-        SENDING.set(sending)
+        attempt.pool = link
+        SENDING.set(attempt)
         try:
             async with asyncio.timeout(timeout_s):
                 while True:
                     try:
-                        return await self._ask(link, sending, method, target, **options)
-                    except Stale:  # another connection, perhaps a new one
-                        sending.over()
-                    except Settling:
-                        await asyncio.sleep(REST_S)
+                        return await self._ask(link, attempt, method, target, **options)
+                    except StaleConnection:  # another connection, perhaps a new one
+                        attempt.finish_connecting()
+                    except ReuseDelayPending:
+                        await asyncio.sleep(REUSE_DELAY_S)
         finally:
-            sending.over()
+            attempt.finish_connecting()
             link.users -= 1
             self._release(link)
 
     @staticmethod
     async def _ask(
-        link: ConnectionPool, sending: Sending, method: str, target: str, **options: Any
+        link: ConnectionPool, attempt: SendAttempt, method: str, target: str, **options: Any
     ) -> BackendAnswer:
         """One request and its complete answer.
 
@@ -241,7 +242,7 @@
             method,
             URL(f"http://{link.endpoint}{target}", encoded=True),
             allow_redirects=False,
-            trace_request_ctx=sending,
+            trace_request_ctx=attempt,
             **options,
         ) as response:
             length = response.content_length
@@ -254,10 +255,10 @@
                 body += chunk
                 if len(body) > LONGEST_BODY:  # one that never ends would fill the memory
                     raise aiohttp.ClientPayloadError("longer than the protocol allows")
-        now = sending.peer.clock()
-        sending.whole = now
+        now = attempt.peer.clock()
+        attempt.completed_at = now
         link.heard = now
-        await sending.answers.proven()
+        await attempt.response_reader.proven()
         return response.status, bytes(body), response.headers
 
     @staticmethod
@@ -270,11 +271,11 @@
         return Result.ERRORED
 
     @staticmethod
-    def _failure(error: Exception, sending: Sending) -> Result:
-        """How a sending without an answer ended; once a byte may have been written, it may have run."""
-        if isinstance(error, NotWanted):
+    def _failure(error: Exception, attempt: SendAttempt) -> Result:
+        """How an attempt without an answer ended; once a byte may have been written, it may have run."""
+        if isinstance(error, SendNotAllowed):
             return Result.VOID
-        if not sending.begun:
+        if not attempt.write_started:
             return Result.UNREACHABLE
         return Result.TIMED_OUT if isinstance(error, TimeoutError) else Result.BROKEN
 
@@ -288,18 +289,18 @@
     async def _probe(self, backend: BackendState) -> None:
         """Ask a backend for its load, or only whether it is there; end with exactly one event."""
         has_report = self.settings["load_reports"] != "none"
-        sending = Sending(backend, self)
+        attempt = SendAttempt(backend, self)
         result = Result.CANCELLED
         load: dict[str, float] | None = None
         sent = self.clock()
         timeout_s = self.settings["connect_timeout"] / MICROSECONDS_OF_SECOND
         try:
             path = LOAD_PATH if has_report else PING_PATH
-            status, body, _ = await self._exchange(sending, "GET", path, timeout_s)
+            status, body, _ = await self._exchange(attempt, "GET", path, timeout_s)
             result = Result.SUCCEEDED if status == OK else Result.ERRORED
             load = load_report(body) if has_report and status == OK else None
         except Exception as error:  # noqa: BLE001  whatever it is, the probe has its end by it
-            result = self._failure(error, sending)
+            result = self._failure(error, attempt)
         finally:
-            at = sending.ended_at() if result is Result.SUCCEEDED else self.clock()
+            at = attempt.finished_at() if result is Result.SUCCEEDED else self.clock()
             self.queue.put_nowait(BackendProbed(backend, result, at - sent, load))
--- a/kestrelbend/gateway/net/connection_pool.py
+++ b/kestrelbend/gateway/net/connection_pool.py
@@ -18,10 +18,10 @@
 from aiohttp.client_reqrep import ConnectionKey
 
 from .answers import Answers
+from .connection_reuse import REUSE_DELAY_S, ReuseHistory
 from .counter import LOOP_TURN_S, MICROSECONDS_OF_SECOND
 from .metrics import must
-from .sending import TURNS, trace
-from .trust import REST_S, Trust
+from .sending import MAX_LOOP_ITERATIONS, trace_config
 
 AUTO_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
@@ -33,22 +33,22 @@
     `resting`: how many connections are kept out of use now.
     """
 
-    def __init__(self, trust: Trust, **options: Any) -> None:
+    def __init__(self, reuse_history: ReuseHistory, **options: Any) -> None:
         super().__init__(**options)
-        self.trust = trust
+        self.reuse_history = reuse_history
         self.resting = 0
 
     def _release(self, key: ConnectionKey, protocol: Any, *, should_close: bool = False) -> None:
         """Take a connection back; overrides aiohttp's. `protocol` is an `Answers`."""
-        must_rest = self.trust.rests or protocol.proof is not None
+        must_rest = self.reuse_history.remaining_delays or protocol.proof is not None
         if should_close or protocol.should_close or not must_rest:
             protocol.released()
             super()._release(key, protocol, should_close=should_close)
         else:
             self.resting += 1
-            self._loop.call_later(REST_S, self._end_rest, key, protocol)
+            self._loop.call_later(REUSE_DELAY_S, self._end_rest, key, protocol)
 
-    def _end_rest(self, key: ConnectionKey, protocol: Any, turns: int = TURNS) -> None:
+    def _end_rest(self, key: ConnectionKey, protocol: Any, turns: int = MAX_LOOP_ITERATIONS) -> None:
         """Its moment is over: it is free, or was ended meanwhile.
 
         After a stall of this gateway the timer comes before what lies unread: that is read first, in as many
@@ -60,7 +60,7 @@
         self.resting -= 1
         was_silent = protocol.is_connected() and not protocol.should_close and not protocol.unread()
         if was_silent:
-            self.trust.record_silence()
+            self.reuse_history.record_quiet_delay()
         super()._release(key, protocol)
         protocol.prove(was_silent)
 
@@ -73,16 +73,16 @@
     `settings`: the gateway's; `idle_close` and `connect_timeout` are read, in microseconds.
     """
 
-    def __init__(self, endpoint: str, settings: Mapping[str, Any], trust: Trust) -> None:
+    def __init__(self, endpoint: str, settings: Mapping[str, Any], reuse_history: ReuseHistory) -> None:
         connect_timeout = settings["connect_timeout"] / MICROSECONDS_OF_SECOND
         # Closed here before the far side's machine does: what is written after that would be lost.
         idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_OF_SECOND
         must(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
         self.connector = RestingConnector(
-            trust, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
+            reuse_history, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
         )
         must(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
-        factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, trust)
+        factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, reuse_history)
         self.connector._factory = cast("partial[ResponseHandler]", factory)
         self.session = aiohttp.ClientSession(
             connector=self.connector,
@@ -90,7 +90,7 @@
             auto_decompress=False,
             trust_env=False,
             skip_auto_headers=AUTO_HEADERS,
-            trace_configs=[trace()],
+            trace_configs=[trace_config()],
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
         )
         # It would send a GET again by itself when a kept connection breaks; each sending is a delivery.
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -1,7 +1,7 @@
-"""One sending to a backend, and the hooks of aiohttp's client that decide whether it goes out.
+"""One attempt to send a request to a backend, and the aiohttp client hooks that decide whether it is sent.
 
-Invariant: `_begins` alone decides whether a first byte may be written. Once it has, the outcome is never said
-to be safer than a backend that has the request.
+Invariant: only `_before_first_byte` decides whether a request may be written. After it has allowed the
+request, the attempt is always reported as one that the backend may have processed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     from .connection_pool import ConnectionPool
     from .requests import Request
 
-TURNS: Final = 4  # of the loop, in which what lies unread at either end is read
+MAX_LOOP_ITERATIONS: Final = 4  # of the loop, in which what lies unread at either end is read
 
 
 class NothingWritten(GatewayError):
@@ -32,25 +32,25 @@
     code = "net.nothing_written"
 
 
-class NotWanted(NothingWritten):
+class SendNotAllowed(NothingWritten):
     """No time or socket is left, its client has gone, or the backend began to drain or went meanwhile."""
 
     code = "net.not_wanted"
 
 
-class Stale(NothingWritten):
+class StaleConnection(NothingWritten):
     """The kept connection has ended or said something of its own: another one may serve."""
 
     code = "net.stale"
 
 
-class Settling(NothingWritten):
+class ReuseDelayPending(NothingWritten):
     """No connection can be made, and one rests for a moment after its answer: it may serve then."""
 
     code = "net.settling"
 
 
-class SendingPeer(Protocol):
+class SendContext(Protocol):
     """What a sending asks of the gateway's backends (`backends.Backends`)."""
 
     sockets: DescriptorLimits
@@ -72,54 +72,67 @@
         """Give up the connections kept to a backend, or to all."""
 
 
-class Sending:
-    """What is known of one sending: to whom, on which connection, and how far it has come.
+class SendAttempt:
+    """What is known of one attempt: to whom, on which connection, and how far it has come.
 
     `d` and `request` are None for a probe. `link`: the pool, `answers`: the connection's reader, once chosen.
     `connects`: it makes a connection. `begun`: a byte of it may have been written. `whole`: when its answer
     was complete, in microseconds of the peer's clock.
     """
 
-    __slots__ = ("backend", "peer", "d", "request", "link", "answers", "connects", "begun", "whole")
-
-    link: ConnectionPool
-    answers: Answers
+    __slots__ = (
+        "backend",
+        "peer",
+        "delivery",
+        "request",
+        "pool",
+        "response_reader",
+        "is_connecting",
+        "write_started",
+        "completed_at",
+    )
+
+    pool: ConnectionPool
+    response_reader: Answers
 
     def __init__(
         self,
         backend: BackendState,
-        peer: SendingPeer,
-        d: Delivery | None = None,
+        peer: SendContext,
+        delivery: Delivery | None = None,
         request: Request | None = None,
     ) -> None:
         self.backend = backend
         self.peer = peer
-        self.d = d
+        self.delivery = delivery
         self.request = request
-        self.whole: int | None = None
-        self.connects = False
-        self.begun = False
+        self.completed_at: int | None = None
+        self.is_connecting = False
+        self.write_started = False
 
-    def over(self) -> None:
+    def finish_connecting(self) -> None:
         """It makes no connection any more."""
-        self.peer.connecting -= self.connects
-        self.connects = False
+        self.peer.connecting -= self.is_connecting
+        self.is_connecting = False
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether its client, or what it would be written to, has said or ended something not yet read."""
-        return self.answers.unread() or self.request is not None and self.request.unread()
+        return self.response_reader.unread() or self.request is not None and self.request.unread()
 
-    def needs_silence(self) -> bool:
+    def requires_settled_connection(self) -> bool:
         """Whether it may go only on a connection that has settled.
 
         An early answer could not be told from a second one to the request before, or a request that may not
         be repeated would fail by the doubt.
         """
-        if self.d is None:
+        if self.delivery is None:
             return False
-        return self.answers.trust.is_slow or self.d.inv.op.effect is Idempotency.NON_IDEMPOTENT
+        return (
+            self.response_reader.reuse_history.is_slow
+            or self.delivery.inv.op.effect is Idempotency.NON_IDEMPOTENT
+        )
 
-    def wanted(self) -> bool:
+    def may_start(self) -> bool:
         """Whether its first byte may be written now.
 
         Rule 3 counts from then; a client may have gone or got its answer, its time or the window for repeats
@@ -129,65 +142,65 @@
         if (
             self.backend.state is not EndpointState.READY
             or self.backend in peer.barred
-            or self.link.endpoint != peer.endpoints.get(self.backend)
+            or self.pool.endpoint != peer.endpoints.get(self.backend)
         ):
             return False
-        if self.d is None:
+        if self.delivery is None:
             return True
         assert self.request is not None  # each delivery has its request
-        return not (self.d.inv.done or self.request.left() or peer.clock() >= self.d.begin_by)
+        return not (self.delivery.inv.done or self.request.left() or peer.clock() >= self.delivery.begin_by)
 
-    def ended_at(self) -> int:
+    def finished_at(self) -> int:
         """By the peer's clock: when its answer was complete, if it was.
 
         Whether that was this request's may have been found out later.
         """
-        return self.peer.clock() if self.whole is None else self.whole
+        return self.peer.clock() if self.completed_at is None else self.completed_at
 
 
-async def _begins(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
+async def _before_first_byte(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
     """Decide whether a first byte may be written; there is a connection, and nothing is written yet.
 
     After a stall of this gateway the end of a client, or that of the connection, lies unread.
     """
-    sending: Sending = context.trace_request_ctx
-    if sending.needs_silence():
-        await sending.answers.settle()
-    for _ in range(TURNS):
-        if not sending.unread():
+    attempt: SendAttempt = context.trace_request_ctx
+    if attempt.requires_settled_connection():
+        await attempt.response_reader.settle()
+    for _ in range(MAX_LOOP_ITERATIONS):
+        if not attempt.has_unread_data():
             break
         await asyncio.sleep(0)
-    if not sending.wanted():
+    if not attempt.may_start():
         counters["first_bytes_not_wanted"] += 1
-        raise NotWanted
-    if not sending.answers.ask():
+        raise SendNotAllowed
+    if not attempt.response_reader.ask():
         counters["kept_connections_stale"] += 1
-        raise Stale
-    sending.begun = True
+        raise StaleConnection
+    attempt.write_started = True
 
 
-async def _connects(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
+async def _connect_started(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
     """A connection is to be made: where no descriptor is left for it, one that rests is waited for."""
-    sending: Sending = context.trace_request_ctx
-    peer = sending.peer
+    attempt: SendAttempt = context.trace_request_ctx
+    peer = attempt.peer
     if not peer.sockets.room_beside_clients(peer.connecting):
-        if sending.link.connector.resting:
-            raise Settling
+        if attempt.pool.connector.resting:
+            raise ReuseDelayPending
         counters["no_descriptor_left"] += 1
         peer.renew()
-        raise NotWanted
-    sending.connects = True
+        raise SendNotAllowed
+    attempt.is_connecting = True
     peer.connecting += 1
 
 
-async def _connected(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
-    context.trace_request_ctx.over()
+async def _connect_finished(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
+    context.trace_request_ctx.finish_connecting()
 
 
-def trace() -> aiohttp.TraceConfig:
-    """The hooks of aiohttp's client by which a `Sending`, its requests' trace context, is decided on."""
+def trace_config() -> aiohttp.TraceConfig:
+    """The hooks of aiohttp's client by which a `SendAttempt`, its requests' trace context, is decided on."""
     config = aiohttp.TraceConfig()
-    config.on_connection_create_start.append(_connects)
-    config.on_connection_create_end.append(_connected)
-    config.on_request_headers_sent.append(_begins)
+    config.on_connection_create_start.append(_connect_started)
+    config.on_connection_create_end.append(_connect_finished)
+    config.on_request_headers_sent.append(_before_first_byte)
     return config
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,7 +28,7 @@
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
 from kestrelbend.gateway.net.events import DeliveryEnded
 from kestrelbend.gateway.net.metrics import counters
-from kestrelbend.gateway.net.trust import FIRST_RESTS, REST_S
+from kestrelbend.gateway.net.connection_reuse import INITIAL_REUSE_DELAYS, REUSE_DELAY_S
 
 from .helpers import StandDiscovery, StandIns, World, connect, read_request, row, run
 from .test_net import asked_for, nested
@@ -72,14 +72,14 @@
     """Holds deliveries at a named point: their connection is up, and nothing is written."""
 
     def __init__(self, monkeypatch):
-        self.reached, self.open, connected = asyncio.Event(), asyncio.Event(), sending._connected
+        self.reached, self.open, connected = asyncio.Event(), asyncio.Event(), sending._connect_finished
 
         async def held(session, context, params):
             await connected(session, context, params)
             self.reached.set()
             await self.open.wait()
 
-        monkeypatch.setattr(sending, "_connected", held)
+        monkeypatch.setattr(sending, "_connect_finished", held)
 
 
 # The list.
@@ -511,9 +511,9 @@
 
 async def trusted(world):
     """The backend has been silent after its answers as often as it takes; one connection is kept to it."""
-    for n in range(FIRST_RESTS):
+    for n in range(INITIAL_REUSE_DELAYS):
         assert (await world.ask(f"/op/{0xF0 + n:016x}"))[0] == 200
-        await asyncio.sleep(2 * REST_S)
+        await asyncio.sleep(2 * REUSE_DELAY_S)
 
 
 def test_a_backend_seen_to_be_silent_after_its_answers_is_asked_again_at_once():
@@ -540,7 +540,7 @@
             ]
             on = await connect(*world.listen)
             assert (await world.ask(on=on))[2] == b"good"
-            await asyncio.sleep(2 * REST_S)
+            await asyncio.sleep(2 * REUSE_DELAY_S)
             assert (await world.ask(on=on))[2] == b"good"
             assert (await world.ask(on=on))[2] == b"fine"  # well within that moment
             assert (await world.ask(on=on))[2] == b"fine"
@@ -614,7 +614,7 @@
             at_once(writer, lambda c: c.send(GOOD + b"late" + (b"" if ends else GOOD + b"next")))
             if ends:
                 at_once(writer, lambda c: c.shutdown(socket.SHUT_WR))
-            time.sleep(2 * REST_S)
+            time.sleep(2 * REUSE_DELAY_S)
             assert (await asked)[2] == b"fine"
 
     run(test())
@@ -632,7 +632,7 @@
             ended = await sent.get()
             assert ended.result is Result.SUCCEEDED and ended.answer[0] == b"fine"
             assert counters["answers_early"] == early + 1 and counters["answers_doubtful"] == doubtful
-            assert ended.took < REST_S * 1e6 / 2  # the time told is the backend's, without the doubt
+            assert ended.took < REUSE_DELAY_S * 1e6 / 2  # the time told is the backend's, without the doubt
 
     run(test())
 
@@ -718,13 +718,13 @@
     turns, monkeypatch
 ):
     """The machine has it at once; the loop learns of it some turns later."""
-    connects, acts = sending._connects, []
+    connects, acts = sending._connect_started, []
 
     async def connecting(session, context, params):
         await connects(session, context, params)
         acts.pop()()
 
-    monkeypatch.setattr(sending, "_connects", connecting)
+    monkeypatch.setattr(sending, "_connect_started", connecting)
 
     async def test():
         async with World() as world:
