--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -281,9 +281,9 @@
             )
         serving.cancel()
         await owner.discovery.session.close()
-        for target in list(owner.backend_client.links):
-            owner.backend_client.unlisted(target)
-        await asyncio.gather(*owner.backend_client.tasks, return_exceptions=True)
+        for target in list(owner.backend_client.pools):
+            owner.backend_client.remove_endpoint(target)
+        await asyncio.gather(*owner.backend_client.background_tasks, return_exceptions=True)
         await owner.authorisers.end()
         await stand.stop()
         await runner.cleanup()
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -29,20 +29,20 @@
     from ..interface import Delivery
     from .requests import Request
 
-MICROSECONDS_OF_SECOND: Final = 1e6
+MICROSECONDS_PER_SECOND: Final = 1e6
 MAX_CHARGE: Final = 1e9  # units, where the settings state no limit
 MAX_USED_PERCENT: Final = 1e6
 PERCENT: Final = 100
 OK: Final = 200
-UNSERVED_STATUSES: Final = (503, 504)  # they may say that the request was not processed
+NOT_PROCESSED_STATUSES: Final = (503, 504)  # they may say that the request was not processed
 LOAD_PATH: Final = "/_load"
 PING_PATH: Final = "/ping"
 
-BackendAnswer = tuple[int, bytes, Mapping[str, str]]
+BackendResponse = tuple[int, bytes, Mapping[str, str]]
 """Status, body and headers."""
 
 
-class Backends:
+class BackendClient:
     """The connections to all backends, and what is under way on them.
 
     `queue`: the owner's events. `clock`: the current time in microseconds. `descriptor_limits`: the limits
@@ -58,88 +58,88 @@
         queue: asyncio.Queue[Any],
         clock: Callable[[], int],
         settings: Mapping[str, Any],
-        sockets: DescriptorLimits,
+        descriptor_limits: DescriptorLimits,
     ) -> None:
         self.queue = queue
         self.clock = clock
         self.settings = settings
-        self.sockets = sockets
+        self.descriptor_limits = descriptor_limits
         self.connecting = 0
         self.endpoints: dict[BackendState, str] = {}
-        self.links: dict[BackendState, ConnectionPool] = {}
-        self.running: dict[Delivery, asyncio.Task[None]] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.pools: dict[BackendState, ConnectionPool] = {}
+        self.delivery_tasks: dict[Delivery, asyncio.Task[None]] = {}
+        self.background_tasks: set[asyncio.Task[None]] = set()
         self.reuse_histories: defaultdict[BackendState, ReuseHistory] = defaultdict(ReuseHistory)
-        self.barred: dict[BackendState, Any] = {}
+        self.blocked: dict[BackendState, Any] = {}
 
     # Addresses.
 
-    def listed(self, backend: BackendState, endpoint: str) -> None:
+    def set_endpoint(self, backend: BackendState, endpoint: str) -> None:
         """A backend is at `endpoint` (host:port) from now on."""
         if self.endpoints.get(backend) != endpoint:
-            self.unlisted(backend)
+            self.remove_endpoint(backend)
             self.endpoints[backend] = endpoint
 
-    def link(self, backend: BackendState) -> ConnectionPool | None:
+    def pool_for(self, backend: BackendState) -> ConnectionPool | None:
         """The pool of a backend's connections; None where its address is not known.
 
         Made when it is first needed: one for each of hundreds costs time at the start, and memory.
         """
-        link = self.links.get(backend)
-        if link is None and backend in self.endpoints:
-            link = self.links[backend] = ConnectionPool(
+        pool = self.pools.get(backend)
+        if pool is None and backend in self.endpoints:
+            pool = self.pools[backend] = ConnectionPool(
                 self.endpoints[backend], self.settings, self.reuse_histories[backend]
             )
-        return link
+        return pool
 
-    def unlisted(self, backend: BackendState) -> None:
+    def remove_endpoint(self, backend: BackendState) -> None:
         """A backend is no longer at its address; what is under way on its connections goes on."""
         self.endpoints.pop(backend, None)
         self.reuse_histories.pop(backend, None)
-        self._retire(backend)
+        self._retire_pool(backend)
 
-    def _retire(self, backend: BackendState) -> None:
+    def _retire_pool(self, backend: BackendState) -> None:
         """Its idle connections go now, those in use with their last user."""
-        link = self.links.pop(backend, None)
-        if link is not None:
-            link.retired = True
-            self._release(link)
+        pool = self.pools.pop(backend, None)
+        if pool is not None:
+            pool.retired = True
+            self._close_if_unused(pool)
 
-    def _release(self, link: ConnectionPool) -> None:
+    def _close_if_unused(self, pool: ConnectionPool) -> None:
         """Close a retired pool once nobody uses it."""
-        if link.retired and not link.users:
-            self._keep(asyncio.create_task(link.session.close()))
+        if pool.retired and not pool.users:
+            self._track(asyncio.create_task(pool.session.close()))
 
-    def renew(self, *backends: BackendState) -> None:
+    def retire_pools(self, *backends: BackendState) -> None:
         """Give up the connections kept to these backends, or to all where none is named."""
-        for backend in backends or list(self.links):
-            self._retire(backend)
+        for backend in backends or list(self.pools):
+            self._retire_pool(backend)
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def _track(self, task: asyncio.Task[None]) -> None:
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     # Deliveries.
 
-    def deliver(self, d: Delivery, request: Request) -> None:
+    def deliver(self, delivery: Delivery, request: Request) -> None:
         """Send a delivery; `DeliveryEnded` follows."""
         counters["deliveries"] += 1
-        task = asyncio.create_task(self._deliver(d, request))
-        self.running[d] = task
-        task.add_done_callback(lambda _: self._end_unstarted(d))
+        task = asyncio.create_task(self._deliver(delivery, request))
+        self.delivery_tasks[delivery] = task
+        task.add_done_callback(lambda _: self._report_unstarted(delivery))
 
-    def _end_unstarted(self, d: Delivery) -> None:
+    def _report_unstarted(self, delivery: Delivery) -> None:
         """A task cancelled before its first turn runs nothing of its body, not even its `finally`.
 
         (Seen in a test: its client left in the turn in which a further delivery was decided, and that
         delivery's credit was never earned back.)
         """
-        if d in self.running:
-            self._ended(d, Result.VOID)
+        if delivery in self.delivery_tasks:
+            self._report_end(delivery, Result.VOID)
 
-    def _ended(
+    def _report_end(
         self,
-        d: Delivery,
+        delivery: Delivery,
         result: Result,
         answer: tuple[bytes, dict[str, str]] | None = None,
         load: dict[str, float] | None = None,
@@ -148,26 +148,26 @@
         at: int | None = None,
     ) -> None:
         """Put the one event of a delivery, with the time that it took: until `at`, or until now."""
-        self.running.pop(d)
+        self.delivery_tasks.pop(delivery)
         counters["deliveries_" + result.name.lower()] += 1
-        took = (self.clock() if at is None else at) - d.sent_at
-        self.queue.put_nowait(DeliveryEnded(d, result, took, answer, load, actual, used))
+        took = (self.clock() if at is None else at) - delivery.sent_at
+        self.queue.put_nowait(DeliveryEnded(delivery, result, took, answer, load, actual, used))
 
-    def cancel(self, d: Delivery) -> None:
+    def cancel(self, delivery: Delivery) -> None:
         """Stop waiting for a delivery; its end follows as an event."""
-        if d in self.running:
-            self.running[d].cancel()
+        if delivery in self.delivery_tasks:
+            self.delivery_tasks[delivery].cancel()
 
-    async def _deliver(self, d: Delivery, request: Request) -> None:
+    async def _deliver(self, delivery: Delivery, request: Request) -> None:
         """Send it, and end with exactly one event, whatever comes."""
-        attempt = SendAttempt(d.backend, self, d, request)
+        attempt = SendAttempt(delivery.backend, self, delivery, request)
         answer: tuple[bytes, dict[str, str]] | None = None
         load: dict[str, float] | None = None
         actual: float = 0
         used: float | None = None
         result = Result.CANCELLED
         try:
-            remaining_s = (d.deadline - self.clock()) / MICROSECONDS_OF_SECOND
+            remaining_s = (delivery.deadline - self.clock()) / MICROSECONDS_PER_SECOND
             passed = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's, which is a Mapping
             headers = [*passed, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
             status, body, got = await self._exchange(
@@ -179,21 +179,26 @@
                 data=request.body or None,
             )
             answer = (body, {name: got[name] for name in PASSED_BACK if name in got})
-            result = self._outcome(status, got)
+            result = self._result_of_response(status, got)
             load = load_report(got.get("X-Server-Load"))
             actual = reported_number(got.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE) or 0
             used = self._reported_use(got)
         except asyncio.CancelledError:
             pass  # by `cancel`: the event says so
         except Exception as error:  # noqa: BLE001  whatever it is, the delivery has its end by it
-            result = self._failure(error, attempt)
+            result = self._result_of_error(error, attempt)
         finally:
-            link = self.links.get(d.backend)
-            if answer is None and d.overdue and link is not None and link.heard < d.sent_at:
+            pool = self.pools.get(delivery.backend)
+            if (
+                answer is None
+                and delivery.overdue
+                and pool is not None
+                and pool.last_response_at < delivery.sent_at
+            ):
                 # Silent for all that time: other connections kept from before would each cost a delivery.
-                self.renew(d.backend)
+                self.retire_pools(delivery.backend)
             at = None if answer is None else attempt.finished_at()
-            self._ended(d, result, answer, load, actual, used, at)
+            self._report_end(delivery, result, answer, load, actual, used, at)
 
     def _reported_use(self, headers: Mapping[str, str]) -> float | None:
         """The fraction of its quota that the customer has used, where answers tell it."""
@@ -204,43 +209,43 @@
 
     async def _exchange(
         self, attempt: SendAttempt, method: str, target: str, timeout_s: float, **options: Any
-    ) -> BackendAnswer:
+    ) -> BackendResponse:
         """One request on one connection; another connection is taken only before its first byte.
 
         Raises `NothingWritten`, `TimeoutError` after `timeout_s` seconds, or what aiohttp's client raises.
         """
-        link = self.link(attempt.backend)
-        if link is None or timeout_s <= 0:
+        pool = self.pool_for(attempt.backend)
+        if pool is None or timeout_s <= 0:
             raise SendNotAllowed
-        link.users += 1
-        attempt.pool = link
+        pool.users += 1
+        attempt.pool = pool
         SENDING.set(attempt)
         try:
             async with asyncio.timeout(timeout_s):
                 while True:
                     try:
-                        return await self._ask(link, attempt, method, target, **options)
+                        return await self._send_request(pool, attempt, method, target, **options)
                     except StaleConnection:  # another connection, perhaps a new one
                         attempt.finish_connecting()
                     except ReuseDelayPending:
                         await asyncio.sleep(REUSE_DELAY_S)
         finally:
             attempt.finish_connecting()
-            link.users -= 1
-            self._release(link)
+            pool.users -= 1
+            self._close_if_unused(pool)
 
     @staticmethod
-    async def _ask(
-        link: ConnectionPool, attempt: SendAttempt, method: str, target: str, **options: Any
-    ) -> BackendAnswer:
+    async def _send_request(
+        pool: ConnectionPool, attempt: SendAttempt, method: str, target: str, **options: Any
+    ) -> BackendResponse:
         """One request and its complete answer.
 
         The answer has to tell where it ends (RFC 9112, section 6.3): one that ends with its connection cannot
         be told from one that was cut off. Raises `ClientPayloadError` where it does not, or is too long.
         """
-        async with link.session.request(
+        async with pool.session.request(
             method,
-            URL(f"http://{link.endpoint}{target}", encoded=True),
+            URL(f"http://{pool.endpoint}{target}", encoded=True),
             allow_redirects=False,
             trace_request_ctx=attempt,
             **options,
@@ -255,23 +260,23 @@
                 body += chunk
                 if len(body) > LONGEST_BODY:  # one that never ends would fill the memory
                     raise aiohttp.ClientPayloadError("longer than the protocol allows")
-        now = attempt.peer.clock()
+        now = attempt.backend_client.clock()
         attempt.completed_at = now
-        link.heard = now
+        pool.last_response_at = now
         await attempt.response_reader.proven()
         return response.status, bytes(body), response.headers
 
     @staticmethod
-    def _outcome(status: int, headers: Mapping[str, str]) -> Result:
+    def _result_of_response(status: int, headers: Mapping[str, str]) -> Result:
         """How a delivery ended, by its answer; only a backend that says so has not processed it."""
         if status == OK:
             return Result.SUCCEEDED
-        if status in UNSERVED_STATUSES and headers.get("X-Not-Processed") == "1":
+        if status in NOT_PROCESSED_STATUSES and headers.get("X-Not-Processed") == "1":
             return Result.REJECTED
         return Result.ERRORED
 
     @staticmethod
-    def _failure(error: Exception, attempt: SendAttempt) -> Result:
+    def _result_of_error(error: Exception, attempt: SendAttempt) -> Result:
         """How an attempt without an answer ended; once a byte may have been written, it may have run."""
         if isinstance(error, SendNotAllowed):
             return Result.VOID
@@ -284,7 +289,7 @@
     def probe(self, backend: BackendState) -> None:
         """Probe a backend; `BackendProbed` follows."""
         counters["probes"] += 1
-        self._keep(asyncio.create_task(self._probe(backend)))
+        self._track(asyncio.create_task(self._probe(backend)))
 
     async def _probe(self, backend: BackendState) -> None:
         """Ask a backend for its load, or only whether it is there; end with exactly one event."""
@@ -293,14 +298,14 @@
         result = Result.CANCELLED
         load: dict[str, float] | None = None
         sent = self.clock()
-        timeout_s = self.settings["connect_timeout"] / MICROSECONDS_OF_SECOND
+        timeout_s = self.settings["connect_timeout"] / MICROSECONDS_PER_SECOND
         try:
             path = LOAD_PATH if has_report else PING_PATH
             status, body, _ = await self._exchange(attempt, "GET", path, timeout_s)
             result = Result.SUCCEEDED if status == OK else Result.ERRORED
             load = load_report(body) if has_report and status == OK else None
         except Exception as error:  # noqa: BLE001  whatever it is, the probe has its end by it
-            result = self._failure(error, attempt)
+            result = self._result_of_error(error, attempt)
         finally:
             at = attempt.finished_at() if result is Result.SUCCEEDED else self.clock()
             self.queue.put_nowait(BackendProbed(backend, result, at - sent, load))
--- a/kestrelbend/gateway/net/connection_pool.py
+++ b/kestrelbend/gateway/net/connection_pool.py
@@ -26,7 +26,7 @@
 AUTO_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
-class RestingConnector(aiohttp.TCPConnector):
+class DelayedReuseConnector(aiohttp.TCPConnector):
     """Keeps a connection out of use for a moment after an answer, as long as its backend is not trusted, and
     after an early answer as long as that is in doubt.
 
@@ -36,33 +36,33 @@
     def __init__(self, reuse_history: ReuseHistory, **options: Any) -> None:
         super().__init__(**options)
         self.reuse_history = reuse_history
-        self.resting = 0
+        self.delayed_count = 0
 
     def _release(self, key: ConnectionKey, protocol: Any, *, should_close: bool = False) -> None:
         """Take a connection back; overrides aiohttp's. `protocol` is an `Answers`."""
-        must_rest = self.reuse_history.remaining_delays or protocol.proof is not None
-        if should_close or protocol.should_close or not must_rest:
+        needs_delay = self.reuse_history.remaining_delays or protocol.proof is not None
+        if should_close or protocol.should_close or not needs_delay:
             protocol.released()
             super()._release(key, protocol, should_close=should_close)
         else:
-            self.resting += 1
-            self._loop.call_later(REUSE_DELAY_S, self._end_rest, key, protocol)
+            self.delayed_count += 1
+            self._loop.call_later(REUSE_DELAY_S, self._end_reuse_delay, key, protocol)
 
-    def _end_rest(self, key: ConnectionKey, protocol: Any, turns: int = MAX_LOOP_ITERATIONS) -> None:
+    def _end_reuse_delay(self, key: ConnectionKey, protocol: Any, turns: int = MAX_LOOP_ITERATIONS) -> None:
         """Its moment is over: it is free, or was ended meanwhile.
 
         After a stall of this gateway the timer comes before what lies unread: that is read first, in as many
         as `turns` turns of the loop.
         """
         if turns and protocol.is_connected() and protocol.unread():
-            self._loop.call_later(LOOP_TURN_S, self._end_rest, key, protocol, turns - 1)
+            self._loop.call_later(LOOP_TURN_S, self._end_reuse_delay, key, protocol, turns - 1)
             return
-        self.resting -= 1
-        was_silent = protocol.is_connected() and not protocol.should_close and not protocol.unread()
-        if was_silent:
+        self.delayed_count -= 1
+        was_quiet = protocol.is_connected() and not protocol.should_close and not protocol.unread()
+        if was_quiet:
             self.reuse_history.record_quiet_delay()
         super()._release(key, protocol)
-        protocol.prove(was_silent)
+        protocol.prove(was_quiet)
 
 
 class ConnectionPool:
@@ -78,7 +78,7 @@
         # Closed here before the far side's machine does: what is written after that would be lost.
         idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_OF_SECOND
         must(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
-        self.connector = RestingConnector(
+        self.connector = DelayedReuseConnector(
             reuse_history, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
         )
         must(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
@@ -98,5 +98,5 @@
         self.session._retry_connection = False
         self.endpoint = endpoint
         self.users = 0
-        self.heard = 0
+        self.last_response_at = 0
         self.retired = False
--- a/kestrelbend/gateway/net/events.py
+++ b/kestrelbend/gateway/net/events.py
@@ -3,7 +3,7 @@
 Each event is one object of a class of its own, by which `owner.Owner` finds its handler. Times are whole
 microseconds of the gateway's clock.
 
-Who puts which: `Clients` and `Checks` the requests and their clients' leaving; `Backends` the ends of
+Who puts which: `Clients` and `Checks` the requests and their clients' leaving; `BackendClient` the ends of
 deliveries and probes, `Checks` those of what it has let in; `Authorisers` whether a delivery may go on;
 `CounterCall` a counter call's end; `EndpointDiscovery` lists and its silence; `Owner.set_timer` timers;
 `DatagramReceiver` datagrams; `NewsPeer` and `Peers` their timers; `gateway.start` the first look for shared
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -22,7 +22,7 @@
 from ..settings.platform import Malformed
 from ..singleton_tasks import probes_shared
 from . import configuration, key_value_logging, metrics
-from .backends import Backends
+from .backends import BackendClient
 from .clients import Clients
 from .counter import CounterService
 from .endpoint_discovery import EndpointDiscovery, EndpointRow, entries
@@ -99,9 +99,11 @@
     owner = Owner({**given.settings, "may_probe": may_probe}, given.seed, clock, queue)
     owner.gateway.context.started_at -= loading
     limits = metrics.DescriptorLimits(given.sockets)
-    backends = Backends(queue, clock, given.settings, limits)
+    backends = BackendClient(queue, clock, given.settings, limits)
     owner.backend_client = backends
-    owner.clients = Clients(queue, clock, given.settings, limits, backends.renew, max_duration_s(given))
+    owner.clients = Clients(
+        queue, clock, given.settings, limits, backends.retire_pools, max_duration_s(given)
+    )
     owner.counter = CounterService(queue, given.counter, given.settings, owner.gateway.counter.timeout)
     owner.discovery = EndpointDiscovery(queue, given.discovery, owner.list_received)
     return owner
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from ..decisions import BackendState
     from ..interface import Delivery
-    from .backends import Backends
+    from .backends import BackendClient
     from .clients import Clients
     from .counter import CounterService
     from .endpoint_discovery import EndpointDiscovery, EndpointList
@@ -81,7 +81,7 @@
     """
 
     clients: Clients
-    backend_client: Backends
+    backend_client: BackendClient
     discovery: EndpointDiscovery
     counter: CounterService
 
@@ -277,7 +277,7 @@
             backend = self.backends[uid]
             moves = uid in received.endpoints and client.endpoints.get(backend) != received.endpoints[uid]
             if uid not in ready or moves:
-                client.barred[backend] = received
+                client.blocked[backend] = received
 
     def on_endpoints_received(self, event: events.EndpointsReceived) -> None:
         """Take a list in: the backends' addresses and states hold from now on."""
@@ -287,15 +287,15 @@
         self.endpoints_listed(received.rows, received.complete)
         endpoints: Mapping[Any, str] = received.endpoints
         for uid in self.listed.keys() & endpoints.keys():
-            self.backend_client.listed(self.backends[uid], endpoints[uid])
+            self.backend_client.set_endpoint(self.backends[uid], endpoints[uid])
         for uid in listed_before - set(self.listed):
-            self.backend_client.unlisted(self.backends[uid])
+            self.backend_client.remove_endpoint(self.backends[uid])
             self.departed_at[uid] = self.gateway.now
         self._forget_departed()
 
     def _lift_bars(self, received: EndpointList) -> None:
         """What this list barred is decided by the list itself now."""
-        barred = self.backend_client.barred
+        barred = self.backend_client.blocked
         for backend in [backend for backend, barred_by in barred.items() if barred_by is received]:
             del barred[backend]
 
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -50,10 +50,10 @@
     code = "net.settling"
 
 
-class SendContext(Protocol):
+class SendClient(Protocol):
     """What a sending asks of the gateway's backends (`backends.Backends`)."""
 
-    sockets: DescriptorLimits
+    descriptor_limits: DescriptorLimits
     connecting: int
     """Connections being made."""
 
@@ -62,13 +62,13 @@
         """host:port by backend."""
 
     @property
-    def barred(self) -> Mapping[Any, Any]:
+    def blocked(self) -> Mapping[Any, Any]:
         """Backends that a list not yet taken in takes off or moves."""
 
     def clock(self) -> int:
         """Now, in microseconds of the gateway's clock."""
 
-    def renew(self, backend: Any = None) -> Any:
+    def retire_pools(self, backend: Any = None) -> Any:
         """Give up the connections kept to a backend, or to all."""
 
 
@@ -77,12 +77,12 @@
 
     `d` and `request` are None for a probe. `link`: the pool, `answers`: the connection's reader, once chosen.
     `connects`: it makes a connection. `begun`: a byte of it may have been written. `whole`: when its answer
-    was complete, in microseconds of the peer's clock.
+    was complete, in microseconds of the backend_client's clock.
     """
 
     __slots__ = (
         "backend",
-        "peer",
+        "backend_client",
         "delivery",
         "request",
         "pool",
@@ -98,12 +98,12 @@
     def __init__(
         self,
         backend: BackendState,
-        peer: SendContext,
+        backend_client: SendClient,
         delivery: Delivery | None = None,
         request: Request | None = None,
     ) -> None:
         self.backend = backend
-        self.peer = peer
+        self.backend_client = backend_client
         self.delivery = delivery
         self.request = request
         self.completed_at: int | None = None
@@ -112,7 +112,7 @@
 
     def finish_connecting(self) -> None:
         """It makes no connection any more."""
-        self.peer.connecting -= self.is_connecting
+        self.backend_client.connecting -= self.is_connecting
         self.is_connecting = False
 
     def has_unread_data(self) -> bool:
@@ -138,24 +138,26 @@
         Rule 3 counts from then; a client may have gone or got its answer, its time or the window for repeats
         be over since the delivery was decided.
         """
-        peer = self.peer
+        backend_client = self.backend_client
         if (
             self.backend.state is not EndpointState.READY
-            or self.backend in peer.barred
-            or self.pool.endpoint != peer.endpoints.get(self.backend)
+            or self.backend in backend_client.blocked
+            or self.pool.endpoint != backend_client.endpoints.get(self.backend)
         ):
             return False
         if self.delivery is None:
             return True
         assert self.request is not None  # each delivery has its request
-        return not (self.delivery.inv.done or self.request.left() or peer.clock() >= self.delivery.begin_by)
+        return not (
+            self.delivery.inv.done or self.request.left() or backend_client.clock() >= self.delivery.begin_by
+        )
 
     def finished_at(self) -> int:
-        """By the peer's clock: when its answer was complete, if it was.
+        """By the backend_client's clock: when its answer was complete, if it was.
 
         Whether that was this request's may have been found out later.
         """
-        return self.peer.clock() if self.completed_at is None else self.completed_at
+        return self.backend_client.clock() if self.completed_at is None else self.completed_at
 
 
 async def _before_first_byte(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
@@ -182,15 +184,15 @@
 async def _connect_started(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
     """A connection is to be made: where no descriptor is left for it, one that rests is waited for."""
     attempt: SendAttempt = context.trace_request_ctx
-    peer = attempt.peer
-    if not peer.sockets.room_beside_clients(peer.connecting):
-        if attempt.pool.connector.resting:
+    backend_client = attempt.backend_client
+    if not backend_client.descriptor_limits.room_beside_clients(backend_client.connecting):
+        if attempt.pool.connector.delayed_count:
             raise ReuseDelayPending
         counters["no_descriptor_left"] += 1
-        peer.renew()
+        backend_client.retire_pools()
         raise SendNotAllowed
     attempt.is_connecting = True
-    peer.connecting += 1
+    backend_client.connecting += 1
 
 
 async def _connect_finished(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -418,9 +418,9 @@
         owner.clients.listener.close()
         await owner.discovery.session.close()
         peer = owner.backend_client
-        for delivery in peer.running.values():
+        for delivery in peer.delivery_tasks.values():
             delivery.cancel()
-        await asyncio.gather(*peer.running.values(), return_exceptions=True)
-        for backend in list(peer.links):
-            peer.unlisted(backend)
-        await asyncio.gather(*peer.tasks, return_exceptions=True)
+        await asyncio.gather(*peer.delivery_tasks.values(), return_exceptions=True)
+        for backend in list(peer.pools):
+            peer.remove_endpoint(backend)
+        await asyncio.gather(*peer.background_tasks, return_exceptions=True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -322,7 +322,7 @@
                 act()
             assert (await sent.get()).result is Result.VOID
             assert not world.backends[0].seen and not world.backends[1].seen
-            await world.until(lambda: not owner.backend_client.barred)
+            await world.until(lambda: not owner.backend_client.blocked)
 
     run(test())
 
@@ -396,7 +396,9 @@
 
             for act in (leave, gate.open.set) if left_first else (gate.open.set, leave):
                 act()
-            await world.until(lambda: not world.owner.requests and not world.owner.backend_client.running)
+            await world.until(
+                lambda: not world.owner.requests and not world.owner.backend_client.delivery_tasks
+            )
             assert not world.backends[0].seen
             client.close()
 
@@ -420,7 +422,7 @@
             writer = next(w for b in world.backends for w in b.writers if b.seen)
             at_once(writer, lambda c: c.shutdown(socket.SHUT_RDWR))
             client.close()
-            await world.until(lambda: not world.owner.requests and not first.running)
+            await world.until(lambda: not world.owner.requests and not first.delivery_tasks)
             assert sum(len(b.seen) for b in world.backends) == 1
 
     run(test())
@@ -695,7 +697,7 @@
             good = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
             cross = {
                 "cancel": lambda: peer.cancel(d),
-                "drain": lambda: peer.unlisted(target),
+                "drain": lambda: peer.remove_endpoint(target),
                 "reset": lambda: at_once(writer, lambda c: c.shutdown(socket.SHUT_RDWR)),
             }[crossing]
             acts = [lambda: at_once(writer, lambda c: c.send(good)), cross]
@@ -705,7 +707,7 @@
                 act()
             result = (await sent.get()).result
             await asyncio.sleep(0.05)
-            assert sent.empty() and not peer.running and not result.never_ran
+            assert sent.empty() and not peer.delivery_tasks and not result.never_ran
             assert result is not Result.SUCCEEDED or (crossing, answer_first) != ("reset", False)
             if crossing == "drain":
                 assert result is Result.SUCCEEDED  # what is out may end
@@ -743,7 +745,7 @@
             acts.append(later)
             peer.deliver(d, asked_for(owner, "c1"))
             result = (await sent.get()).result
-            assert result is Result.CANCELLED and not peer.connecting and not peer.running
+            assert result is Result.CANCELLED and not peer.connecting and not peer.delivery_tasks
             await world.until(lambda: not backend.writers)
             await asyncio.sleep(0.02)
             assert not backend.writers and (turns > 2 or not backend.seen) and sent.empty()
@@ -762,7 +764,7 @@
             peer.deliver(d, asked_for(owner, "c1"))
             peer.cancel(d)
             ended = await asyncio.wait_for(sent.get(), 1)
-            assert type(ended) is DeliveryEnded and not peer.running
+            assert type(ended) is DeliveryEnded and not peer.delivery_tasks
             assert (ended.delivery, ended.result) == (d, Result.VOID)
             await asyncio.sleep(0.02)
             assert sent.empty() and not world.backends[0].seen
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -188,10 +188,10 @@
         async with World(classes__0__objective=100) as world:
             target, backend = world.owner.backends["s0"], world.backends[0]
             backend.play = ["hang"]
-            before = world.owner.backend_client.link(target)
+            before = world.owner.backend_client.pool_for(target)
             assert (await world.ask(wait="0.3"))[0] in (429, 502)
             await world.until(lambda: before.session.closed)
-            assert world.owner.backend_client.link(target) is not before
+            assert world.owner.backend_client.pool_for(target) is not before
 
     run(test())
 
@@ -650,13 +650,13 @@
             peer, target = world.owner.backend_client, world.owner.backends["s0"]
             on = await connect(*world.listen)
             await world.until(lambda: world.owner.clients.server.open)
-            allowed, peer.sockets.most = peer.sockets.most, 40
-            held, peer.sockets.held = peer.sockets.held, lambda: 39
+            allowed, peer.descriptor_limits.most = peer.descriptor_limits.most, 40
+            held, peer.descriptor_limits.held = peer.descriptor_limits.held, lambda: 39
             assert (await world.ask(wait="0.3", on=on))[0] == 429 and not world.backends[0].seen
             assert not target.failure_evidence and not target.ejected_until  # it is not the backend's doing
-            peer.sockets.most, peer.sockets.held = allowed, held
+            peer.descriptor_limits.most, peer.descriptor_limits.held = allowed, held
             assert (await world.ask(on=on))[0] == 200 and not peer.connecting
-            peer.sockets.most = 40  # a kept connection still serves
+            peer.descriptor_limits.most = 40  # a kept connection still serves
             assert (await world.ask(on=on))[0] == 200
 
     run(test())
