--- a/kestrelbend/gateway/net/answers.py
+++ b/kestrelbend/gateway/net/answers.py
@@ -18,7 +18,7 @@
 from .accept_queue import age
 from .closing import readable
 from .connection_reuse import REUSE_DELAY_S, ReuseHistory
-from .counter import LOOP_TURN_S
+from .counter import LOOP_ITERATION_S
 from .metrics import counters
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
         left = self.settles_at - self._loop.time()
         if left > 0:
             counters["requests_waited_for_silence"] += 1
-            await asyncio.sleep(left + LOOP_TURN_S)
+            await asyncio.sleep(left + LOOP_ITERATION_S)
 
     def ask(self) -> bool:
         """A request is about to be written; False: it must not be.
@@ -196,7 +196,7 @@
 
         After a stall of this gateway the timer comes before it.
         """
-        self.timer = self._loop.call_later(LOOP_TURN_S, self.stalled)
+        self.timer = self._loop.call_later(LOOP_ITERATION_S, self.stalled)
 
     def stalled(self) -> None:
         """Abort the connection: its answer began and does not end."""
--- a/kestrelbend/gateway/net/clients.py
+++ b/kestrelbend/gateway/net/clients.py
@@ -21,7 +21,7 @@
 from .accept_queue import HeldConnection, age
 from .connections import LONGEST_BODY, SETTLE, Connection, Server
 from .events import ClientLeft, RequestTaken
-from .metrics import DescriptorLimits, counters, must
+from .metrics import DescriptorLimits, check_invariant, counters
 from .requests import Request
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
             await asyncio.sleep(INSPECTION_INTERVAL_S)
             try:
                 self.server.end_silent()
-                for _ in range(self.sockets.too_many()):  # the limit was lowered meanwhile
+                for _ in range(self.sockets.excess_clients()):  # the limit was lowered meanwhile
                     self.server.make_room()
             except Exception:  # noqa: BLE001  a fault of the program: it must not be the last look
                 self._fault("look")
@@ -148,7 +148,9 @@
         while True:
             try:
                 connection, held = self._next_connection()
-                if not self.sockets.room_for_client(coming=self.sockets.most // RESERVED_PART):
+                if not self.sockets.has_room_for_client(
+                    pending=self.sockets.max_descriptors // RESERVED_PART
+                ):
                     await self._make_room()
                 await self.adopt(connection, held)
             except BlockingIOError:
@@ -174,11 +176,11 @@
     async def _make_room(self) -> None:
         """Until one more client may be accepted."""
         made = self.server.make_room()
-        while not self.sockets.room_for_client():
+        while not self.sockets.has_room_for_client():
             if not made:
                 self.free_connections()
             await asyncio.sleep(SETTLE / 5 if made else 2 * SETTLE)
-            made = self.sockets.room_for_client() or self.server.make_room()
+            made = self.sockets.has_room_for_client() or self.server.make_room()
 
     async def _connection_waits(self) -> None:
         """Until a connection waits or no more are taken.
@@ -305,7 +307,7 @@
         """
         if request.answer.cancelled():
             return
-        if must(not request.answer.done(), "one_answer"):
+        if check_invariant(not request.answer.done(), "one_answer"):
             counters[outcome] += 1
             request.answer.set_result(web.Response(**response))
 
--- a/kestrelbend/gateway/net/closing.py
+++ b/kestrelbend/gateway/net/closing.py
@@ -30,7 +30,7 @@
     """A client's transport; its `close` shuts down the writing side first.
 
     Everything else is the wrapped `transport`'s. `ending`: its writing side is shut down, and its client's
-    end is awaited; `sockets.ending` counts those.
+    end is awaited; `sockets.half_closed_clients` counts those.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         if self.is_closing():
             return
         self.ending = True
-        self.sockets.ending += 1
+        self.sockets.half_closed_clients += 1
         try:
             self.transport.resume_reading()  # its client's end is seen by reading alone
             self.transport.write_eof()
@@ -72,7 +72,7 @@
 
     def lost(self) -> None:
         """The connection has ended: its handler says so."""
-        self.sockets.ending -= self.ending
+        self.sockets.half_closed_clients -= self.ending
         self.ending = False
         if self.timer is not None:
             self.timer.cancel()
--- a/kestrelbend/gateway/net/connection_pool.py
+++ b/kestrelbend/gateway/net/connection_pool.py
@@ -19,8 +19,8 @@
 
 from .answers import Answers
 from .connection_reuse import REUSE_DELAY_S, ReuseHistory
-from .counter import LOOP_TURN_S, MICROSECONDS_OF_SECOND
-from .metrics import must
+from .counter import LOOP_ITERATION_S, MICROSECONDS_PER_SECOND
+from .metrics import check_invariant
 from .sending import MAX_LOOP_ITERATIONS, trace_config
 
 AUTO_HEADERS: Final = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -55,7 +55,7 @@
         as `turns` turns of the loop.
         """
         if turns and protocol.is_connected() and protocol.unread():
-            self._loop.call_later(LOOP_TURN_S, self._end_reuse_delay, key, protocol, turns - 1)
+            self._loop.call_later(LOOP_ITERATION_S, self._end_reuse_delay, key, protocol, turns - 1)
             return
         self.delayed_count -= 1
         was_quiet = protocol.is_connected() and not protocol.should_close and not protocol.unread()
@@ -74,14 +74,14 @@
     """
 
     def __init__(self, endpoint: str, settings: Mapping[str, Any], reuse_history: ReuseHistory) -> None:
-        connect_timeout = settings["connect_timeout"] / MICROSECONDS_OF_SECOND
+        connect_timeout = settings["connect_timeout"] / MICROSECONDS_PER_SECOND
         # Closed here before the far side's machine does: what is written after that would be lost.
-        idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_OF_SECOND
-        must(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
+        idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_PER_SECOND
+        check_invariant(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
         self.connector = DelayedReuseConnector(
             reuse_history, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
         )
-        must(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
+        check_invariant(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
         factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, reuse_history)
         self.connector._factory = cast("partial[ResponseHandler]", factory)
         self.session = aiohttp.ClientSession(
@@ -94,7 +94,7 @@
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
         )
         # It would send a GET again by itself when a kept connection breaks; each sending is a delivery.
-        must(hasattr(self.session, "_retry_connection"), "client_resends_can_be_stopped")
+        check_invariant(hasattr(self.session, "_retry_connection"), "client_resends_can_be_stopped")
         self.session._retry_connection = False
         self.endpoint = endpoint
         self.users = 0
--- a/kestrelbend/gateway/net/connections.py
+++ b/kestrelbend/gateway/net/connections.py
@@ -142,7 +142,7 @@
         connection = cast(Connection, handler)
         self.open.add(connection)
         self.fresh[connection] = None
-        self.sockets.clients = len(self.open)
+        self.sockets.client_connections = len(self.open)
         counters["connections"] += 1
 
     @staticmethod
@@ -162,7 +162,7 @@
         self.open.discard(connection)
         self.fresh.pop(connection, None)
         self.idle.pop(connection, None)
-        self.sockets.clients = len(self.open)
+        self.sockets.client_connections = len(self.open)
 
     def asks(self, handler: Connection) -> None:
         """A request of it is open from now on."""
@@ -191,7 +191,7 @@
         silent = next(filter(self.rests, self.fresh), None)
         longest = next(filter(self.rests, self.idle), None)
         ends = next((handler for handler in self.open if handler.closing.ending), None)
-        if ends is not None and self.sockets.too_many() < 0:
+        if ends is not None and self.sockets.excess_clients() < 0:
             ends.closing.transport.close()  # there would be room but for it
             return True
         if silent is not None and (now - silent.since > 4 * SETTLE or longest is None):
--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -1,4 +1,4 @@
-"""The client of the counter service: `CNT.ADD name amount life_ms` over RESP2 (Redis's protocol, version 2).
+"""Client of the counter service: `CNT.ADD name amount lifetime_ms` over RESP2, version 2 of Redis's protocol.
 
 The service answers each call with the total of the counter that `name` names, as text, or with an error.
 Answers come in the order of the calls on their connection, and nothing else ties an answer to its call: after
@@ -20,16 +20,16 @@
 from .metrics import counters
 
 MAX_CONNECTIONS: Final = 8
-LOOP_TURN_S: Final = 0.001  # the loop reads its sockets once before a timer so far off
-MICROSECONDS_OF_SECOND: Final = 1e6
-MICROSECONDS_OF_MS: Final = 1000
+LOOP_ITERATION_S: Final = 0.001  # the loop reads its sockets once before a timer so far off
+MICROSECONDS_PER_SECOND: Final = 1e6
+MICROSECONDS_PER_MS: Final = 1000
 AMOUNT_DECIMALS: Final = 6
 
 Address = tuple[str, int]
 """Host and port, as asyncio takes them."""
 
 # By the first word of an error reply; after any other one it is unknown whether the call was added.
-RESULTS_OF_ERRORS: Final = {"BUSY": Result.REJECTED, "ERR": Result.UNREACHABLE}
+RESULT_BY_ERROR: Final = {"BUSY": Result.REJECTED, "ERR": Result.UNREACHABLE}
 
 
 class CounterConnection(asyncio.Protocol):
@@ -68,7 +68,7 @@
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
                 # After what is no answer to a call, which answer is whose can no longer be told.
-                if not self.pending or not self.pending.popleft().take_reply(reply):
+                if not self.pending or not self.pending.popleft().handle_reply(reply):
                     self.transport.abort()
                     return
         except hiredis.ProtocolError:
@@ -90,7 +90,7 @@
         Not one that ended, nor one that has been silent for `silence_timeout` seconds with calls out: a fresh
         connection may be answered. One to a former address of the service stays for the calls out on it.
         """
-        if self.address != address and not self.load():
+        if self.address != address and not self.unfinished_calls():
             if self.transport is not None:
                 self.transport.close()
             return False
@@ -102,7 +102,7 @@
             return False
         return True
 
-    def load(self) -> int:
+    def unfinished_calls(self) -> int:
         """How many calls are out on it or wait for it."""
         return len(self.pending) + len(self.waiting)
 
@@ -117,34 +117,34 @@
     Its end goes to the owner's queue as the event `("counted", name, result, total)`.
     """
 
-    __slots__ = ("done", "name", "request", "service", "started_at", "timer")
+    __slots__ = ("done", "name", "request", "client", "started_at", "timer")
 
-    def __init__(self, name: object, request: bytes, service: CounterService) -> None:
+    def __init__(self, name: object, request: bytes, client: CounterClient) -> None:
         loop = asyncio.get_running_loop()
         self.name = name
         self.request = request
-        self.service = service
+        self.client = client
         self.done = False
         self.started_at = loop.time()
-        self.timer = loop.call_later(service.call_timeout, self.end, Result.UNREACHABLE)
+        self.timer = loop.call_later(client.call_timeout, self.end, Result.UNREACHABLE)
 
     def mark_written(self) -> None:
         """From now on a timeout leaves open whether the call was added."""
         self.timer.cancel()
-        deadline = self.started_at + self.service.call_timeout
-        self.timer = asyncio.get_running_loop().call_at(deadline, self.reach_deadline)
+        deadline = self.started_at + self.client.call_timeout
+        self.timer = asyncio.get_running_loop().call_at(deadline, self.on_deadline)
 
-    def reach_deadline(self) -> None:
+    def on_deadline(self) -> None:
         """Time out, but after one more turn of the loop.
 
         After a stall of this gateway the timer comes before what lies unread: that is read first.
         """
-        self.timer = asyncio.get_running_loop().call_later(LOOP_TURN_S, self.end, Result.TIMED_OUT)
+        self.timer = asyncio.get_running_loop().call_later(LOOP_ITERATION_S, self.end, Result.TIMED_OUT)
 
-    def take_reply(self, reply: object) -> bool:
+    def handle_reply(self, reply: object) -> bool:
         """End by this reply; False: it cannot be read, and the connection's order of answers is in doubt."""
         if isinstance(reply, hiredis.ReplyError):
-            known = RESULTS_OF_ERRORS.get(str(reply).partition(" ")[0])
+            known = RESULT_BY_ERROR.get(str(reply).partition(" ")[0])
             self.end(known or Result.TIMED_OUT)
             return known is not None
         try:
@@ -162,10 +162,10 @@
             self.done = True
             self.timer.cancel()
             counters["counter_" + result.name.lower()] += 1
-            self.service.queue.put_nowait(CounterReplied(self.name, result, total))
+            self.client.queue.put_nowait(CounterReplied(self.name, result, total))
 
 
-class CounterService:
+class CounterClient:
     """The counter service as one gateway reaches it; the outcome of each call comes as an event of `queue`.
 
     `address`: where it is, None where there is none: its calls end as unreachable. `settings`: the gateway's;
@@ -183,22 +183,23 @@
         self.address = address
         self.connections: list[CounterConnection] = []
         # In seconds.
-        self.call_timeout = call_timeout / MICROSECONDS_OF_SECOND
-        self.connect_timeout = settings["connect_timeout"] / MICROSECONDS_OF_SECOND
+        self.call_timeout = call_timeout / MICROSECONDS_PER_SECOND
+        self.connect_timeout = settings["connect_timeout"] / MICROSECONDS_PER_SECOND
         self.silence_timeout = max(self.connect_timeout, 2 * self.call_timeout)
-        self.connecting: set[asyncio.Task[None]] = set()
+        self.connect_tasks: set[asyncio.Task[None]] = set()
 
-    def add(self, name: object, amount: float, life: int) -> None:
-        """Add `amount` to a counter that the service keeps for `life` microseconds after its first call."""
+    def add(self, name: object, amount: float, lifetime: int) -> None:
+        """Add `amount` to a counter, which the service keeps for `lifetime` microseconds from its creation."""
         counters["counter_calls"] += 1
         amount_text = f"{round(amount, AMOUNT_DECIMALS):.10g}"
-        life_ms = str(max(1, life // MICROSECONDS_OF_MS))
-        words: tuple[Any, ...] = ("CNT.ADD", str(name), amount_text, life_ms)  # the stub knows but one word
-        call = CounterCall(name, hiredis.pack_command(words), self)
+        lifetime_ms = str(max(1, lifetime // MICROSECONDS_PER_MS))
+        # hiredis's type stub declares a tuple of one item.
+        arguments: tuple[Any, ...] = ("CNT.ADD", str(name), amount_text, lifetime_ms)
+        call = CounterCall(name, hiredis.pack_command(arguments), self)
         if self.address is not None:
             self._connection_for(name, self.address).write(call)
 
-    def move(self, address: Address | None) -> None:
+    def set_address(self, address: Address | None) -> None:
         """The service is at another address now; what is out ends where it was sent."""
         self.address = address
 
@@ -215,17 +216,17 @@
         for connection in self.connections:
             if connection.has_call_for(name):
                 return connection
-        here = [one for one in self.connections if one.address == address]
+        current = [one for one in self.connections if one.address == address]
         # One whose oldest call is past its time may have fallen silent: what can goes elsewhere.
-        ready = [one for one in here if not (one.pending and one.pending[0].done)]
-        least = min(ready or here, key=CounterConnection.load, default=None)
-        if least is None or (not ready or least.load()) and len(here) < MAX_CONNECTIONS:
-            least = CounterConnection(address)
-            self.connections.append(least)
-            task = asyncio.create_task(self._connect(least))
-            self.connecting.add(task)
-            task.add_done_callback(self.connecting.discard)
-        return least
+        ready = [one for one in current if not (one.pending and one.pending[0].done)]
+        chosen = min(ready or current, key=CounterConnection.unfinished_calls, default=None)
+        if chosen is None or (not ready or chosen.unfinished_calls()) and len(current) < MAX_CONNECTIONS:
+            chosen = CounterConnection(address)
+            self.connections.append(chosen)
+            task = asyncio.create_task(self._connect(chosen))
+            self.connect_tasks.add(task)
+            task.add_done_callback(self.connect_tasks.discard)
+        return chosen
 
     async def _connect(self, connection: CounterConnection) -> None:
         """Establish a connection, or end the calls that wait for it as unreachable."""
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 STATES: Final = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
-STATES_BY_DEMAND: Final = (
+STATES_BY_PRECEDENCE: Final = (
     EndpointState.GONE,
     EndpointState.DRAINING,
     EndpointState.READY,
@@ -38,9 +38,9 @@
 RETRY_INTERVAL_S: Final = 0.1  # between failed calls
 FIRST_LIST_TIMEOUT_S: Final = 0.3  # a start waits so long for the first list
 COMPLETE_INTERVAL_S: Final = 4.0  # after a complete list, the next one is asked for, whatever the watch tells
-MICROSECONDS_OF_MS: Final = 1000
+MICROSECONDS_PER_MS: Final = 1000
 DEFAULT_WEIGHT: Final = 1.0
-FAULT_COUNTERS: Final = ("unreadable_rows", "doubled_rows")
+LIST_FAULT_COUNTERS: Final = ("unreadable_rows", "doubled_rows")
 HTTP_OK: Final = 200
 
 
@@ -50,10 +50,10 @@
     uid: str
     zone: str
     model: str
-    group: Any  # as given: a number that means the same backends' group
+    group: Any  # as received: a number that means the same backends' group
     state: EndpointState
     weight: float  # relative capacity
-    started: int  # Unix time in microseconds; 0: not stated
+    started_at: int  # Unix time in microseconds; 0: not stated
 
 
 class EndpointList(NamedTuple):
@@ -72,7 +72,7 @@
     endpoint: str | None
 
 
-def entries(answer: Any) -> EndpointList:
+def parse_endpoint_list(answer: Any) -> EndpointList:
     """One answer in discovery's form, decoded from JSON; raises `Malformed` where it is not a list at all.
 
     An entry that cannot be read is left out and counted: the rest of the list must not wait for its repair.
@@ -82,19 +82,19 @@
     try:
         version = int(answer["rev"])
         complete = bool(answer["all"])
-        given = list(answer["targets"])
+        raw_entries = list(answer["targets"])
     except (KeyError, TypeError, ValueError) as error:
         raise Malformed(f"discovery: {type(error).__name__}: {error}") from None
     rows: dict[str, EndpointRow] = {}
     endpoints: dict[str, str] = {}
-    for entry in given:
-        read = _read_entry(entry)
+    for entry in raw_entries:
+        read = _parse_entry(entry)
         if read is None:
             continue
         row, endpoint = read
         if row.uid in rows:
             counters["doubled_rows"] += 1
-            if STATES_BY_DEMAND.index(rows[row.uid].state) <= STATES_BY_DEMAND.index(row.state):
+            if STATES_BY_PRECEDENCE.index(rows[row.uid].state) <= STATES_BY_PRECEDENCE.index(row.state):
                 continue
         rows[row.uid] = row
         if endpoint:
@@ -102,7 +102,7 @@
     return EndpointList(version, complete, list(rows.values()), endpoints)
 
 
-def _read_entry(entry: Any) -> KnownBackend | None:
+def _parse_entry(entry: Any) -> KnownBackend | None:
     """One entry of a list; None: of no use, which is counted."""
     try:
         uid = str(entry["uid"])
@@ -112,10 +112,10 @@
         return None
     endpoint = None
     weight = DEFAULT_WEIGHT
-    started = 0
+    started_at = 0
     try:
         weight = float(entry.get("capacity_hint") or DEFAULT_WEIGHT)
-        started = round(MICROSECONDS_OF_MS * float(entry.get("boot_ms") or 0))
+        started_at = round(MICROSECONDS_PER_MS * float(entry.get("boot_ms") or 0))
         if state is not EndpointState.GONE or entry.get("endpoint"):
             host, port = address(entry["endpoint"], "endpoint")
             endpoint = f"{host}:{port}"
@@ -125,7 +125,7 @@
             return None
     zone = str(entry.get("az", ""))
     model = str(entry.get("model", ""))
-    row = EndpointRow(uid, zone, model, entry.get("pod_group", 0), state, weight, started)
+    row = EndpointRow(uid, zone, model, entry.get("pod_group", 0), state, weight, started_at)
     return KnownBackend(row, endpoint)
 
 
@@ -143,24 +143,24 @@
         on_received: Callable[[EndpointList], None] = lambda received: None,
     ) -> None:
         self.queue = queue
-        self.base = address
+        self.service_address = address
         self.on_received = on_received
         self.session: aiohttp.ClientSession | None = None
-        self.watching: asyncio.Task[None] | None = None
-        self.contacted = asyncio.Event()  # discovery has answered once, or does not
-        self._forget()
-        self.logged_faults = dict.fromkeys(FAULT_COUNTERS, 0)
+        self.watch_task: asyncio.Task[None] | None = None
+        self.first_call_done = asyncio.Event()  # discovery has answered once, or does not
+        self._reset()
+        self.logged_faults = dict.fromkeys(LIST_FAULT_COUNTERS, 0)
         self.is_empty = False
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         """Know nothing of the list: the next call asks for all of it."""
         self.version: int | None = None
-        self.since: int | None = None  # changes since this version are asked for; None: the complete list
-        self.complete_at: float | None = None  # loop time of the last complete list
+        self.query_since: int | None = None  # version to request changes since; None: the complete list
+        self.last_complete_at: float | None = None  # loop time of the last complete list
         self.known: dict[str, KnownBackend] = {}
-        self.saw_older = False  # a complete list of an older version came just now
+        self.received_older = False  # a complete list of an older version came just now
 
-    def _log_faults(self, received: EndpointList) -> None:
+    def _log_list_faults(self, received: EndpointList) -> None:
         """Say once what is odd about a list; it is served on with the rest, and with what was known."""
         for name, logged in self.logged_faults.items():
             if counters[name] and not logged:
@@ -170,22 +170,22 @@
             self.is_empty = not received.rows
             log.warning("discovery lists no backend" if self.is_empty else "discovery lists backends again")
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Discovery is at another address now: its complete list is asked for at once."""
-        if address != self.base:
-            self.base = address
-            self._forget()
-            if self.watching is not None:
-                self.watching.cancel()  # with its calls; what one of them answers now is not taken
-                self.watching = None
+        if address != self.service_address:
+            self.service_address = address
+            self._reset()
+            if self.watch_task is not None:
+                self.watch_task.cancel()  # with its calls; what one of them answers now is not taken
+                self.watch_task = None
             self.watch()
 
     def watch(self) -> None:
         """Follow discovery, if that is not done already."""
-        if self.watching is None or self.watching.done():
-            self.watching = asyncio.create_task(self._follow())
+        if self.watch_task is None or self.watch_task.done():
+            self.watch_task = asyncio.create_task(self._watch_forever())
 
-    async def _follow(self) -> None:
+    async def _watch_forever(self) -> None:
         """Ask again and again, for ever.
 
         A watch goes on while the next call comes within 200 ms of the last answer; the answer is handed over
@@ -196,12 +196,12 @@
         is_failing = False
         loop = asyncio.get_running_loop()
         while True:
-            asked_at = loop.time()
+            called_at = loop.time()
             try:
-                received = await self._ask(self.session)
+                received = await self._call_hedged(self.session)
             except Exception as error:  # noqa: BLE001  whatever discovery says, it is asked again
                 counters["discovery_failed"] += 1
-                self.contacted.set()
+                self.first_call_done.set()
                 if not is_failing:
                     is_failing = True
                     log.warning("discovery silent", extra={"why": f"{type(error).__name__}: {error}"})
@@ -212,21 +212,21 @@
                 log.info("discovery answers again")
             is_failing = False
             counters["discovery_answers"] += 1
-            self._log_faults(received)
-            is_new = self.take(received)
-            self.contacted.set()
-            if not is_new and loop.time() - asked_at < RETRY_INTERVAL_S:
+            self._log_list_faults(received)
+            is_new = self.apply(received)
+            self.first_call_done.set()
+            if not is_new and loop.time() - called_at < RETRY_INTERVAL_S:
                 await asyncio.sleep(RETRY_INTERVAL_S)  # an answer at once that says nothing, perhaps for ever
 
-    async def first(self) -> None:
+    async def wait_for_first_response(self) -> None:
         """Wait until discovery has told its list, or says nothing; `FIRST_LIST_TIMEOUT_S` at most."""
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                await self.contacted.wait()
+                await self.first_call_done.wait()
         except TimeoutError:
             pass
 
-    async def _ask(self, session: aiohttp.ClientSession) -> EndpointList:
+    async def _call_hedged(self, session: aiohttp.ClientSession) -> EndpointList:
         """The first answer to any call; raises what the first failed call raised, once none is out any more.
 
         A call without answer in its time is hedged by one on another connection, and so on, so that no call
@@ -237,7 +237,7 @@
         hedge_after = HEDGE_AFTER_S
         try:
             while True:
-                is_watch = not calls and self.since is not None
+                is_watch = not calls and self.query_since is not None
                 calls.append(asyncio.create_task(self._call(session, WATCH_MS if is_watch else 1)))
                 wait = hedge_after + is_watch * WATCH_MS / 1000
                 done, _ = await asyncio.wait(calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
@@ -260,16 +260,16 @@
 
     async def _call(self, session: aiohttp.ClientSession, wait_ms: int) -> EndpointList:
         """One call, by which changes are waited for so many milliseconds."""
-        query = "" if self.since is None else f"?since={self.since}&timeout_ms={wait_ms}"
-        url = f"http://{self.base}/catalog/members{query}"
+        query = "" if self.query_since is None else f"?since={self.query_since}&timeout_ms={wait_ms}"
+        url = f"http://{self.service_address}/catalog/members{query}"
         async with asyncio.timeout(CALL_TIMEOUT_S):
             async with session.get(url, allow_redirects=False) as response:
                 text = await response.read()
         if response.status != HTTP_OK:
             raise Malformed(f"discovery: status {response.status}")
-        return entries(json.loads(text))
+        return parse_endpoint_list(json.loads(text))
 
-    def take(self, received: EndpointList) -> bool:
+    def apply(self, received: EndpointList) -> bool:
         """Hand a list on, in the order of versions; False: it says nothing new.
 
         Changes up to a version before the last are none: the complete list is asked for. A complete list of
@@ -279,21 +279,21 @@
         """
         version = received.version
         complete = received.complete
-        if self.version is not None and version < self.version and not (complete and self.saw_older):
+        if self.version is not None and version < self.version and not (complete and self.received_older):
             counters["discovery_went_back"] += 1
-            self.saw_older = complete
-            self.since = None
+            self.received_older = complete
+            self.query_since = None
             return False
         known = _merge({} if complete else self.known, received)
         has_news = version != self.version and (complete or bool(received.rows))
         is_new = known != self.known or has_news
         now = asyncio.get_running_loop().time()
-        if complete or self.complete_at is None:
-            self.complete_at = now
+        if complete or self.last_complete_at is None:
+            self.last_complete_at = now
         self.version = version
         self.known = known
-        self.saw_older = False
-        self.since = version if now - self.complete_at < COMPLETE_INTERVAL_S else None
+        self.received_older = False
+        self.query_since = version if now - self.last_complete_at < COMPLETE_INTERVAL_S else None
         if is_new:
             self.on_received(received)
             self.queue.put_nowait(EndpointsReceived(received))
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -24,8 +24,8 @@
 from . import configuration, key_value_logging, metrics
 from .backends import BackendClient
 from .clients import Clients
-from .counter import CounterService
-from .endpoint_discovery import EndpointDiscovery, EndpointRow, entries
+from .counter import CounterClient
+from .endpoint_discovery import EndpointDiscovery, EndpointRow, parse_endpoint_list
 from .events import EndpointsReceived, Event, SharedProbesDue
 from .metrics import counters
 from .owner import Owner
@@ -77,7 +77,7 @@
     share_probes = given.members is not None and probes_shared(given.settings, given.members.share_probes)
     owner = _make_owner(given, share_probes, loading)
     if given.known:
-        owner.on_endpoints_received(EndpointsReceived(entries(given.known)))
+        owner.on_endpoints_received(EndpointsReceived(parse_endpoint_list(given.known)))
     serving = asyncio.create_task(owner.serve())
     await _await_endpoints(given, owner)
     await owner.clients.start(given.listen, accept_queue)
@@ -104,7 +104,7 @@
     owner.clients = Clients(
         queue, clock, given.settings, limits, backends.retire_pools, max_duration_s(given)
     )
-    owner.counter = CounterService(queue, given.counter, given.settings, owner.gateway.counter.timeout)
+    owner.counter = CounterClient(queue, given.counter, given.settings, owner.gateway.counter.timeout)
     owner.discovery = EndpointDiscovery(queue, given.discovery, owner.list_received)
     return owner
 
@@ -118,7 +118,7 @@
         owner.endpoints_listed([UPSTREAM], True)
     else:
         owner.discovery.watch()
-        await owner.discovery.first()
+        await owner.discovery.wait_for_first_response()
 
 
 async def _start_external_authorization(given: GatewayConfiguration, owner: Owner) -> None:
@@ -182,9 +182,9 @@
     except Malformed as error:
         logging.error("configuration not taken", extra={"why": str(error)})
         return
-    owner.discovery.move(new.discovery)
-    owner.counter.move(new.counter)
-    owner.clients.sockets.most = new.sockets
+    owner.discovery.set_address(new.discovery)
+    owner.counter.set_address(new.counter)
+    owner.clients.sockets.max_descriptors = new.sockets
     for key in HOLD_FROM_THE_NEXT_START:
         if repr(getattr(new, key)) != repr(getattr(given, key)):
             logging.warning("changed, holds from the next start", extra={"key": key})
@@ -194,7 +194,7 @@
 
 def report(owner: Owner) -> None:
     """SIGUSR1: log the counters, and the members as this gateway knows them."""
-    metrics.report()
+    metrics.log_counters()
     if owner.membership is not None:
         owner.membership.report()
 
@@ -212,7 +212,7 @@
     loop.add_signal_handler(signal.SIGHUP, replaced.set)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    loop.add_signal_handler(signal.SIGUSR1, metrics.report)
+    loop.add_signal_handler(signal.SIGUSR1, metrics.log_counters)
     if early.stopped:
         stop.set()
     if early.replaced:
@@ -245,7 +245,7 @@
     await asyncio.gather(*draining)
     if owner.authorisers is not None:
         await owner.authorisers.end()
-    metrics.report()
+    metrics.log_counters()
 
 
 def serve(early: EarlySignals, accept_queue: AcceptQueue | None, path: str | None = None) -> None:
--- a/kestrelbend/gateway/net/metrics.py
+++ b/kestrelbend/gateway/net/metrics.py
@@ -26,48 +26,51 @@
     `ending`: those of them that are half closed.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.clients = 0
-        self.ending = 0
+    def __init__(self, max_descriptors: int) -> None:
+        self.max_descriptors = max_descriptors
+        self.client_connections = 0
+        self.half_closed_clients = 0
 
     @staticmethod
-    def held() -> int:
+    def open_descriptors() -> int:
         """How many descriptors are open; as many as can be, where none is left to look with."""
         try:
             return len(os.listdir("/proc/self/fd"))
         except OSError:
             return sys.maxsize
 
-    def room_for_client(self, coming: int = 0) -> bool:
-        """Whether one more client may be accepted after `coming` others."""
+    def has_room_for_client(self, pending: int = 0) -> bool:
+        """Whether one more client may be accepted after `pending` others."""
         return (
-            self.too_many(coming) < 0
-            and self.clients + coming < self.most * 9 // 16
-            and self.held() + coming < self.most * 15 // 16
+            self.excess_clients(pending) < 0
+            and self.client_connections + pending < self.max_descriptors * 9 // 16
+            and self.open_descriptors() + pending < self.max_descriptors * 15 // 16
         )
 
-    def too_many(self, coming: int = 0) -> int:
+    def excess_clients(self, pending: int = 0) -> int:
         """Clients beyond their half; negative: how many more there may be."""
-        return self.clients - self.ending + coming - self.most // 2
+        return self.client_connections - self.half_closed_clients + pending - self.max_descriptors // 2
 
-    def room_beside_clients(self, coming: int) -> bool:
-        """Whether one more connection that is no client's may be made after `coming` others."""
-        held = self.held() + coming
-        return held < self.most * 7 // 8 or held - self.clients < self.most * 3 // 8
+    def has_room_for_other(self, pending: int) -> bool:
+        """Whether one more connection that is no client's may be made after `pending` others."""
+        open_now = self.open_descriptors() + pending
+        return (
+            open_now < self.max_descriptors * 7 // 8
+            or open_now - self.client_connections < self.max_descriptors * 3 // 8
+        )
 
 
-def must(held: bool, what: str) -> bool:
-    """What must hold, by the name of its counter: asserted in debug, counted under -O; returns `held`."""
-    if not held:
-        counters["broken_" + what] += 1
+def check_invariant(holds: bool, name: str) -> bool:
+    """Check an invariant, and return `holds`; a violation raises in debug mode and is counted under -O."""
+    if not holds:
+        counters["broken_" + name] += 1
         if __debug__:
-            raise AssertionError(what)
-        if counters["broken_" + what] == 1:
-            log.error("must hold, did not", extra={"what": what})
-    return held
+            raise AssertionError(name)
+        if counters["broken_" + name] == 1:
+            log.error("must hold, did not", extra={"what": name})
+    return holds
 
 
-def report() -> None:
+def log_counters() -> None:
     """Log all counters, in the order of their names."""
     log.info("counters", extra=dict(sorted(counters.items())))
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -14,14 +14,14 @@
 from ..hosting import Host, Task
 from ..interface import EndpointState, Invocation, Result
 from . import events
-from .metrics import counters, must
+from .metrics import check_invariant, counters
 
 if TYPE_CHECKING:
     from ..decisions import BackendState
     from ..interface import Delivery
     from .backends import BackendClient
     from .clients import Clients
-    from .counter import CounterService
+    from .counter import CounterClient
     from .endpoint_discovery import EndpointDiscovery, EndpointList
     from .news import NewsPeer
     from .peers import Peers
@@ -83,7 +83,7 @@
     clients: Clients
     backend_client: BackendClient
     discovery: EndpointDiscovery
-    counter: CounterService
+    counter: CounterClient
 
     def __init__(
         self,
@@ -320,7 +320,7 @@
 
     def deliver(self, delivery: Delivery) -> None:
         """Send a delivery, by its front, its authorisers or at once."""
-        must(not delivery.inv.done, "nothing_sent_after_the_answer")
+        check_invariant(not delivery.inv.done, "nothing_sent_after_the_answer")
         request = self.requests[delivery.inv]
         if request.front is not None:
             request.front.deliver(delivery, request)
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -185,7 +185,7 @@
     """A connection is to be made: where no descriptor is left for it, one that rests is waited for."""
     attempt: SendAttempt = context.trace_request_ctx
     backend_client = attempt.backend_client
-    if not backend_client.descriptor_limits.room_beside_clients(backend_client.connecting):
+    if not backend_client.descriptor_limits.has_room_for_other(backend_client.connecting):
         if attempt.pool.connector.delayed_count:
             raise ReuseDelayPending
         counters["no_descriptor_left"] += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -413,7 +413,7 @@
     @staticmethod
     async def end(owner, serving):
         """End a gateway that was started in this process."""
-        for task in (serving, owner.discovery.watching, owner.clients.accepting, owner.clients.looking):
+        for task in (serving, owner.discovery.watch_task, owner.clients.accepting, owner.clients.looking):
             task.cancel()
         owner.clients.listener.close()
         await owner.discovery.session.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -169,7 +169,7 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.play = [None, *calls]
-            world.owner.discovery.move(discovery.address)
+            world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)  # the watch is open, and fails
             discovery.rev, discovery.rows, at = 7, changed(world), time.monotonic()
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
@@ -183,7 +183,7 @@
 
     async def test():
         async with Listed() as (world, discovery):
-            world.owner.discovery.move(discovery.address)
+            world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rows, at = changed(world), time.monotonic()  # and its version stays
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
@@ -205,7 +205,7 @@
         async with Listed() as (world, discovery):
             discovery.rev, discovery.rows = 7, changed(world)
             discovery.play = [None, discovery.told(whole, world.rows, rev)]
-            world.owner.discovery.move(discovery.address)
+            world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) > 3, 5)
             state = world.owner.backends["s0"].state
             assert state is (EndpointState.READY if taken else EndpointState.DRAINING)
@@ -218,7 +218,7 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.rev = 40
-            world.owner.discovery.move(discovery.address)
+            world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 2, changed(world)
             discovery.play = [discovery.told(True, discovery.rows)]
@@ -244,7 +244,7 @@
     async def test():
         async with Listed() as (world, discovery):
             discovery.play = [None, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(odd), odd)]
-            world.owner.discovery.move(discovery.address)
+            world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
             discovery.rev, discovery.rows = 7, changed(world)
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 5)
@@ -261,7 +261,7 @@
         "all": False,
         "targets": [{"uid": "s1", "endpoint": "127.0.0.1:80", "state": "draining", **spoilt}],
     }
-    assert [(entry[0], entry[4]) for entry in endpoint_discovery.entries(told)[2]] == [
+    assert [(entry[0], entry[4]) for entry in endpoint_discovery.parse_endpoint_list(told)[2]] == [
         ("s1", EndpointState.DRAINING)
     ]
 
@@ -278,7 +278,7 @@
             discovery.rev = 1
             acts = [
                 lambda: at_once(next(iter(old.writers)), lambda c: c.send(late)),
-                lambda: owner.discovery.move(discovery.address),
+                lambda: owner.discovery.set_address(discovery.address),
             ]
             for act in acts if answer_first else acts[::-1]:
                 act()
@@ -313,11 +313,13 @@
                 "left out": [world.rows[1]],
                 "moved": [entry | {"endpoint": world.backends[1].address}],
             }[how]
-            told = endpoint_discovery.entries({"rev": 90, "all": how == "left out", "targets": rows})
+            told = endpoint_discovery.parse_endpoint_list(
+                {"rev": 90, "all": how == "left out", "targets": rows}
+            )
             owner.backend_client.queue = sent
             owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
             await gate.reached.wait()
-            acts = [lambda: owner.discovery.take(told), gate.open.set]
+            acts = [lambda: owner.discovery.apply(told), gate.open.set]
             for act in acts if told_first else acts[::-1]:
                 act()
             assert (await sent.get()).result is Result.VOID
@@ -645,7 +647,9 @@
             backend, met = world.backends[0], []
             on, sockets = await connect(*world.listen), world.owner.clients.sockets
             for n in range(4):
-                sockets.most, sockets.held = (256, lambda: 0) if n == 0 else (40, lambda: 39)
+                sockets.max_descriptors, sockets.open_descriptors = (
+                    (256, lambda: 0) if n == 0 else (40, lambda: 39)
+                )
                 assert (await world.ask(f"/op/{n:016x}", on=on))[0] == 200
                 met.append(next(iter(backend.writers)))
             assert len(set(met)) == 1 and len(backend.writers) == 1
@@ -831,7 +835,7 @@
         async with World() as world:
             client, loop = plain(world.listen), asyncio.get_running_loop()
             client.send(bad)
-            await world.until(lambda: world.owner.clients.sockets.ending)
+            await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
             for _ in range(4):
                 await loop.sock_sendall(client, bytes(1 << 14))
                 await asyncio.sleep(0.01)
@@ -848,9 +852,9 @@
             client, clients_, server = plain(world.listen), world.owner.clients, world.owner.clients.server
             await world.until(lambda: server.open)
             server.hang_up(next(iter(server.open)))
-            assert clients_.sockets.ending == 1
+            assert clients_.sockets.half_closed_clients == 1
             await world.until(lambda: not server.open, 2)
-            assert clients_.sockets.ending == clients_.sockets.clients == 0
+            assert clients_.sockets.half_closed_clients == clients_.sockets.client_connections == 0
             client.close()
 
     run(test())
@@ -1002,7 +1006,7 @@
             server, rests = world.owner.clients.server, plain(world.listen)
             await world.until(lambda: server.open)
             drained = asyncio.create_task(world.owner.clients.drain(0))
-            await world.until(lambda: world.owner.clients.sockets.ending)
+            await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
             rests.send(request(1))
             assert await answer(rests) == b"" and not world.backends[0].seen
             rests.close()
@@ -1042,7 +1046,7 @@
             client = plain(world.listen)
             client.send(request(1, wait="1"))
             await world.until(lambda: server.busy)
-            sockets.most = 8  # as SIGHUP sets it
+            sockets.max_descriptors = 8  # as SIGHUP sets it
             await world.until(lambda: len(server.open) <= 4, 4)
             assert server.busy
             client.close()
@@ -1056,13 +1060,13 @@
     async def test():
         async with World() as world:
             sockets, loop = world.owner.clients.sockets, asyncio.get_running_loop()
-            sockets.most, sockets.held = 24, lambda: 0
+            sockets.max_descriptors, sockets.open_descriptors = 24, lambda: 0
             ones = [plain(world.listen) for _ in range(80)]
             for n, one in enumerate(ones):
                 one.send(request(n, path=f"/op/{n:016x}"))
             said = [await asyncio.wait_for(loop.sock_recv(one, 999), 5) for one in ones]
             assert all(b" 200 " in s or b" 429 " in s for s in said)
-            assert sockets.too_many() <= 0 and sockets.clients <= 24 * 9 // 16
+            assert sockets.excess_clients() <= 0 and sockets.client_connections <= 24 * 9 // 16
             for one in ones:
                 one.close()
 
@@ -1233,7 +1237,7 @@
     """Gateways on one loop between the same stand-ins, told their numbers."""
     async with World(backends_, instances=number, **changes) as world:
         # They share the descriptors of one process.
-        world.owner.clients.sockets.most = 1 << 16
+        world.owner.clients.sockets.max_descriptors = 1 << 16
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4096)), hard))
         told = [
@@ -1290,9 +1294,9 @@
             assert not seen_at
             began = time.time()
             back = [row("s0", fresh, started=round(began * 1000)), *world.rows[1:]]
-            told = endpoint_discovery.entries({"rev": 3, "all": True, "targets": back})
+            told = endpoint_discovery.parse_endpoint_list({"rev": 3, "all": True, "targets": back})
             for _, owner, _ in all_[::2]:
-                owner.discovery.take(told)
+                owner.discovery.apply(told)
             asyncio.get_running_loop().call_later(0.3, world.discovery.tell, *back)
             at = time.monotonic()
             await drive(cold)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,7 +28,7 @@
 from kestrelbend.gateway.net.gateway import reload, start
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
 from kestrelbend.gateway.net.events import AlarmDue, CounterReplied, RequestTaken
-from kestrelbend.gateway.net.endpoint_discovery import entries
+from kestrelbend.gateway.net.endpoint_discovery import parse_endpoint_list
 from kestrelbend.gateway.net.metrics import counters
 
 from .helpers import BASE, StandCounter, StandDiscovery, StandIns, World, connect, reserve_address, row, run
@@ -614,8 +614,8 @@
 def test_beyond_its_sockets_the_oldest_connection_ends_with_its_answer():
     async def test():
         async with World() as world:
-            world.owner.clients.sockets.most = 2 * 2
-            world.owner.clients.sockets.held = lambda: 0
+            world.owner.clients.sockets.max_descriptors = 2 * 2
+            world.owner.clients.sockets.open_descriptors = lambda: 0
             first = await connect(*world.listen)
             assert (await world.ask(on=first))[0] == 200
             others = [await connect(*world.listen) for _ in range(2)]
@@ -639,7 +639,7 @@
             assert seen.value.partial == b"" and len(world.backends[0].seen) == 1
             assert counters["bytes_after_the_shutdown"]
             on[1].close()
-            await world.until(lambda: not server.open and not world.owner.clients.sockets.ending)
+            await world.until(lambda: not server.open and not world.owner.clients.sockets.half_closed_clients)
 
     run(test())
 
@@ -650,13 +650,16 @@
             peer, target = world.owner.backend_client, world.owner.backends["s0"]
             on = await connect(*world.listen)
             await world.until(lambda: world.owner.clients.server.open)
-            allowed, peer.descriptor_limits.most = peer.descriptor_limits.most, 40
-            held, peer.descriptor_limits.held = peer.descriptor_limits.held, lambda: 39
+            allowed, peer.descriptor_limits.max_descriptors = peer.descriptor_limits.max_descriptors, 40
+            held, peer.descriptor_limits.open_descriptors = (
+                peer.descriptor_limits.open_descriptors,
+                lambda: 39,
+            )
             assert (await world.ask(wait="0.3", on=on))[0] == 429 and not world.backends[0].seen
             assert not target.failure_evidence and not target.ejected_until  # it is not the backend's doing
-            peer.descriptor_limits.most, peer.descriptor_limits.held = allowed, held
+            peer.descriptor_limits.max_descriptors, peer.descriptor_limits.open_descriptors = allowed, held
             assert (await world.ask(on=on))[0] == 200 and not peer.connecting
-            peer.descriptor_limits.most = 40  # a kept connection still serves
+            peer.descriptor_limits.max_descriptors = 40  # a kept connection still serves
             assert (await world.ask(on=on))[0] == 200
 
     run(test())
@@ -873,7 +876,7 @@
             owner.counter.add(6, 1, 4_000_000)
             ended = [await owner.counter.queue.get() for _ in range(3)]
             assert [e.total for e in ended if e.name == 5] == [1.0, 2.0]
-            assert counter.calls == ["6"] and owner.clients.sockets.most == 99
+            assert counter.calls == ["6"] and owner.clients.sockets.max_descriptors == 99
             owner.counter.queue = owner.queue
             await world.until(lambda: set(owner.listed) == {"s0", "s9"})
             assert "since" not in discovery.asked[0]
@@ -910,7 +913,7 @@
             assert not later.done()
             world.owner.clients.accepting.cancel()
             world.owner.clients.listener.close()
-            world.owner.discovery.watching.cancel()
+            world.owner.discovery.watch_task.cancel()
             await world.owner.discovery.session.close()
             world.owner, serving = await later
             await world.until(lambda: world.owner.listed)
@@ -961,7 +964,7 @@
 
 def test_a_list_that_cannot_be_read_is_named_and_an_entry_left_out():
     with pytest.raises(terms.Malformed, match="discovery"):
-        entries({"rev": 1, "all": True})
+        parse_endpoint_list({"rev": 1, "all": True})
     good = {"uid": "s1", "state": "ready", "endpoint": "127.0.0.1:80"}
     bad = [
         {"uid": "s0", "state": "odd", "endpoint": "127.0.0.1:80"},
@@ -970,7 +973,9 @@
         good | {"boot_ms": "soon"},
         good | {"boot_ms": 1e999},
     ]
-    assert [row[0] for row in entries({"rev": 1, "all": True, "targets": [*bad, good]})[2]] == ["s1"]
+    assert [row[0] for row in parse_endpoint_list({"rev": 1, "all": True, "targets": [*bad, good]})[2]] == [
+        "s1"
+    ]
 
 
 def test_log_lines_are_key_value_or_json():
