--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -189,7 +189,7 @@
         self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: object, amount: float, lifetime: int) -> None:
-        """Add `amount` to a counter, which the service keeps for `lifetime` microseconds from its creation."""
+        """Add `amount` to a counter, which the service keeps for `lifetime` microseconds from creation."""
         counters["counter_calls"] += 1
         amount_text = f"{round(amount, AMOUNT_DECIMALS):.10g}"
         lifetime_ms = str(max(1, lifetime // MICROSECONDS_PER_MS))
--- a/kestrelbend/gateway/net/events.py
+++ b/kestrelbend/gateway/net/events.py
@@ -6,8 +6,8 @@
 Who puts which: `Clients` and `Checks` the requests and their clients' leaving; `BackendClient` the ends of
 deliveries and probes, `Checks` those of what it has let in; `Authorisers` whether a delivery may go on;
 `CounterCall` a counter call's end; `EndpointDiscovery` lists and its silence; `Owner.set_timer` timers;
-`DatagramReceiver` datagrams; `NewsPeer` and `Peers` their timers; `gateway.start` the first look for shared
-probes, and `Owner` each next one.
+`DatagramReceiver` datagrams; `UsageExchangePeer` and `GatewayMembership` their timers; `gateway.start` the
+first look for shared probes, and `Owner` each next one.
 
 Hazard: events are worked on in the order of the queue. Whoever puts two must put them in the order in which
 they happened.
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -150,9 +150,9 @@
     """Announce use to the other gateways, where the platform has addresses for that."""
     if given.news is None:
         return
-    from .news import NewsPeer  # optional
+    from .usage_exchange import UsageExchangePeer  # optional
 
-    owner.usage_exchange = NewsPeer(given.news, owner.queue, owner)
+    owner.usage_exchange = UsageExchangePeer(given.news, owner.queue, owner)
     await owner.usage_exchange.start(owner.gateway.context.random.random())
 
 
@@ -160,9 +160,9 @@
     """Join the other gateways, where they may speak; with shared probes, begin to look for this one's."""
     if given.members is None:
         return
-    from .peers import Peers  # optional
+    from .peers import GatewayMembership  # optional
 
-    owner.membership = Peers(given.members, owner.queue, owner, given.seed, share_probes)
+    owner.membership = GatewayMembership(given.members, owner.queue, owner, given.seed, share_probes)
     await owner.membership.start()
     owner.clients.view = owner.membership.view
     if share_probes:
@@ -196,7 +196,7 @@
     """SIGUSR1: log the counters, and the members as this gateway knows them."""
     metrics.log_counters()
     if owner.membership is not None:
-        owner.membership.report()
+        owner.membership.log_members()
 
 
 async def run_gateway(
@@ -253,10 +253,10 @@
 
     `path`: an installation's own file, in place of the platform's environment.
     """
-    key_value_logging.start()
+    key_value_logging.configure()
     try:
         given = configuration.read(os.environ) if path is None else configuration.read_file(path)
-        key_value_logging.start(*given.logs)
+        key_value_logging.configure(*given.logs)
         uvloop.run(run_gateway(given, early, accept_queue))
     except (Malformed, OSError) as error:
         sys.exit(f"kestrelbend: {error}")
--- a/kestrelbend/gateway/net/key_value_logging.py
+++ b/kestrelbend/gateway/net/key_value_logging.py
@@ -30,17 +30,17 @@
     def __init__(self, form: str = KEY_VALUE) -> None:
         super().__init__()
         self.form = form
-        self.made: logging.Formatter | None = None
+        self.formatter: logging.Formatter | None = None
 
     def format(self, record: logging.LogRecord) -> str:
         """One line."""
-        self.made = self.made or structlog_formatter(self.form)
-        return self.made.format(record)
+        self.formatter = self.formatter or structlog_formatter(self.form)
+        return self.formatter.format(record)
 
 
 def structlog_formatter(form: str) -> logging.Formatter:
     """The formatter that structlog makes for this form."""
-    structlog = plain_structlog()
+    structlog = import_structlog_without_rich()
     if form == JSON:
         renderer = structlog.processors.JSONRenderer()
     else:
@@ -62,7 +62,7 @@
     return formatter
 
 
-def plain_structlog() -> ModuleType:
+def import_structlog_without_rich() -> ModuleType:
     """Structlog without rich, which it loads wherever that is installed.
 
     The laboratory's command brings it: 3.5 MB and 0.05 s that a gateway has no use for.
@@ -103,7 +103,7 @@
     }
 
 
-def no_bad_requests(record: logging.LogRecord) -> bool:
+def drop_malformed_requests(record: logging.LogRecord) -> bool:
     """A filter of aiohttp's log, which has each request that is no HTTP with a trace.
 
     Its sender gets a 400, which says it all; here it is counted.
@@ -114,9 +114,9 @@
     return False
 
 
-def start(form: str = KEY_VALUE, level: str = "info") -> None:
+def configure(form: str = KEY_VALUE, level: str = "info") -> None:
     """Log to the standard error in this form, from this level on; a further call replaces the first one's."""
     handler = logging.StreamHandler()
     handler.setFormatter(LogFormatter(form))
-    logging.getLogger("aiohttp.server").addFilter(no_bad_requests)
+    logging.getLogger("aiohttp.server").addFilter(drop_malformed_requests)
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -23,9 +23,9 @@
     from .clients import Clients
     from .counter import CounterClient
     from .endpoint_discovery import EndpointDiscovery, EndpointList
-    from .news import NewsPeer
-    from .peers import Peers
+    from .peers import GatewayMembership
     from .requests import IncomingRequest
+    from .usage_exchange import UsageExchangePeer
 
 log = logging.getLogger(__name__)
 MAX_LOGGED_FAULTS: Final = 20
@@ -98,8 +98,8 @@
         self.requests: dict[Invocation, Any] = {}  # an `IncomingRequest`, whose kind its front knows
         self.departed_at: dict[Any, int] = {}
         self.alarm_lateness = 0
-        self.membership: Peers | None = None
-        self.usage_exchange: NewsPeer | None = None
+        self.membership: GatewayMembership | None = None
+        self.usage_exchange: UsageExchangePeer | None = None
         self.checks: CheckFront | None = None
         self.authorisers: AuthoriserChain | None = None
         self.handlers = self._handlers()
@@ -235,7 +235,7 @@
         if self.membership is not None and self.membership.probing is not None:
             # Probed as a singleton task: no generator of the decisions waits for it.
             self.gateway.background.load_reported(event.backend, event.load)
-            self.membership.probed(event.backend, event.load)
+            self.membership.publish_probe(event.backend, event.load)
 
     # Events between gateways.
 
@@ -243,22 +243,22 @@
         """Hand a datagram to the one peer that has a UDP socket."""
         receiver = self.usage_exchange or self.membership
         assert receiver is not None  # who else could have received it
-        receiver.got(event.source, event.data)
+        receiver.receive_datagram(event.source, event.data)
 
     def on_usage_period_due(self, _: events.UsagePeriodDue) -> None:
         """Close the period of the usage exchange."""
         assert self.usage_exchange is not None  # its timer made the event
-        self.usage_exchange.due()
+        self.usage_exchange.close_period()
 
     def on_membership_due(self, _: events.MembershipDue) -> None:
         """Let the membership take its next step."""
         assert self.membership is not None  # its timer made the event
-        self.membership.due()
+        self.membership.on_timer()
 
     def on_shared_probes_due(self, _: events.SharedProbesDue) -> None:
         """Probe the backends that are this gateway's singleton tasks, and look again soon."""
         assert self.membership is not None  # the event is made only with it
-        for backend in self.membership.probes_due():
+        for backend in self.membership.backends_to_probe():
             self.backend_client.probe(backend)
         loop = asyncio.get_running_loop()
         loop.call_later(SHARED_PROBES_INTERVAL_S, self.queue.put_nowait, events.SharedProbesDue())
--- a/kestrelbend/gateway/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -29,16 +29,16 @@
     from .owner import Owner
 
 log = logging.getLogger(__name__)
-MICROSECONDS_OF_MS: Final = 1000
-MICROSECONDS_OF_SECOND: Final = 1e6
-NANOSECONDS_OF_MICROSECOND: Final = 1000
-NANOSECONDS_OF_MS: Final = 1_000_000
+MICROSECONDS_PER_MS: Final = 1000
+MICROSECONDS_PER_SECOND: Final = 1e6
+NANOSECONDS_PER_MICROSECOND: Final = 1000
+NANOSECONDS_PER_MS: Final = 1_000_000
 MIN_TIMER_US: Final = 1000
 MAX_NAME_PREFIX: Final = 24  # of a gateway's name, in the one that it takes where another has its own
 GENERATION_MASK: Final = 0xFFFFFF  # of the generation, in that name
 
 
-class Peers:
+class GatewayMembership:
     """Belongs to the owner's task.
 
     Hazard: its clock is monotonic, in microseconds, since leases rest on it; a generation is Unix time in
@@ -47,52 +47,54 @@
     peers of the configuration, as host:port.
     """
 
-    carrier: DatagramReceiver
+    datagrams: DatagramReceiver
 
     def __init__(
         self,
-        given: MembershipSettings,
+        settings: MembershipSettings,
         queue: asyncio.Queue[Any],
         owner: Owner,
         seed: int | str,
         share_probes: bool,
     ) -> None:
-        self.given = given
+        self.settings = settings
         self.queue = queue
         self.owner = owner
-        self.codec = Codec(given.keys)
+        self.codec = Codec(settings.keys)
         self.timer: asyncio.TimerHandle | None = None
-        generation = time.time_ns() // NANOSECONDS_OF_MS
-        self.address = pack_address(given.seen_at)
+        generation = time.time_ns() // NANOSECONDS_PER_MS
+        self.address = pack_address(settings.seen_at)
         parameters = SwimParameters(
-            given.period,
-            max_datagrams_per_s=given.most_per_s,
+            settings.period,
+            max_datagrams_per_s=settings.most_per_s,
             max_message_bytes=self.codec.message_bytes(),
         )
         rng = Random(seed)
-        peers = [pack_address(pair) for pair in given.peers]
-        self.core = SwimNode(given.name, self.address, generation, parameters, rng, self.now(), peers)
-        self.static = [f"{host}:{port}" for host, port in given.peers]
+        peers = [pack_address(pair) for pair in settings.peers]
+        self.core = SwimNode(settings.name, self.address, generation, parameters, rng, self.now(), peers)
+        self.configured_peers = [f"{host}:{port}" for host, port in settings.peers]
         self.voter = Voter(self.now())
         self.holders: dict[str, LeaseHolder[bytes]] = {}
-        self.probing: SharedProbing[BackendState] | None = SharedProbing(given.name) if share_probes else None
+        self.probing: SharedProbing[BackendState] | None = (
+            SharedProbing(settings.name) if share_probes else None
+        )
 
     @staticmethod
     def now() -> int:
         """Monotonic time in microseconds."""
-        return time.monotonic_ns() // NANOSECONDS_OF_MICROSECOND
+        return time.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
 
     async def start(self) -> None:
         """Open the socket and join; raises `OSError` where its address cannot be had."""
         loop = asyncio.get_running_loop()
-        _, self.carrier = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.queue), local_addr=self.given.listen
+        _, self.datagrams = await loop.create_datagram_endpoint(
+            lambda: DatagramReceiver(self.queue), local_addr=self.settings.listen
         )
-        self._carry_out()
+        self._apply_output()
 
     # Events, in the owner's task.
 
-    def got(self, source: tuple[str | Any, int], data: bytes) -> None:
+    def receive_datagram(self, source: tuple[str | Any, int], data: bytes) -> None:
         """Take a datagram in; one that is no member's is counted, the first one of a reason logged."""
         try:
             message = self.codec.decode(data)
@@ -105,17 +107,17 @@
                 log.warning("a datagram that is no member's", extra=extra)
             return
         self.core.receive(self.now(), at, message)
-        self._carry_out()
+        self._apply_output()
 
-    def due(self) -> None:
+    def on_timer(self) -> None:
         """The membership's next step, or a lease's, is due."""
         self.timer = None
         self.core.tick(self.now())
         for holder in self.holders.values():
             self._request_lease(holder)
-        self._carry_out()
+        self._apply_output()
 
-    def _carry_out(self) -> None:
+    def _apply_output(self) -> None:
         """Carry out whatever the core has to say, to others and to this gateway."""
         core = self.core
         while core.changes:
@@ -129,79 +131,79 @@
                 },
             )
         if core.local.name_conflict is not None:
-            self._change_name(core.local.name_conflict)
+            self._resolve_name_conflict(core.local.name_conflict)
         if self.probing is not None:
-            counters["reports_shared"] += self.probing.receive(core, self._load_reported())
+            counters["reports_shared"] += self.probing.receive(core, self._load_report_callback())
         while core.received_leases:
             self._take_lease_message(*core.received_leases.popleft())
         self._flush()
         if self.timer is not None:
             self.timer.cancel()
-        remaining_s = max(MIN_TIMER_US, core.due_us() - self.now()) / MICROSECONDS_OF_SECOND
+        remaining_s = max(MIN_TIMER_US, core.due_us() - self.now()) / MICROSECONDS_PER_SECOND
         self.timer = asyncio.get_running_loop().call_later(
             remaining_s, self.queue.put_nowait, MembershipDue()
         )
 
-    def _load_reported(self) -> Callable[[BackendState, Any], None]:
+    def _load_report_callback(self) -> Callable[[BackendState, Any], None]:
         """Whom the decisions let know of a load report."""
         return self.owner.gateway.background.load_reported
 
     def _flush(self) -> None:
         """Send what the core has to send."""
-        transport = self.carrier.transport
+        transport = self.datagrams.transport
         assert transport is not None  # open since the start
         while self.core.outgoing:
             to, message = self.core.outgoing.popleft()
             counters["peer_datagrams"] += 1
             transport.sendto(self.codec.encode(message), unpack_address(to))
 
-    def _change_name(self, other: MembershipUpdate) -> None:
+    def _resolve_name_conflict(self, other: MembershipUpdate) -> None:
         """Another one serves under this name: this one goes on under a name of its own."""
-        own = f"{self.given.name[:MAX_NAME_PREFIX]}~{self.core.local.generation & GENERATION_MASK:x}"
+        new_name = f"{self.settings.name[:MAX_NAME_PREFIX]}~{self.core.local.generation & GENERATION_MASK:x}"
         log.error(
             "two gateways have one name; this one takes another",
             extra={
                 "name_": self.core.local.name,
                 "other": format_address(unpack_address(other.address)),
-                "now": own,
+                "now": new_name,
             },
         )
         old = self.core
         self.core = SwimNode(
-            own,
+            new_name,
             self.address,
             old.local.generation + 1,
             old.parameters,
             Random(old.local.generation),
             self.now(),
-            [pack_address(pair) for pair in self.given.peers],
+            [pack_address(pair) for pair in self.settings.peers],
         )
         for member in old.members.values():
             if member.state <= MemberState.SUSPECT:
                 self.core.rules.apply(member.update(), disseminate=False)
         self.core.rules.apply(other, disseminate=False)
         if self.probing is not None:
-            self.probing.rename(own)
-            self.probing.receive(self.core, self._load_reported())
+            self.probing.rename(new_name)
+            self.probing.receive(self.core, self._load_report_callback())
 
     # Probes as singleton tasks.
 
-    def probes_due(self) -> list[BackendState]:
+    def backends_to_probe(self) -> list[BackendState]:
         """Backends that this gateway should probe now, of those that are warming up."""
         assert self.probing is not None  # asked only with shared probes
         listed: Mapping[Any, BackendState] = self.owner.listed
         return self.probing.due_backends(listed, self.owner.gateway.slow_start.is_warming_up, self.now())
 
-    def probed(self, backend: BackendState, load: dict[str, float] | None) -> None:
+    def publish_probe(self, backend: BackendState, load: dict[str, float] | None) -> None:
         """Share the result of a probe with the other gateways."""
         assert self.probing is not None  # asked only with shared probes
         self.probing.publish(self.core, self.now(), self.owner.backend_ids.get(backend), load)
 
     # Singleton tasks under a lease.
 
-    def hold(self, task: str) -> LeaseHolder[bytes]:
+    def contend_for(self, task: str) -> LeaseHolder[bytes]:
         """Try to hold a singleton task from now on; `holds` says whether this gateway does."""
-        voters = [pack_address(_split(peer)) for peer in voters_for(task, self.static)]
+        voters = [pack_address(_parse_address(peer)) for peer in voters_for(task, self.configured_peers)]
         self.holders[task] = LeaseHolder(task, self._identity(), voters)
         return self.holders[task]
 
@@ -209,7 +211,7 @@
         """As whom this gateway holds tasks now: the core may have taken another name or generation."""
         return HolderId(self.core.local.name, self.core.local.generation)
 
-    def holds(self, task: str) -> int | None:
+    def held_token(self, task: str) -> int | None:
         """Its fencing token, or None."""
         holder = self.holders.get(task)
         return holder.fencing_token if holder is not None and holder.holds(self.now()) else None
@@ -220,40 +222,45 @@
         holder.identify(self._identity())
         if not holder.voters or not holder.is_request_due(now):
             return
-        token = holder.begin_request(now, time.time_ns() // NANOSECONDS_OF_MS)
-        asked = LeaseMessage(holder.task, token, *holder.identity, requested_at=now)
+        token = holder.begin_request(now, time.time_ns() // NANOSECONDS_PER_MS)
+        request = LeaseMessage(holder.task, token, *holder.identity, requested_at=now)
         for voter in holder.voters:
             if voter == self.address:
                 granted, highest, wait = self.voter.request(now, holder.task, token, holder.identity)
                 self._record_answer(holder, voter, granted, highest, wait, now)
             else:
-                self.core.send_lease(voter, asked)
+                self.core.send_lease(voter, request)
 
     def _take_lease_message(self, member: Member, lease: LeaseMessage) -> None:
         """A lease's message: a request to this voter, or an answer to this holder."""
         now = self.now()
-        who = HolderId(lease.holder, lease.generation)
+        identity = HolderId(lease.holder, lease.generation)
         if lease.verdict in (LeaseVerdict.GRANTED, LeaseVerdict.DENIED):
             holder = self.holders.get(lease.task)
-            if holder is not None and holder.identity == who:
+            if holder is not None and holder.identity == identity:
                 self._record_answer(
                     holder,
                     member.address,
                     lease.verdict == LeaseVerdict.GRANTED,
                     lease.fencing_token,
-                    lease.wait_ms * MICROSECONDS_OF_MS,
+                    lease.wait_ms * MICROSECONDS_PER_MS,
                     lease.requested_at,
                 )
         elif (lease.holder, lease.generation) == (member.name, member.generation):
             if lease.verdict == LeaseVerdict.RELEASED:
-                self.voter.release(lease.task, lease.fencing_token, who)
+                self.voter.release(lease.task, lease.fencing_token, identity)
                 return
-            granted, token, wait = self.voter.request(now, lease.task, lease.fencing_token, who)
+            granted, token, wait = self.voter.request(now, lease.task, lease.fencing_token, identity)
             verdict = LeaseVerdict.GRANTED if granted else LeaseVerdict.DENIED
             self.core.send_lease(
                 member.address,
                 LeaseMessage(
-                    lease.task, token, *who, int(verdict), wait // MICROSECONDS_OF_MS, lease.requested_at
+                    lease.task,
+                    token,
+                    *identity,
+                    int(verdict),
+                    wait // MICROSECONDS_PER_MS,
+                    lease.requested_at,
                 ),
             )
 
@@ -318,11 +325,11 @@
             "life": member.generation,
             "incarnation": member.incarnation,
             "address": format_address(unpack_address(member.address)),
-            "since_s": round(age_us / MICROSECONDS_OF_SECOND, 1),
+            "since_s": round(age_us / MICROSECONDS_PER_SECOND, 1),
             "duties": sorted(owned.get(member.name, ())),
         }
 
-    def report(self) -> None:
+    def log_members(self) -> None:
         """Log the view, a line for each member."""
         for row in self.view():
             log.info(
@@ -338,11 +345,11 @@
         """Give leases back and tell the others that this gateway leaves; nothing is due any more."""
         for holder in self.holders.values():
             if holder.holds(self.now()):
-                given = LeaseMessage(
+                release = LeaseMessage(
                     holder.task, holder.release(), *holder.identity, int(LeaseVerdict.RELEASED)
                 )
                 for voter in holder.voters:
-                    self.core.send_lease(voter, given)
+                    self.core.send_lease(voter, release)
         self.holders.clear()  # who has left asks for none, though datagrams still come while it drains
         self.core.leave(self.now())
         self._flush()
@@ -350,6 +357,6 @@
             self.timer.cancel()
 
 
-def _split(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -35,7 +35,7 @@
 from kestrelbend.gateway.gossip.update_rules import UpdateRules
 from kestrelbend.gateway.net import configuration
 from kestrelbend.gateway.net.events import MembershipDue
-from kestrelbend.gateway.net.peers import Peers
+from kestrelbend.gateway.net.peers import GatewayMembership
 from tests.helpers import StandIns, World, connect, reserve_address, run
 from tests.test_configuration import EXAMPLE
 from tests.test_net import nested
@@ -708,7 +708,7 @@
                 period=300_000,
                 most_per_s=40.0,
             )
-            self.peers.append(Peers(given, self.queues[n], owner, str(n), True))
+            self.peers.append(GatewayMembership(given, self.queues[n], owner, str(n), True))
             self.peers[n].voter.mute_until_us = 0  # as if all had run for longer than a lease
 
     async def __aenter__(self):
@@ -721,7 +721,7 @@
         for task in self.tasks:
             task.cancel()
         for peer in self.peers:
-            peer.carrier.transport.close()
+            peer.datagrams.transport.close()
             if peer.timer is not None:
                 peer.timer.cancel()
 
@@ -729,9 +729,9 @@
         while True:
             event = await self.queues[n].get()
             if type(event) is MembershipDue:
-                self.peers[n].due()
+                self.peers[n].on_timer()
             else:
-                self.peers[n].got(event.source, event.data)
+                self.peers[n].receive_datagram(event.source, event.data)
 
 
 async def comes_true(condition):
@@ -742,21 +742,21 @@
 def test_a_task_is_held_over_sockets_by_one_and_by_the_next_once_it_is_released():
     async def test():
         async with Trio() as (first, second, third):
-            first.hold("renew")
-            await comes_true(lambda: first.holds("renew"))
-            token = first.holds("renew")
-            second.hold("renew")
+            first.contend_for("renew")
+            await comes_true(lambda: first.held_token("renew"))
+            token = first.held_token("renew")
+            second.contend_for("renew")
             await asyncio.sleep(1)
-            assert second.holds("renew") is None and first.view()[0]["leases"] == {"renew": token}
+            assert second.held_token("renew") is None and first.view()[0]["leases"] == {"renew": token}
             await comes_true(lambda: all("n0" in p.core.view.live_names() for p in (second, third)))
             first.leave()
-            assert first.holds("renew") is None and first.view()[0]["state"] == "left"
+            assert first.held_token("renew") is None and first.view()[0]["state"] == "left"
             second.holders["renew"].next_request_us = 0  # it need not wait for its next turn
-            await comes_true(lambda: second.holds("renew"))
-            assert second.holds("renew") > token
+            await comes_true(lambda: second.held_token("renew"))
+            assert second.held_token("renew") > token
             second.core.local.generation += 1  # as where a clock stepped back before its start
-            token = second.holds("renew")
-            await comes_true(lambda: (second.holds("renew") or 0) > token)
+            token = second.held_token("renew")
+            await comes_true(lambda: (second.held_token("renew") or 0) > token)
             await comes_true(lambda: "n0" not in third.core.view.live_names())
 
     run(test(), LONGEST_S)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -581,7 +581,7 @@
             assert (await world.ask(method="POST", body=bytes(1 << 17)))[0] == 413
             world.backends[0].play = ["endless"]
             assert (await world.ask())[0] == 200 and len(world.backends[0].seen) == 2
-            logging.getLogger("aiohttp.server").addFilter(key_value_logging.no_bad_requests)
+            logging.getLogger("aiohttp.server").addFilter(key_value_logging.drop_malformed_requests)
             for garbage in (b"\x00garbage\r\n\r\n", b"GET /op/c1 HTTP/1.1\r\n\r\n"):
                 reader, writer = await connect(*world.listen)
                 writer.write(garbage)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,7 +11,7 @@
 from kestrelbend.gateway.interface import Result, EndpointState
 from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, platform_news
 from kestrelbend.gateway.net.events import UsagePeriodDue
-from kestrelbend.gateway.net.news import NewsPeer
+from kestrelbend.gateway.net.usage_exchange import UsageExchangePeer
 from kestrelbend.gateway.usage_sharing import messages
 from kestrelbend.gateway.usage_sharing.errors import UnreadableUsageDatagram
 from kestrelbend.gateway.usage_sharing.exchange import MeteredUsageExchange
@@ -202,14 +202,16 @@
         for n, front in enumerate(fronts):
             told = UsageExchangeAddresses(places[n], places, places[1 - n], 600.0)
             owner = SimpleNamespace(settings=front.inst.settings, gateway=front.gateway)
-            peers.append(NewsPeer(told, queues[n], owner))
+            peers.append(UsageExchangePeer(told, queues[n], owner))
             await peers[n].start(0.1)
 
         async def turn(n):
             while True:
                 event = await queues[n].get()
                 fronts[n].gateway.now = int(asyncio.get_running_loop().time() * 1e6)
-                peers[n].due() if type(event) is UsagePeriodDue else peers[n].got(event.source, event.data)
+                peers[n].close_period() if type(event) is UsagePeriodDue else peers[n].receive_datagram(
+                    event.source, event.data
+                )
 
         for peer in peers:
             peer.core.period_us, peer.core.takeover_wait_us, peer.core.meter_heard_us = (
@@ -223,12 +225,12 @@
                 await asyncio.sleep(0.01)
                 peers[1].core.record_admission(7, 0, 50.0)
                 peers[1].core.record_request(7, 0, 50.0, False)
-                peers[1].got(("127.0.0.1", 1), b"from nobody")
+                peers[1].receive_datagram(("127.0.0.1", 1), b"from nobody")
         assert peers[0].core.meter is not None and peers[1].core.shares[7].fraction < 0.5
         for task in turns:
             task.cancel()
         for peer in peers:
-            peer.carrier.transport.close()
+            peer.datagrams.transport.close()
 
     run(scene())
 
