--- a/kestrelbend/tier/budgets/__init__.py
+++ b/kestrelbend/tier/budgets/__init__.py
@@ -1,8 +1,8 @@
-"""Each program's tokens and retries, counted by the owners of shards and asked for by the gateways.
+"""Token budgets of programs: shard owners count each program's tokens and retries, gateways call the owners.
 
-A gateway's side: `client` (all calls), `shard_queue` (the requests to one shard), `route` (the search for
-its owner), `names` (of reservations), `bounds` (what a command may contain).  An owner's side:
-`shard_service` (requests in, replies out), `table` (the replicated state), `program` (one program's
-counter), `idle_programs`, and for snapshots `table_snapshot` and `snapshot_codec`.  Between them:
-`messages`, `commands` (the bytes of a log entry) and `shards` (which shard counts a program).
+Gateway side: `client` (entry point for all calls), `shard_queue` (requests to one shard), `route` (search for
+the shard's owner), `names` (reservation names), `bounds` (limits on the values in a command).  Owner side:
+`shard_service` (handles requests), `table` (the replicated state), `program` (one program's counter),
+`idle_programs` (inactive programs), `table_snapshot` and `snapshot_codec` (snapshots).  Shared: `messages`,
+`commands` (encoding of a log entry) and `shards` (which shard counts a program).
 """
--- a/kestrelbend/tier/budgets/bounds.py
+++ b/kestrelbend/tier/budgets/bounds.py
@@ -1,7 +1,7 @@
-"""What may stand in a command: clients' headers reach the counters only within these bounds.
+"""Limits on the values in a command; names and numbers from client headers are brought within them.
 
-Invariant: a command that passed here can be encoded, so that no client's header spoils the request that other
-programs' commands share with it.
+Invariant: a bounded command can be encoded, so a client's header cannot break a request that also carries
+commands of other programs.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def bounded_reserve(reserve: Reserve) -> Reserve:
-    """The command with its names and figures within bounds; the same command always gives the same."""
+    """Returns the command with its names and numbers within the limits; deterministic."""
     return attrs.evolve(
         reserve,
         program=bounded_name(reserve.program),
@@ -33,7 +33,7 @@
 
 
 def bounded_settlement(settlement: Settlement) -> Settlement:
-    """The command with its names and figures within bounds."""
+    """Returns the command with its names and numbers within the limits."""
     return attrs.evolve(
         settlement,
         program=bounded_name(settlement.program),
@@ -43,7 +43,7 @@
 
 
 def bounded_name(name: str) -> str:
-    """The name itself, or a digest of one that is too long or is no Unicode text."""
+    """Returns the name, or its SHA-256 digest if it is too long or cannot be encoded as UTF-8."""
     encoded = name.encode("utf-8", "surrogatepass")
     if len(encoded) <= MAX_NAME_BYTES and not _has_surrogate(name):
         return name
@@ -51,7 +51,7 @@
 
 
 def _has_surrogate(name: str) -> bool:
-    return not name.isascii() and any("\ud800" <= letter <= "\udfff" for letter in name)
+    return not name.isascii() and any("\ud800" <= character <= "\udfff" for character in name)
 
 
 def _bounded_tokens(tokens: int) -> int:
--- a/kestrelbend/tier/budgets/client.py
+++ b/kestrelbend/tier/budgets/client.py
@@ -1,8 +1,8 @@
-"""The gateway's side of budgets: asks the owner of a program's shard, and repeats until it has an answer.
+"""The gateway's client for budgets: calls the owner of a program's shard and retries until it replies.
 
-Invariant: a turn is admitted only by an owner's reply that came in time.  A reservation that may have been
-recorded and that nobody waits for any more is settled as not run, and a settlement is repeated until an
-owner has recorded it.  So tokens that no turn uses come back, whichever machine owned the shard meanwhile.
+Invariant: a turn is admitted only by an owner's reply that arrived in time.  A reservation that may have been
+recorded, and that no caller waits for any more, is settled as NOT_EXECUTED.  A settlement is resent until an
+owner has recorded it.  So unused tokens are released, whichever machine owns the shard meanwhile.
 """
 
 from __future__ import annotations
@@ -13,22 +13,27 @@
 from kestrelbend.tier.budgets.bounds import bounded_name, bounded_reserve, bounded_settlement
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, Verdict
 from kestrelbend.tier.budgets.route import ClientSettings
-from kestrelbend.tier.budgets.shard_queue import Replicas, Send, ShardRequestQueue, unavailable_outcome
+from kestrelbend.tier.budgets.shard_queue import (
+    ReplicaAddresses,
+    SendRequest,
+    ShardRequestQueue,
+    unavailable_outcome,
+)
 from kestrelbend.tier.budgets.shards import shard_of
 
 MAX_TRACKED_PROGRAMS = 10_000
 
 OwnerReachable = Callable[[str], bool]
-"""Whether an owner of a shard answers or soon will; where not, a reservation is refused at once."""
+"""Whether a shard's owner can be reached, now or soon; if not, a reservation fails at once."""
 
 
 class BudgetClient:
-    """All of a gateway's budget calls, on the running event loop; does nothing while nobody calls."""
+    """All budget calls of a gateway, on the running event loop; has no task while nothing is pending."""
 
     def __init__(
         self,
-        send: Send,
-        replicas: Replicas,
+        send: SendRequest,
+        replicas: ReplicaAddresses,
         shard_count: int,
         settings: ClientSettings | None = None,
         owner_reachable: OwnerReachable = lambda shard: True,
@@ -39,12 +44,13 @@
         self._settings = settings or ClientSettings()
         self._owner_reachable = owner_reachable
         self._queues: dict[str, ShardRequestQueue] = {}
-        self._known_settled: dict[str, int] = {}  # by program, in the order of use
+        self._known_settled: dict[str, int] = {}  # by program, least recently used first
 
     async def reserve(self, reserve: Reserve, max_wait_s: float | None = None) -> ReserveOutcome:
-        """Asks for a turn's tokens.
+        """Reserves a turn's tokens.
 
-        OWNER_UNAVAILABLE if no owner answered within `max_wait_s` seconds, at once if none can be reached.
+        The verdict is OWNER_UNAVAILABLE if no owner replied within `max_wait_s` seconds (None: the time in
+        the settings); if none can be reached, it is returned at once.
         """
         timeout_s = self._settings.reserve_timeout_s if max_wait_s is None else max_wait_s
         reserve = bounded_reserve(reserve)
@@ -56,26 +62,26 @@
         return outcome
 
     def fail_pending(self, shard: str) -> None:
-        """No owner of the shard can be reached: whoever waits for one gets OWNER_UNAVAILABLE now."""
+        """Completes the shard's pending reservations with OWNER_UNAVAILABLE, as no owner can be reached."""
         queue = self._queues.get(shard)
         if queue is not None:
             queue.fail_pending()
 
     def settle(self, settlement: Settlement) -> None:
-        """Reports how a turn ended; returns at once."""
+        """Queues the report of how a turn ended; returns at once."""
         settlement = bounded_settlement(settlement)
         self._queue(settlement.program).settle(settlement)
 
     def spent_locally(self, program: str, max_tokens: int, budget: int) -> bool:
-        """Whether the tokens last seen as handed out leave too few for the turn.
+        """Whether the known settled tokens alone leave fewer than `max_tokens` of the budget.
 
-        These never fall, so the owner would say the same.
+        Settled tokens never decrease, so the owner would reject the turn too.
         """
         return 0 < budget < self._known_settled.get(bounded_name(program), 0) + max_tokens
 
     @property
     def pending_settlements(self) -> int:
-        """Settlements that no owner has recorded yet."""
+        """The number of settlements that no owner has recorded yet."""
         return sum(queue.pending_settlements for queue in self._queues.values())
 
     async def close(self, max_wait_s: float) -> bool:
--- a/kestrelbend/tier/budgets/commands.py
+++ b/kestrelbend/tier/budgets/commands.py
@@ -1,9 +1,10 @@
-"""Commands as a log entry's bytes: one entry holds all commands of one request.
+"""Encoding of commands as a log entry: one entry holds all commands of one request.
 
     elapsed (4) | settlements (2) | reservations (2) | settlement... | reservation...
 
-Each command is a fixed header with the lengths of its names, then the names in UTF-8.  All integers are
-little-endian.  The bytes are found in logs and on disks of earlier releases and stay.
+The numbers in parentheses are bytes.  Each command is a fixed header with the lengths of its names, followed
+by the names in UTF-8.  All integers are little-endian.  The format must not change: logs on disk and replicas
+of earlier releases use it.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 
 from kestrelbend.tier.budgets.messages import Reserve, Settlement
 
-_HEADER = struct.Struct("<IHH")  # milliseconds since the owner's last entry, settlements, reservations
-_SETTLEMENT = struct.Struct("<HHqB")  # lengths of program and reservation, tokens, end
-_RESERVE = struct.Struct("<HHHqqqBI")  # lengths of the names, then fields from the fingerprint on
+_HEADER = struct.Struct("<IHH")  # milliseconds since the owner's last entry, settlement and reserve counts
+_SETTLEMENT = struct.Struct("<HHqB")  # lengths of program and reservation, used tokens, end
+_RESERVE = struct.Struct("<HHHqqqBI")  # lengths of the three names, then the fields from `fingerprint` on
 _MAX_ELAPSED_MS = 2**32 - 1
 
 
 def encode_commands(
     settlements: tuple[Settlement, ...], reserves: tuple[Reserve, ...], elapsed_ms: int = 0
 ) -> bytes:
-    """The bytes of an entry; settlements come first, as they are applied first."""
+    """Encodes an entry; settlements come first because they are applied first."""
     buffers = [_HEADER.pack(min(elapsed_ms, _MAX_ELAPSED_MS), len(settlements), len(reserves))]
     for settlement in settlements:
         _encode_settlement(buffers, settlement)
@@ -31,13 +32,13 @@
 
 
 def decode_elapsed_ms(data: bytes) -> int:
-    """The time since the entry before, as its owner counted it."""
+    """Returns the milliseconds since the owner's previous entry, as the owner measured them."""
     elapsed_ms: int = _HEADER.unpack_from(data)[0]
     return elapsed_ms
 
 
 def decode_commands(data: bytes) -> tuple[list[Settlement], list[Reserve]]:
-    """The settlements and reservations of an entry."""
+    """Returns the settlements and reservations of an entry."""
     _, settlement_count, reserve_count = _HEADER.unpack_from(data)
     offset = _HEADER.size
     settlements: list[Settlement] = []
@@ -59,7 +60,7 @@
 
 
 def _decode_settlement(data: bytes, offset: int) -> tuple[Settlement, int]:
-    """The settlement at an offset, and the offset behind it."""
+    """Returns the settlement at an offset, and the offset after it."""
     program_length, reservation_length, used_tokens, end = _SETTLEMENT.unpack_from(data, offset)
     program_start = offset + _SETTLEMENT.size
     reservation_start = program_start + program_length
@@ -87,7 +88,7 @@
 
 
 def _decode_reserve(data: bytes, offset: int) -> tuple[Reserve, int]:
-    """The reservation at an offset, and the offset behind it."""
+    """Returns the reservation at an offset, and the offset after it."""
     header = _RESERVE.unpack_from(data, offset)
     program_length, session_length, reservation_length, *fields = header
     program_start = offset + _RESERVE.size
--- a/kestrelbend/tier/budgets/messages.py
+++ b/kestrelbend/tier/budgets/messages.py
@@ -1,6 +1,6 @@
-"""Commands on programs' budgets, their outcomes, and how they are carried.
+"""Budget commands, their outcomes, and the messages that carry them.
 
-A field travels by its position, so fields are only ever added at the end (see `protocol.wire_names`).
+Fields are encoded by position, so new fields may only be appended (see `protocol.wire_names`).
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 
 class Verdict(enum.IntEnum):
-    """What the budget says of a turn."""
+    """The decision on a reservation."""
 
     ADMITTED = 0
-    BUDGET_EXCEEDED = 1  # answered 402
-    RETRY_LATER = 2  # the retry budget is used up: a refusal with a retry-after
-    OWNER_UNAVAILABLE = 3  # no owner answered: the turn is not sent (given by the client side alone)
+    BUDGET_EXCEEDED = 1  # HTTP status 402
+    RETRY_LATER = 2  # the retry budget is used up, or the table is full; carries a retry-after
+    OWNER_UNAVAILABLE = 3  # no owner replied, so the turn is not sent; set on the gateway side only
 
 
 class TurnEnd(enum.IntEnum):
-    """How a turn ended, as its gateway saw it."""
+    """How a turn ended, as seen by its gateway."""
 
     COMPLETE = 0
-    INTERRUPTED = 1  # a repeat of it is a retry
-    NOT_EXECUTED = 2  # refused with a promise; its tokens are all taken back, a repeat is a retry
+    INTERRUPTED = 1  # sending the turn again counts as a retry
+    NOT_EXECUTED = 2  # known not to have run: all its tokens are released; sending it again is a retry
 
 
 @attrs.frozen
 class Reserve:
-    """Adds a turn's upper bound of tokens to its program's total, or refuses.
+    """Reserves the maximum tokens of a turn in its program's total, or is rejected.
 
-    `reservation` is unique to one attempt of a client (a repeat of the same command changes nothing and gets
-    the same outcome, or a refusal once it is forgotten; see `names.py`).  `fingerprint` tells a turn's
-    repeat from the session's next turn.  `budget` is the program's, in tokens, 0 where it has none.
-    `spare_capacity` says that the quota alone decides: a backend has capacity, so the retry budget does not
-    act.  `retain_s` is how long the program may stay away and come back, in seconds, 0 where it is unset.
+    `reservation` is unique to one attempt of a client.  A duplicate of the command changes nothing and gets
+    the same outcome, or a rejection once the name was dropped (see `names.py`).  `fingerprint` distinguishes
+    a retry of a turn from the session's next turn.  `budget` is the program's limit in tokens, 0 if it has
+    none.  `spare_capacity`: a backend has free capacity, so the retry budget does not apply, only the token
+    budget.  `retain_s` is how long an inactive program is kept, in seconds, 0 for the default.
     """
 
     program: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Settlement:
-    """Replaces a reservation's tokens by those handed to the client; `end` is a `TurnEnd`."""
+    """Replaces a reservation's tokens by those delivered to the client; `end` is a `TurnEnd`."""
 
     program: str
     reservation: str
@@ -60,9 +60,10 @@
 
 @attrs.frozen
 class ReserveOutcome:
-    """The `Verdict` on a reservation, and the program's tokens after it.
+    """The `Verdict` on a reservation, and the program's token counts after it.
 
-    `total` counts settled and reserved tokens, `settled` only those handed out: it never falls.
+    `total` is the sum of settled and reserved tokens; `settled` counts only delivered tokens and never
+    decreases.
     """
 
     reservation: str
@@ -74,7 +75,7 @@
 
 @attrs.frozen
 class BudgetRequest:
-    """Commands of a gateway for one shard, sent to the shard's owner."""
+    """A gateway's commands for one shard, sent to the shard's owner."""
 
     shard: str
     reserves: tuple[Reserve, ...]
@@ -83,10 +84,10 @@
 
 @attrs.frozen
 class BudgetReply:
-    """Outcomes in the order of `reserves`, of a committed entry.
+    """The outcomes of a committed request, in the order of `reserves`.
 
-    Not `owner`: whether anything was recorded is not known, and `owner_hint` may own the shard, as far as the
-    replica knew in its `epoch`.
+    If `owner` is false, it is unknown whether the commands were recorded; `owner_hint` is the address of the
+    owner that the replica knows of in its `epoch`, or empty.
     """
 
     shard: str
--- a/kestrelbend/tier/budgets/names.py
+++ b/kestrelbend/tier/budgets/names.py
@@ -1,10 +1,10 @@
-"""Names of reservations: one for each attempt, given by its gateway, never by a client.
+"""Reservation names: the gateway generates one for each attempt; a client never chooses it.
 
-A name holds the incarnation of its gateway's process and a number that rises with each attempt.  So a table
-may forget names one by one and still know them: of one incarnation, every number up to the highest that was
-forgotten counts as used.  Invariant: a name that a table has forgotten is not admitted again.  A reservation
-that is younger than a forgotten one, but arrives after 64 later ones have ended, is refused with it; that
-costs a repeat.
+A name consists of the incarnation of the gateway process and a number that increases with each attempt.  A
+table can therefore drop single names and still recognise them: within an incarnation, every number up to the
+highest dropped one counts as used.  Invariant: a reservation whose name was dropped is never admitted again.
+A new reservation with a lower number than a dropped one, which arrives after 64 later ones have closed, is
+rejected too; the cost is one retry.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class ReservationNameGenerator:
-    """Gives names in one incarnation of a gateway; `incarnation` differs between runs at one `address`."""
+    """Generates names for one gateway process; `incarnation` differs between runs at the same `address`."""
 
     def __init__(self, address: str, incarnation: int) -> None:
         self._incarnation = f"{address}@{incarnation:x}"
         self._numbers = itertools.count(1)
 
     def next(self) -> str:
-        """A name that was never given before."""
+        """Returns a name that was never returned before."""
         return f"{self._incarnation}{_SEPARATOR}{next(self._numbers)}"
 
 
 class ForgottenNames:
-    """For each incarnation the highest number among the names that a table no longer holds.
+    """For each incarnation, the highest number among the names that a table has dropped.
 
-    Bounded: beyond `MAX_INCARNATIONS` the one that was added to least recently is dropped.
+    Holds at most `MAX_INCARNATIONS`; the least recently updated incarnation is dropped first.
     """
 
     def __init__(self, highest: dict[str, int] | None = None) -> None:
         self.highest = dict(highest or {})
 
     def add(self, name: str) -> None:
-        """The table drops this name."""
+        """Records that the table has dropped this name."""
         parsed = _parse(name)
         if parsed is None:
             return
@@ -47,7 +47,7 @@
             del self.highest[next(iter(self.highest))]
 
     def __contains__(self, name: str) -> bool:
-        """Whether the name may have been used."""
+        """Whether the name may have been used before."""
         parsed = _parse(name)
         if parsed is None:
             return False
@@ -56,9 +56,9 @@
 
 
 def _parse(name: str) -> tuple[str, int] | None:
-    """Incarnation and number; None for a name that no gateway gave.
+    """Returns the incarnation and the number, None for a name that no gateway generated.
 
-    A plain tuple, since a name is parsed for each command.
+    Returns a plain tuple for speed: a name is parsed for each command.
     """
     incarnation, separator, number = name.rpartition(_SEPARATOR)
     if not separator or "@" not in incarnation or not (number.isascii() and number.isdigit()):
--- a/kestrelbend/tier/budgets/program.py
+++ b/kestrelbend/tier/budgets/program.py
@@ -1,15 +1,15 @@
-"""One program's tokens, turns and retries.
+"""The counter of one program: its tokens, turns and retries.
 
     (unknown) ──reserve──> OPEN ──settle──> CLOSED ──64 later ones closed──> FORGOTTEN
         │                                     ^
-        └──reserve, refused; or settle first──┘
+        └──reserve, rejected; or settle first─┘
 
-A reservation is OPEN in `open_turns`, CLOSED in `closed`, with the verdict that a repeat of it gets, and
-FORGOTTEN once only `names.ForgottenNames` knows it: from then on a repeat is refused.
+An OPEN reservation is in `open_turns`.  A CLOSED one is in `closed`, with the verdict that a duplicate gets.
+A FORGOTTEN one is known only to `names.ForgottenNames`, and a duplicate is rejected.
 
-Invariant: a turn is admitted only while the tokens handed out, those that open turns may yet hand out, and
-its own upper bound are within the budget together.  So a program is handed its budget at most, however its
-turns end and whoever repeats a command.
+Invariant: a turn is admitted only if the delivered tokens, the reserved tokens of open turns and its own
+maximum together do not exceed the budget.  So a program never receives more than its budget, however its
+turns end and whichever commands arrive twice.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from kestrelbend.tier.budgets.messages import Reserve, ReserveOutcome, Settlement, TurnEnd, Verdict
 
 MAX_RETRY_SHARE = 0.20  # of all tokens
-RETRY_FLOOR_TURNS = 4  # retries are not limited while the total is within so many such turns
+RETRY_FLOOR_TURNS = 4  # retries are not limited while the total is at most this many turns of the same size
 RETRY_AFTER_MS = 1000
 MAX_CLOSED_RESERVATIONS = 64
 MAX_SESSIONS = 64
@@ -27,20 +27,20 @@
 
 @attrs.define
 class SessionTurn:
-    """A session's last turn; without an end it is open."""
+    """A session's last turn; `end` is None while it is open."""
 
     fingerprint: int
     reservation: str
     end: TurnEnd | None = None
 
     def is_retried_by(self, reserve: Reserve) -> bool:
-        """Whether the attempt is a retry: a turn that ended complete is not repeated, it is taken again."""
+        """Whether the attempt is a retry; an equal turn after a complete one is a new turn."""
         return self.fingerprint == reserve.fingerprint and self.end is not TurnEnd.COMPLETE
 
 
 @attrs.define
 class OpenTurn:
-    """A reservation that is not settled."""
+    """A reservation that is not settled yet."""
 
     max_tokens: int
     session: str
@@ -51,10 +51,10 @@
 class ProgramBudget:
     """A program's counter.
 
-    Retries are counted by their tokens, as the total is: a share needs one unit, and long turns that are
-    repeated take more of a backend than short ones.  A retry that did not run is taken back from both; one
-    that ended otherwise stays at its upper bound, as it kept a backend busy whatever it handed out.  A retry
-    that is refused counts for nothing, so that refusals alone don't cause refusals.
+    Retries are measured in tokens, like the total, because a share needs a common unit and because a retry of
+    a long turn costs a backend more than one of a short turn.  A retry that was not executed is subtracted
+    from both.  Any other retry keeps counting at its maximum, because it occupied a backend whatever it
+    delivered.  A rejected retry is not counted, so that rejections alone cannot cause further rejections.
     """
 
     settled: int = 0
@@ -64,29 +64,29 @@
     sessions: dict[str, SessionTurn] = attrs.field(factory=dict)
     closed: dict[str, Verdict] = attrs.field(factory=dict)
     used_at_ms: int = 0  # by the table's time
-    retain_s: int = 0  # as its reservations say
-    forgotten: list[str] = attrs.field(factory=list)  # names dropped since the table last looked
+    retain_s: int = 0  # the longest that its reservations asked for
+    forgotten: list[str] = attrs.field(factory=list)  # names dropped since the table last collected them
 
     @property
     def total(self) -> int:
-        """Tokens handed out and reserved."""
+        """Settled and reserved tokens."""
         return self.settled + self.reserved
 
     def remembers(self, reservation: str) -> bool:
-        """Whether the reservation is open, or closed and not yet forgotten."""
+        """Whether the reservation is open, or closed and not forgotten yet."""
         return reservation in self.open_turns or reservation in self.closed
 
-    def refuse(self, reserve: Reserve) -> ReserveOutcome:
-        """Refuses and records nothing of it."""
+    def reject(self, reserve: Reserve) -> ReserveOutcome:
+        """Rejects a reservation without recording it."""
         return self._outcome(reserve, Verdict.RETRY_LATER)
 
     def reserve(self, reserve: Reserve) -> ReserveOutcome:
-        """Adds a turn's upper bound of tokens, or refuses and adds nothing."""
+        """Reserves a turn's maximum tokens, or rejects the turn and reserves nothing."""
         verdict = self._recorded_verdict(reserve.reservation)
         if verdict is not None:
             return self._outcome(reserve, verdict)
-        last = self.sessions.get(reserve.session)
-        retry = last is not None and last.is_retried_by(reserve)
+        last_turn = self.sessions.get(reserve.session)
+        retry = last_turn is not None and last_turn.is_retried_by(reserve)
         verdict = self._decide(reserve, retry)
         if verdict is Verdict.ADMITTED:
             self._admit(reserve, retry)
@@ -95,10 +95,10 @@
         return self._outcome(reserve, verdict)
 
     def settle(self, settlement: Settlement) -> None:
-        """Replaces a reservation by what was handed out; one that is closed stays as it is.
+        """Replaces the reserved tokens by those delivered; a closed reservation is not changed.
 
-        A settlement may come before its reservation, where that was sent twice.  The turn has ended, so a
-        reservation of this name is not admitted any more: nobody would settle it.
+        A settlement can arrive before its reservation if the reservation was sent twice.  The turn has ended
+        by then, so a later reservation of this name is rejected: it would never be settled.
         """
         turn = self.open_turns.pop(settlement.reservation, None)
         if turn is not None:
@@ -111,13 +111,13 @@
             self._close(settlement.reservation, Verdict.RETRY_LATER)
 
     def _recorded_verdict(self, reservation: str) -> Verdict | None:
-        """The verdict on a reservation of this name, which stands however often it is asked for."""
+        """Returns the verdict already given for this name, which duplicates get too; None for a new name."""
         if reservation in self.open_turns:
             return Verdict.ADMITTED
         return self.closed.get(reservation)
 
     def _decide(self, reserve: Reserve, retry: bool) -> Verdict:
-        """At the limit a retry is refused as spent, before it could count as a retry."""
+        """Checks the budget before the retry share, so a retry beyond the budget gets BUDGET_EXCEEDED."""
         total = self.total + reserve.max_tokens
         if 0 < reserve.budget < total:
             return Verdict.BUDGET_EXCEEDED
@@ -137,9 +137,9 @@
             del self.sessions[next(iter(self.sessions))]
 
     def _end_turn(self, session: str, settlement: Settlement) -> None:
-        last = self.sessions.get(session)
-        if last is not None and last.reservation == settlement.reservation:
-            last.end = TurnEnd(settlement.end)
+        last_turn = self.sessions.get(session)
+        if last_turn is not None and last_turn.reservation == settlement.reservation:
+            last_turn.end = TurnEnd(settlement.end)
 
     def _close(self, reservation: str, verdict: Verdict) -> None:
         self.closed[reservation] = verdict
--- a/kestrelbend/tier/budgets/route.py
+++ b/kestrelbend/tier/budgets/route.py
@@ -1,9 +1,10 @@
-"""Which replica of a shard a gateway asks: it looks for the owner, and stays with it.
+"""Selects the replica of a shard that a gateway sends its next request to.
 
-Each replica is asked once in a round, the one after the last first; between rounds there is a backoff that
-grows. A replica that did not reply is excluded for a while, also where another still names it as the owner:
-those that were beside it learn of its loss later than the gateway that waited for it.  Invariant: after a
-reply from an epoch, nobody is asked because an earlier epoch named it, or had it as the owner.
+The gateway searches for the owner and then keeps using it.  A search tries each replica once per round,
+starting after the last one tried, with a growing backoff between rounds.  A replica that did not reply is
+excluded for a while, even if others still name it as the owner: they detect its failure later than the
+gateway that timed out on it.  Invariant: after a reply from an epoch, a replica is never selected because it
+owned the shard, or was named as the owner, in an earlier epoch.
 """
 
 from __future__ import annotations
@@ -17,37 +18,37 @@
 
 @attrs.frozen
 class ClientSettings:
-    """Of a gateway's calls to budget shards; times in seconds."""
+    """Settings of a gateway's calls to budget shards; times in seconds."""
 
-    reserve_timeout_s: float = 1.8  # until a reservation without an answer is given up
-    attempt_timeout_s: float = 0.3  # until a request without a reply goes to the next replica
-    exclusion_s: float = 0.5  # for which a replica that did not reply is left out
-    initial_backoff_s: float = 0.02  # before the replicas are asked anew; doubles up to the maximum
-    max_early_backoff_s: float = 0.08  # while the search is young: an election takes half a second
-    early_rounds: int = 20
-    max_backoff_s: float = 0.3
-    settlement_linger_s: float = 0.02  # settlements wait this long for others, unless a reservation goes
-    max_pending_settlements: int = 4_000  # of a shard; beyond it the oldest go: their tokens stay reserved
+    reserve_timeout_s: float = 1.8  # after this, a reservation without a reply fails
+    attempt_timeout_s: float = 0.3  # after this, a request without a reply goes to the next replica
+    exclusion_s: float = 0.5  # how long a replica that did not reply is skipped
+    initial_backoff_s: float = 0.02  # before the second round; doubles up to the maximum
+    max_early_backoff_s: float = 0.08  # in the first rounds; low, as an election takes only half a second
+    early_rounds: int = 20  # rounds with the lower maximum
+    max_backoff_s: float = 0.3  # in all later rounds
+    settlement_linger_s: float = 0.02  # a settlement waits this long for others, unless a reservation is sent
+    max_pending_settlements: int = 4_000  # per shard; the oldest is dropped and its tokens stay reserved
 
 
 class OwnerRoute:
-    """The search for one shard's owner."""
+    """The search for the owner of one shard."""
 
     def __init__(self, settings: ClientSettings) -> None:
         self._settings = settings
-        self._likely_owner = ""  # the last that replied as owner, or that another named
+        self._likely_owner = ""  # the replica that last replied as the owner or was named as it
         self._last_requested = ""
         self._requested: set[str] = set()  # in this round
-        self._rounds = 0  # without an owner
-        self._epoch = 0  # the highest that a reply came from
+        self._rounds = 0  # since the last reply of an owner
+        self._epoch = 0  # the highest in a reply
         self._excluded_until: dict[str, float] = {}
 
     def target(self, replicas: Sequence[str], now: float) -> str | None:
-        """Whom to ask next; None after a round without success, which begins another: back off before it."""
+        """Returns the replica to send to; None if a round has failed and the caller has to back off."""
         likely = self._likely_owner
         if likely and not self._is_excluded(likely, now):
             return likely
-        for replica in _from_next(replicas, self._last_requested):
+        for replica in _rotated_after(replicas, self._last_requested):
             if replica not in self._requested and not self._is_excluded(replica, now):
                 return replica
         self._requested.clear()
@@ -55,7 +56,7 @@
         return None
 
     def backoff_s(self) -> float:
-        """Seconds to wait between rounds."""
+        """Returns the seconds to wait before the next round."""
         settings = self._settings
         if self._rounds > settings.early_rounds:
             return settings.max_backoff_s
@@ -63,7 +64,7 @@
         return min(settings.max_early_backoff_s, settings.initial_backoff_s * 2.0**doublings)
 
     def record_owner(self, replica: str, epoch: int = 0) -> None:
-        """The replica has replied as the owner: that is committed, also where a later epoch is known."""
+        """Records an owner's reply; one of an earlier epoch is valid but does not affect the selection."""
         if epoch < self._epoch:
             self._record_requested(replica)
             return
@@ -75,14 +76,22 @@
         self._rounds = 0
 
     def record_not_owner(self, replica: str, hint: str, epoch: int = 0) -> None:
-        """The replica does not own the shard; a hint is followed once in a round, an outdated one never."""
+        """Records that the replica is not the owner.
+
+        The owner that it names is tried next, unless the hint is of an earlier epoch or that replica was
+        already tried in this round.
+        """
         self._record_requested(replica)
         outdated = epoch < self._epoch
         self._epoch = max(self._epoch, epoch)
         self._likely_owner = "" if outdated or hint in self._requested else hint
 
     def record_no_reply(self, replica: str, requested_at: float, now: float) -> None:
-        """The replica took too long; or it can't be reached, which is known at once and costs no time."""
+        """Records that a request got no reply.
+
+        The replica is excluded only after a timeout: one that is unreachable fails at once, so trying it
+        again costs no time.
+        """
         self._record_requested(replica)
         self._likely_owner = ""
         if now - requested_at >= self._settings.attempt_timeout_s / 2:
@@ -96,8 +105,8 @@
         self._requested.add(replica)
 
 
-def _from_next(replicas: Sequence[str], last: str) -> list[str]:
-    """The replicas in their order, from the one after the last that was asked."""
+def _rotated_after(replicas: Sequence[str], last: str) -> list[str]:
+    """Returns the replicas in order, starting with the one after the last one tried."""
     names = list(replicas)
     if last not in names:
         return names
--- a/kestrelbend/tier/budgets/shard_queue.py
+++ b/kestrelbend/tier/budgets/shard_queue.py
@@ -1,7 +1,9 @@
-"""A gateway's calls to one budget shard: one request at a time, which takes along all that waits.
+"""A gateway's queue of commands to one budget shard.
 
-Invariant: a command leaves this queue only when an owner's reply covers it, or, for a reservation, when its
-caller has gone; a reservation that was sent and whose caller has gone leaves a settlement behind.
+One request is in flight at a time; each carries all queued commands, up to a limit.  Invariant: a command
+leaves the queue only when an owner's reply covers it, or, for a reservation, when its caller stops waiting.
+If such a reservation was sent, a settlement that releases its tokens is queued instead.  As the only
+exception, the oldest settlement is dropped when there are too many.
 """
 
 from __future__ import annotations
@@ -25,18 +27,18 @@
 
 MAX_COMMANDS_PER_REQUEST = 256
 
-Send = Callable[[str, BudgetRequest], Awaitable[BudgetReply | None]]
-"""Sends a request to an address; None where there was no reply.  Cancelled once its time is over."""
+SendRequest = Callable[[str, BudgetRequest], Awaitable[BudgetReply | None]]
+"""Sends a request to an address; returns None if there was no reply.  Cancelled on timeout."""
 
-Replicas = Callable[[str], Sequence[str]]
-"""The addresses that may own a shard, in the order in which they are to be asked."""
+ReplicaAddresses = Callable[[str], Sequence[str]]
+"""Returns the addresses of a shard's replicas, in the order in which to try them."""
 
-_Key = tuple[str, str]  # a program and one of its reservations
+_CommandKey = tuple[str, str]  # the names of a program and of one of its reservations
 
 
 @attrs.define(eq=False)
 class _PendingReservation:
-    """A reservation whose caller waits; once sent, it may have been recorded whatever comes back."""
+    """A reservation whose caller is waiting; once `sent`, it may have been recorded, whatever the reply."""
 
     reserve: Reserve
     outcome: asyncio.Future[ReserveOutcome]
@@ -44,15 +46,17 @@
 
 
 class ShardRequestQueue:
-    """The queue of one shard and the task that works through it while there is anything in it."""
+    """The queue of one shard, and the task that processes it until it is empty."""
 
-    def __init__(self, shard: str, send: Send, replicas: Replicas, settings: ClientSettings) -> None:
+    def __init__(
+        self, shard: str, send: SendRequest, replicas: ReplicaAddresses, settings: ClientSettings
+    ) -> None:
         self._shard = shard
         self._send = send
         self._replicas = replicas
         self._settings = settings
-        self._reservations: dict[_Key, _PendingReservation] = {}
-        self._settlements: dict[_Key, Settlement] = {}
+        self._reservations: dict[_CommandKey, _PendingReservation] = {}
+        self._settlements: dict[_CommandKey, Settlement] = {}
         self._urgent = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._closing = False
@@ -60,13 +64,13 @@
 
     @property
     def pending_settlements(self) -> int:
-        """Settlements that no owner has recorded yet."""
+        """The number of settlements that no owner has recorded yet."""
         return len(self._settlements)
 
     async def reserve(self, reserve: Reserve, max_wait_s: float) -> ReserveOutcome:
-        """The owner's outcome, or OWNER_UNAVAILABLE where none came within a time in seconds."""
+        """Returns the owner's outcome, or OWNER_UNAVAILABLE if there was none within `max_wait_s` seconds."""
         pending = _PendingReservation(reserve, asyncio.get_running_loop().create_future())
-        self._reservations[_key(reserve)] = pending
+        self._reservations[_command_key(reserve)] = pending
         self._wake(urgent=True)
         try:
             async with asyncio.timeout(max_wait_s):
@@ -86,14 +90,14 @@
                 self._abandon(pending)
 
     def settle(self, settlement: Settlement) -> None:
-        """Queues a settlement; beyond the bound the oldest is dropped."""
-        self._settlements[_key(settlement)] = settlement
+        """Queues a settlement; drops the oldest one beyond `max_pending_settlements`."""
+        self._settlements[_command_key(settlement)] = settlement
         if len(self._settlements) > self._settings.max_pending_settlements:
             del self._settlements[next(iter(self._settlements))]
         self._wake(urgent=False)
 
     async def close(self, max_wait_s: float) -> bool:
-        """Sends what is pending; whether all settlements were recorded within the time in seconds."""
+        """Sends what is pending, for up to `max_wait_s` seconds; whether all settlements were recorded."""
         self._closing = True
         if self._task is None:
             return True
@@ -103,10 +107,10 @@
         return not self._settlements
 
     def _abandon(self, pending: _PendingReservation) -> None:
-        """Takes back a reservation whose caller has not got the outcome, even if one is there just now."""
+        """Withdraws a reservation whose caller did not get the outcome, even if it has just arrived."""
         reserve = pending.reserve
-        if self._reservations.get(_key(reserve)) is pending:
-            del self._reservations[_key(reserve)]
+        if self._reservations.get(_command_key(reserve)) is pending:
+            del self._reservations[_command_key(reserve)]
         if pending.sent:
             self.settle(Settlement(reserve.program, reserve.reservation, 0, TurnEnd.NOT_EXECUTED))
 
@@ -119,11 +123,11 @@
     async def _run(self) -> None:
         while self._reservations or self._settlements:
             if not self._reservations and not self._closing:
-                await self._linger()
+                await self._wait_for_batch()
             await self._send_next()
 
-    async def _linger(self) -> None:
-        """Lets settlements gather, until a reservation comes."""
+    async def _wait_for_batch(self) -> None:
+        """Waits for further settlements to send together, or until a reservation is queued."""
         self._urgent.clear()
         try:
             async with asyncio.timeout(self._settings.settlement_linger_s):
@@ -132,7 +136,7 @@
             pass
 
     async def _send_next(self) -> None:
-        """Sends one request, or waits where the search for the owner begins a new round."""
+        """Sends one request, or backs off if the search for the owner starts a new round."""
         now = asyncio.get_running_loop().time()
         target = self._route.target(self._replicas(self._shard), now)
         if target is None:
@@ -166,16 +170,16 @@
         settlements: tuple[Settlement, ...],
     ) -> None:
         for settlement in settlements:
-            if self._settlements.get(_key(settlement)) is settlement:
-                del self._settlements[_key(settlement)]
+            if self._settlements.get(_command_key(settlement)) is settlement:
+                del self._settlements[_command_key(settlement)]
         for pending, outcome in zip(reservations, reply.outcomes, strict=True):
-            if not pending.outcome.done():  # else its caller has gone, and abandons it in a moment
-                del self._reservations[_key(pending.reserve)]
+            if not pending.outcome.done():  # else its caller stopped waiting and is about to abandon it
+                del self._reservations[_command_key(pending.reserve)]
                 pending.outcome.set_result(outcome)
 
 
 def reply_matches(request: BudgetRequest, reply: BudgetReply) -> bool:
-    """Whether an owner replies to this very request: its shard, and its reservations one by one."""
+    """Whether the reply is an owner's reply to this request: same shard, same reservations in order."""
     if not reply.owner or reply.shard != request.shard:
         return False
     requested = [reserve.reservation for reserve in request.reserves]
@@ -183,9 +187,9 @@
 
 
 def unavailable_outcome(reserve: Reserve) -> ReserveOutcome:
-    """The outcome of a reservation that no owner has answered."""
+    """Returns the outcome of a reservation that no owner replied to."""
     return ReserveOutcome(reserve.reservation, Verdict.OWNER_UNAVAILABLE, 0, 0, 0)
 
 
-def _key(command: Reserve | Settlement) -> _Key:
+def _command_key(command: Reserve | Settlement) -> _CommandKey:
     return command.program, command.reservation
--- a/kestrelbend/tier/budgets/shard_service.py
+++ b/kestrelbend/tier/budgets/shard_service.py
@@ -1,8 +1,8 @@
-"""The budget shards that a process holds replicas of: gateways' requests in, replies out.
+"""Handles gateways' requests to the budget shards that this process holds replicas of.
 
-Invariant: a reply with outcomes is given only for a committed entry, and its outcomes are those that every
-replica computes.  Where it is not known whether an entry counts, the reply says that nobody owns the shard
-here; repeating the same commands at the next owner is safe, since a reservation's name makes them one.
+Invariant: a reply with outcomes is sent only for a committed entry, and every replica computes the same
+outcomes.  If it is unknown whether an entry was committed, the reply says that this process is not the owner.
+Sending the same commands to the next owner is safe, because reservations are deduplicated by name.
 """
 
 from __future__ import annotations
@@ -18,57 +18,57 @@
 from .owner_clock import OwnerClock
 from .state_machine import BudgetStateMachine
 
-Reply = Callable[[BudgetReply], None]
+ReplyCallback = Callable[[BudgetReply], None]
 
 
 class BudgetShards:
-    """Answers gateways' requests for the shards that are owned here."""
+    """Serves gateways' requests for the shards that this process owns."""
 
     def __init__(self) -> None:
         self._host: ShardHost | None = None
         self._now: Callable[[], float] = time.monotonic
-        self._clock = OwnerClock()
+        self._owner_clock = OwnerClock()
 
     def attach(self, host: ShardHost | None, now: Callable[[], float]) -> None:
-        """`host` has the process's replicas, None without a disk; `now` gives seconds of a steady clock."""
+        """Sets the host of the process's replicas (None without a disk) and a monotonic clock in seconds."""
         self._host = host
         self._now = now
 
     @staticmethod
     def create_state_machine(shard: str) -> BudgetStateMachine:
-        """An empty state machine."""
+        """Returns an empty state machine for the shard."""
         return BudgetStateMachine()
 
-    def request(self, request: BudgetRequest, reply: Reply) -> None:
-        """Proposes a request's commands; replies once they are committed, at once where this is no owner."""
+    def request(self, request: BudgetRequest, reply: ReplyCallback) -> None:
+        """Proposes a request's commands; replies once they are committed, at once if not the owner."""
         shard = request.shard
         if self._host is None:
-            reply(self._not_owner(shard))
+            reply(self._not_owner_reply(shard))
             return
 
-        def done(outcome: object | None) -> None:
+        def on_result(outcome: object | None) -> None:
             if outcome is None:
-                reply(self._not_owner(shard))
+                reply(self._not_owner_reply(shard))
                 return
-            outcomes = cast(tuple[ReserveOutcome, ...], outcome)  # of `BudgetStateMachine.apply`
+            outcomes = cast(tuple[ReserveOutcome, ...], outcome)  # returned by `BudgetStateMachine.apply`
             reply(BudgetReply(shard, True, "", outcomes, self._epoch(shard)))
 
         now = self._now()
         epoch = self._epoch(shard)
-        elapsed_ms = self._clock.elapsed_ms(shard, epoch, now)
+        elapsed_ms = self._owner_clock.elapsed_ms(shard, epoch, now)
         data = encode_commands(request.settlements, request.reserves, elapsed_ms)
-        if not self._host.propose(shard, data, done, now):
-            reply(self._not_owner(shard))
+        if not self._host.propose(shard, data, on_result, now):
+            reply(self._not_owner_reply(shard))
             return
-        self._clock.record_entry(shard, epoch, elapsed_ms, now)
+        self._owner_clock.record_entry(shard, epoch, elapsed_ms, now)
         self._host.flush(shard)
 
     def _epoch(self, shard: str) -> int:
-        """The epoch of the replica here, 0 where there is none."""
+        """Returns the epoch known to the local replica, 0 if there is none."""
         replica = None if self._host is None else self._host.replica(shard)
         return 0 if replica is None else replica.term
 
-    def _not_owner(self, shard: str) -> BudgetReply:
+    def _not_owner_reply(self, shard: str) -> BudgetReply:
         replica = None if self._host is None else self._host.replica(shard)
         if replica is None:
             return BudgetReply(shard, False, "", (), 0)
--- a/kestrelbend/tier/budgets/shards.py
+++ b/kestrelbend/tier/budgets/shards.py
@@ -1,9 +1,8 @@
-"""Which shard keeps a program's counter.
+"""Maps a program to the shard that holds its counter, by the program's name alone.
 
-A deployment may have a single service that takes turns; a hash of services alone would then put every
-counter in one shard, and one owner would do all the writing.  And a program may take turns at several
-services while its budget is one.  So the program's name decides, and the service does not take part: all
-turns of a program meet one counter.
+The service is not part of the key, for two reasons.  A deployment may have a single service, and hashing
+services would put every counter into one shard, whose owner would do all the writing.  A program may also
+use several services under one budget, so all its turns have to reach the same counter.
 """
 
 from __future__ import annotations
@@ -14,10 +13,10 @@
 
 
 def shard_of(program: str, count: int) -> str:
-    """The shard of a program among `count`; the same on every machine and in every version."""
+    """Returns the shard of a program among `count` shards; the same on every machine and in every version."""
     return f"{SHARD_PREFIX}{zlib.crc32(program.encode()) % count}"
 
 
 def shard_names(count: int) -> list[str]:
-    """All budget shards."""
+    """Returns the names of all budget shards."""
     return [f"{SHARD_PREFIX}{number}" for number in range(count)]
--- a/kestrelbend/tier/budgets/snapshot_codec.py
+++ b/kestrelbend/tier/budgets/snapshot_codec.py
@@ -1,13 +1,13 @@
-"""A table as the bytes of a snapshot, and back.
+"""Encoding and decoding of a table's snapshot.
 
-A snapshot is lines of JSON: a header with the table's time and its forgotten names (an object), a line for
-each active program (an array) in the order of last use, then lines with up to `IDLE_PROGRAMS_PER_LINE` idle
-programs each (an object), in the order in which they became idle: one flat list of names and figures, which
-is read faster than a list for each.
+A snapshot consists of lines of JSON.  The first is the header, an object with the table's time and its
+forgotten names.  Then follows one array for each active program, in the order of last use.  The remaining
+lines are objects with up to `IDLE_PROGRAMS_PER_LINE` idle programs each, in the order in which they became
+idle; their names and numbers form one flat list, which is parsed faster than one list for each program.
 
-Invariant: equal tables give equal bytes, however many steps they were encoded in; a counter that was decoded
-and not changed is encoded as the bytes that it was decoded from.  The bytes are found on disks of earlier
-releases and stay.
+Invariant: equal tables are encoded to equal bytes, in however many steps.  A counter that was decoded and not
+changed is encoded to the bytes it was decoded from.  The format must not change: snapshots on disk and
+replicas of earlier releases use it.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class IdleProgram(NamedTuple):
-    """What is kept of a program that is not active; the fields are written in this order."""
+    """What is kept of an idle program; the fields are encoded in this order."""
 
     total: int
     retries: int
@@ -40,20 +40,20 @@
 
 @attrs.frozen
 class TableHeader:
-    """What a table holds besides its programs."""
+    """The contents of a table other than its programs."""
 
     now_ms: int = 0
     forgotten: dict[str, int] = attrs.field(factory=dict)  # see `names.ForgottenNames`
 
     def encode(self) -> bytes:
-        """The first line of a snapshot."""
+        """Returns the first line of a snapshot."""
         return _encoder.encode({"now": self.now_ms, "forgotten": self.forgotten}).encode()
 
 
 class ActiveProgram:
-    """A program in use: its counter, its line, or both where the line is that of the counter as it is.
+    """An active program: its counter, its encoded line, or both if the line matches the counter.
 
-    The counter is decoded, and the line encoded, when it is first asked for.
+    The counter is decoded, and the line encoded, on first use.
     """
 
     __slots__ = ("_counter", "_line", "name")
@@ -64,26 +64,26 @@
         self._line = state if isinstance(state, bytes) else None
 
     def counter(self) -> ProgramBudget:
-        """The counter; `invalidate` it before it is changed."""
+        """Returns the counter; call `invalidate` before changing it."""
         if self._counter is None:
             assert self._line is not None, "a program without a counter has a line"
             self._counter = _decode_counter(self._line)
         return self._counter
 
     def encode(self) -> bytes:
-        """The line of the counter as it is now."""
+        """Returns the encoded line of the current counter."""
         if self._line is None:
             self._line = _encode_counter(self.name, self.counter())
         return self._line
 
     def invalidate(self) -> None:
-        """The counter is about to change, so its line no longer holds."""
+        """Discards the encoded line, before the counter is changed."""
         self.counter()
         self._line = None
 
     @property
     def field_count(self) -> int:
-        """About how many fields are to be encoded, 1 where the line is there."""
+        """The approximate number of fields still to be encoded; 1 if the line is encoded already."""
         if self._line is not None:
             return 1
         counter = self.counter()
@@ -92,15 +92,15 @@
 
 @attrs.frozen
 class DecodedTable:
-    """A snapshot's content; the counters of its programs are not decoded yet."""
+    """The content of a snapshot; the counters of its programs are not decoded yet."""
 
     header: TableHeader = attrs.field(factory=TableHeader)
     active: dict[str, ActiveProgram] = attrs.field(factory=dict)
-    idle_lines: list[bytes] = attrs.field(factory=list)  # for `decode_idle`, in their order
+    idle_lines: list[bytes] = attrs.field(factory=list)  # in order, for `decode_idle`
 
 
 def decode_table(state: bytes) -> DecodedTable:
-    """The content of a snapshot; no bytes are an empty table."""
+    """Splits a snapshot into its content; an empty one stands for an empty table."""
     if not state:
         return DecodedTable()
     first, *lines = state.split(b"\n")
@@ -116,13 +116,13 @@
 
 
 def decode_active(line: bytes) -> ActiveProgram:
-    """An active program of a snapshot, whose counter is not decoded yet."""
+    """Returns an active program from its line; its counter is decoded on first use."""
     name, _ = _decoder.raw_decode(line.decode(), 1)
     return ActiveProgram(name, line)
 
 
 def encode_idle(idle: Iterable[tuple[str, IdleProgram]]) -> Iterator[bytes]:
-    """The lines of the idle programs, one at a time."""
+    """Yields the lines of the idle programs."""
     rows = iter(idle)
     while chunk := tuple(islice(rows, IDLE_PROGRAMS_PER_LINE)):
         flat = [value for name, program in chunk for value in (name, *program)]
@@ -130,7 +130,7 @@
 
 
 def decode_idle(line: bytes) -> Iterable[tuple[str, IdleProgram]]:
-    """The idle programs of a line, in their order."""
+    """Returns the idle programs of a line, in order."""
     flat = json.loads(line)["idle"]
     columns = [flat[column::IDLE_COLUMNS] for column in range(IDLE_COLUMNS)]
     programs = map(IdleProgram._make, zip(*columns[1:], strict=True))
@@ -152,7 +152,7 @@
 
 
 def _decode_counter(line: bytes) -> ProgramBudget:
-    """What is reserved is the sum of the open turns, so it is not written."""
+    """Decodes a counter; the reserved tokens are not encoded, they are the sum over the open turns."""
     _, settled, retries, open_turns, sessions, closed, used_at_ms, retain_s = json.loads(line)
     counter = ProgramBudget(settled=settled, retries=retries, used_at_ms=used_at_ms, retain_s=retain_s)
     for name, max_tokens, session, retry in open_turns:
--- a/kestrelbend/tier/budgets/state_machine.py
+++ b/kestrelbend/tier/budgets/state_machine.py
@@ -1,4 +1,4 @@
-"""A budget table as a shard's state machine, which every replica applies the shard's entries to."""
+"""The state machine of a budget shard: applies the shard's log entries to a budget table."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class BudgetStateMachine:
-    """An entry holds the commands of one request.
+    """A budget table as a replicated state machine; each log entry holds the commands of one request.
 
-    Invariant: applying an entry is deterministic, so all replicas give the same outcomes.
+    Invariant: applying an entry is deterministic, so all replicas compute the same outcomes.
     """
 
     def __init__(self) -> None:
         self.table = BudgetTable()
 
     def apply(self, command: bytes) -> tuple[ReserveOutcome, ...]:
-        """Applies one request's commands, settlements first; the outcomes are its reservations'."""
+        """Applies one request's commands, settlements first; returns the outcomes of its reservations."""
         self.table.advance(decode_elapsed_ms(command))
         settlements, reserves = decode_commands(command)
         for settlement in settlements:
@@ -26,13 +26,13 @@
         return tuple([self.table.reserve(reserve) for reserve in reserves])
 
     def begin_snapshot(self) -> TableSnapshot:
-        """The table as it is now, to be encoded in steps."""
+        """Starts a snapshot of the current table, which is encoded in steps."""
         return self.table.begin_snapshot()
 
     def snapshot(self) -> bytes:
-        """The complete table, encoded at once."""
+        """Encodes the complete table at once."""
         return self.table.snapshot()
 
     def restore(self, state: bytes) -> None:
-        """Replaces the table by a snapshot's."""
+        """Replaces the table by that of a snapshot."""
         self.table.restore(state)
--- a/kestrelbend/tier/budgets/table_snapshot.py
+++ b/kestrelbend/tier/budgets/table_snapshot.py
@@ -1,9 +1,9 @@
-"""A table at one moment, encoded in short steps while the table itself goes on.
+"""A snapshot of a table, encoded in short steps while the table keeps changing.
 
     ACTIVE ──all active programs encoded──> IDLE ──all idle lines encoded──> JOINING ──> COMPLETE
 
-Invariant: the bytes are those of the table at the moment at which the snapshot was begun.  The table must
-encode a program's line (`ActiveProgram.encode`) before it changes the counter, and go on with a new
+Invariant: the result is the state of the table when the snapshot was started.  Therefore the table must
+encode a program's line (`ActiveProgram.encode`) before it changes the counter, and continue with a new
 `ActiveProgram`.
 """
 
@@ -17,7 +17,7 @@
 
 
 class _Phase(enum.Enum):
-    """What the next step does."""
+    """What the next step encodes; JOINING concatenates the lines."""
 
     ACTIVE = enum.auto()
     IDLE = enum.auto()
@@ -26,7 +26,7 @@
 
 
 class TableSnapshot:
-    """The header, the active and the idle programs, and the lines made of them so far."""
+    """The header, the active and the idle programs, and the lines encoded so far."""
 
     def __init__(
         self, header: TableHeader, active: list[ActiveProgram], idle: list[tuple[str, IdleProgram]]
@@ -43,11 +43,11 @@
 
     @property
     def line_count(self) -> int:
-        """The lines that are encoded."""
+        """The number of lines encoded so far."""
         return len(self._lines)
 
     def advance(self) -> bytes | None:
-        """A step of a few milliseconds; the complete snapshot with the last one."""
+        """Performs one step of a few milliseconds; returns the snapshot after the last one, else None."""
         if self._phase is _Phase.ACTIVE:
             self._encode_active()
             return None
@@ -58,7 +58,7 @@
         return b"\n".join(self._lines)
 
     def finish(self) -> bytes:
-        """All steps at once."""
+        """Performs all remaining steps and returns the snapshot."""
         while (state := self.advance()) is None:
             pass
         return state
--- a/kestrelbend/tier/fleet/rules/calm.py
+++ b/kestrelbend/tier/fleet/rules/calm.py
@@ -101,7 +101,7 @@
         for program in self._programs.all.values():
             shard = shard_of(program.name, BUDGET_SHARD_COUNT)
             machine = cast(BudgetStateMachine, owners[shard].state_machine(shard))
-            self._check_program(program, machine.table._use(program.name))
+            self._check_program(program, machine.table._counter_for_update(program.name))
 
     def _owners(self) -> dict[str, Process]:
         owners = {}
