--- a/kestrelbend/tier/configuration/backend_calls.py
+++ b/kestrelbend/tier/configuration/backend_calls.py
@@ -1,4 +1,4 @@
-"""The calls `Instances.Heartbeat` and `Instances.Leave`, by which backends report themselves."""
+"""Handlers of `Instances.Heartbeat` and `Instances.Leave`, the calls in which backends report their state."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class BackendCalls:
-    """Backends' calls, each answered by what the port says; a call names the backend's id."""
+    """Handles calls of backends through the port; the name in the path is the backend's id."""
 
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
     async def heartbeat(self, call: Call) -> ApiResponse:
-        """Takes a heartbeat; the answer may name an address for the next ones."""
+        """Processes a heartbeat; the response may contain a URL for later heartbeats."""
         report = decode_object(call.body)
         if report is None:
-            return error_response(INVALID, "the report is no JSON object")
+            return error_response(INVALID, "the report is not a JSON object")
         outcome = await self._port.backend_heartbeat(call.name, report)
         url = self._port.heartbeat_url()
         if outcome is ReportOutcome.ACCEPTED and url:
@@ -38,5 +38,5 @@
         return status_response(REPORT_STATUS[outcome])
 
     async def leave(self, call: Call) -> ApiResponse:
-        """Takes a backend's report that it is gone; the body does not matter."""
+        """Processes a backend's report that it has left; the body is ignored."""
         return status_response(REPORT_STATUS[await self._port.leave(call.name)])
--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -1,5 +1,4 @@
-"""Whether an operator's document may be accepted: its bytes, its schema, and what only shows when its parts
-are looked at together.
+"""Validation of the operator's documents: JSON syntax, schema, and consistency between sections.
 
 Invariant: `find_document_errors` returns nothing for exactly the documents that `check_document` accepts, and
 its first item is the rejection that `check_document` raises.  `check_document` stops at the first error
@@ -20,117 +19,124 @@
     DocumentRejection,
     InvalidDocument,
     RejectionCode,
-    invalid,
+    invalid_document,
 )
 from kestrelbend.tier.configuration.field_checks import abbreviated
 
-MAX_DEPTH = 32  # of objects and lists in one another
+MAX_DEPTH = 32  # levels of nested objects and lists
 
 
-def host_key(host: str) -> str:
-    """A host as it is compared: without its port and in lower case."""
+def normalize_host(host: str) -> str:
+    """Returns a host in the form used for comparison: without port, in lower case."""
     if host.startswith("["):
         return host.partition("]")[0].lower() + "]"
     return host.partition(":")[0].lower()
 
 
-def decode(body: bytes) -> dict[str, Any]:
-    """The body as an object; fails if it is cut short, names a key twice or holds what is no JSON number."""
+def decode_document(body: bytes) -> dict[str, Any]:
+    """Decodes the body to an object; rejects truncated JSON, duplicate keys and non-JSON numbers."""
     try:
         values = json.loads(
             bytes(body).decode("utf-8"),
-            object_pairs_hook=_unique,
-            parse_constant=_finite,
-            parse_float=_finite,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_parse_finite_number,
+            parse_float=_parse_finite_number,
         )
     except (ValueError, RecursionError) as error:
-        raise invalid(RejectionCode.UNREADABLE, f"cannot be read whole: {ascii(str(error))[:120]}") from None
+        raise invalid_document(
+            RejectionCode.UNREADABLE, f"cannot be read whole: {ascii(str(error))[:120]}"
+        ) from None
     if not isinstance(values, dict):
-        raise invalid(RejectionCode.UNREADABLE, "is not an object")
+        raise invalid_document(RejectionCode.UNREADABLE, "is not an object")
     _check_depth(values)
     return values
 
 
-def validate(expected: schema.Schema, values: Any, what: str) -> None:
-    """Raises `InvalidDocument` with the first fault of `values` by the schema; `what` names them."""
+def validate_schema(expected: schema.Schema, values: Any, label: str) -> None:
+    """Raises `InvalidDocument` for the first schema error in `values`; its reason starts with `label`."""
     try:
         expected.validate(values)
     except schema.SchemaError as error:
-        raise _wrong_schema(what, error.code) from None
+        raise _wrong_schema(label, error.code) from None
 
 
 def check_document(values: dict[str, Any]) -> None:
-    """Raises `InvalidDocument` for a configuration that is not valid as a whole."""
-    validate(schemas.DOCUMENT, values, "configuration")
-    for fault in _faults_between(values):
-        raise InvalidDocument(fault)
+    """Raises `InvalidDocument` if a configuration violates its schema or its sections are inconsistent."""
+    validate_schema(schemas.DOCUMENT, values, "configuration")
+    for rejection in _cross_reference_errors(values):
+        raise InvalidDocument(rejection)
 
 
-def check_names(kind: str, items: list[Any]) -> None:
-    """Raises `InvalidDocument` where two items of a list share a name."""
-    for fault in _name_faults(kind, items):
-        raise InvalidDocument(fault)
+def check_unique_names(section: str, items: list[Any]) -> None:
+    """Raises `InvalidDocument` if two items of a list have the same name."""
+    for rejection in _duplicate_name_errors(section, items):
+        raise InvalidDocument(rejection)
 
 
 def find_document_errors(body: bytes) -> tuple[DocumentRejection, ...]:
-    """All that is wrong with a configuration; a route that doesn't fit its schema isn't looked at further."""
+    """Returns all errors of a configuration; the consistency checks skip routes with schema errors."""
     try:
-        values = decode(body)
-    except InvalidDocument as fault:
-        return (fault.rejection,)
-    faults = [_wrong_schema("configuration", text).rejection for text in schemas.CONFIGURATION.faults(values)]
-    return (*faults, *_faults_between(_well_formed_parts(values) if faults else values))
-
-
-def _well_formed_parts(values: dict[str, Any]) -> dict[str, Any]:
-    """The parts of a document that fit their schema, so that they can be checked against each other."""
-    parts = {kind: items for kind, items in values.items() if isinstance(items, list)}
+        values = decode_document(body)
+    except InvalidDocument as error:
+        return (error.rejection,)
+    rejections = [
+        _wrong_schema("configuration", text).rejection
+        for text in schemas.CONFIGURATION.validation_errors(values)
+    ]
+    return (*rejections, *_cross_reference_errors(_valid_sections(values) if rejections else values))
+
+
+def _valid_sections(values: dict[str, Any]) -> dict[str, Any]:
+    """Returns the sections to check against each other, without routes that have schema errors."""
+    parts = {section: items for section, items in values.items() if isinstance(items, list)}
     routes = parts.get("Routes", [])
-    parts["Routes"] = [route for route in routes if not any(schemas.ROUTE.faults(route))]
+    parts["Routes"] = [route for route in routes if not any(schemas.ROUTE.validation_errors(route))]
     if "Services" not in parts:
         parts.update(Routes=[], Services=[])
     return parts
 
 
-def _faults_between(values: dict[str, Any]) -> Iterator[DocumentRejection]:
-    """The faults between parts that are right by themselves."""
-    for kind, items in values.items():
+def _cross_reference_errors(values: dict[str, Any]) -> Iterator[DocumentRejection]:
+    """Yields inconsistencies between sections that each match their schema."""
+    for section, items in values.items():
         if isinstance(items, list):
-            yield from _name_faults(kind, items)
-    services = {name_of(service) for service in values["Services"]}
-    yield from _route_faults(values["Routes"], services)
+            yield from _duplicate_name_errors(section, items)
+    services = {item_name(service) for service in values["Services"]}
+    yield from _route_errors(values["Routes"], services)
 
 
-def _name_faults(kind: str, items: list[Any]) -> Iterator[DocumentRejection]:
-    """Two items of a list never share a name."""
+def _duplicate_name_errors(section: str, items: list[Any]) -> Iterator[DocumentRejection]:
+    """Yields a rejection for each item that has the name of an earlier item of the list."""
     seen: set[str] = set()
     for item in items:
-        name = name_of(item)
+        name = item_name(item)
         if name is None:
             continue
         if name in seen:
             yield DocumentRejection(
-                RejectionCode.SAME_NAME, f"{abbreviated(kind)}: two items share the name {abbreviated(name)}"
+                RejectionCode.SAME_NAME,
+                f"{abbreviated(section)}: two items share the name {abbreviated(name)}",
             )
         seen.add(name)
 
 
-def _route_faults(routes: list[dict[str, Any]], services: set[str | None]) -> Iterator[DocumentRejection]:
-    """No two routes share host and prefix, and each one's services exist."""
+def _route_errors(routes: list[dict[str, Any]], services: set[str | None]) -> Iterator[DocumentRejection]:
+    """Yields rejections for routes with the same host and prefix, and for routes with invalid targets."""
     claimed: set[tuple[str, str]] = set()
     for route in routes:
-        host_and_prefix = (host_key(route["Hostname"]), route["PathPrefix"])
+        host_and_prefix = (normalize_host(route["Hostname"]), route["PathPrefix"])
         if host_and_prefix in claimed:
             name = abbreviated(route["Name"])
             yield DocumentRejection(
-                RejectionCode.SAME_HOST_AND_PREFIX, f"route {name}: another route has its host and prefix"
+                RejectionCode.SAME_HOST_AND_PREFIX,
+                f"route {name}: another route has the same host and prefix",
             )
         claimed.add(host_and_prefix)
-        yield from _target_faults(route, services)
+        yield from _target_errors(route, services)
 
 
-def _target_faults(route: dict[str, Any], services: set[str | None]) -> Iterator[DocumentRejection]:
-    """A route names services that exist, one at least, and its weights add up to more than 0."""
+def _target_errors(route: dict[str, Any], services: set[str | None]) -> Iterator[DocumentRejection]:
+    """Yields rejections for a route with unknown services, without services, or whose weights sum to 0."""
     name = abbreviated(route["Name"])
     split = route.get("Split")
     upstream = route.get("Upstream")
@@ -145,27 +151,27 @@
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
         yield DocumentRejection(RejectionCode.NO_WEIGHT, f"route {name}: its weights add up to 0")
     if not named:
-        yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: names no service")
+        yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: has no service")
 
 
-def name_of(item: Any) -> str | None:
-    """The name of an item, None where it has none."""
+def item_name(item: Any) -> str | None:
+    """Returns the name of an item, or None if it has none."""
     name = item.get("Name") if isinstance(item, dict) else None
     return name if isinstance(name, str) else None
 
 
-def _wrong_schema(what: str, text: str) -> InvalidDocument:
-    return invalid(RejectionCode.WRONG_SCHEMA, f"{what}: {text}")
+def _wrong_schema(label: str, text: str) -> InvalidDocument:
+    return invalid_document(RejectionCode.WRONG_SCHEMA, f"{label}: {text}")
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     values = dict(pairs)
     if len(values) != len(pairs):
-        raise ValueError("an object names a key twice")
+        raise ValueError("an object contains a duplicate key")
     return values
 
 
-def _finite(text: str) -> float:
+def _parse_finite_number(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"{text[:20]} is not a finite number")
@@ -173,13 +179,13 @@
 
 
 def _check_depth(values: dict[str, Any]) -> None:
-    """A bound of its own, as the interpreter's depends on the depth of the caller."""
+    """Limits the nesting depth; the interpreter's own limit depends on the call depth of the caller."""
     level: list[Any] = [values]
     for _ in range(MAX_DEPTH):
         level = [inner for outer in level for inner in _containers(outer)]
         if not level:
             return
-    raise invalid(RejectionCode.TOO_DEEP, f"objects lie more than {MAX_DEPTH} deep in one another")
+    raise invalid_document(RejectionCode.TOO_DEEP, f"objects are nested more than {MAX_DEPTH} levels deep")
 
 
 def _containers(outer: dict[str, Any] | list[Any]) -> list[Any]:
--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -1,4 +1,4 @@
-"""The calls `Config.Put`, `Config.Patch` and `Config.Get`: HTTP values to orders, outcomes to answers."""
+"""Handlers of `Config.Put`, `Config.Patch` and `Config.Get`: calls to orders, outcomes to responses."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 
 class ConfigCalls:
-    """The configuration's calls, each answered by what the port says."""
+    """Handles calls on the configuration through the port."""
 
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
     async def put(self, call: Call) -> ApiResponse:
-        """Gives a complete configuration."""
+        """Replaces the configuration by a complete one."""
         return await self._order(OrderKind.PUT, call)
 
     async def patch(self, call: Call) -> ApiResponse:
-        """Changes the current configuration."""
+        """Applies a patch to the current configuration."""
         return await self._order(OrderKind.PATCH, call)
 
     async def get(self, call: Call) -> ApiResponse:
-        """The newest configuration, byte for byte."""
+        """Returns the newest configuration, byte for byte."""
         reply = await self._port.read()
         if not reply.owner:
             return unavailable_response()
         if not reply.body:
-            return error_response(NOT_FOUND, "there is no configuration yet")
+            return error_response(NOT_FOUND, "no configuration exists yet")
         return ApiResponse(OK, bytes(reply.body))
 
     async def _order(self, kind: OrderKind, call: Call) -> ApiResponse:
-        base = _base_version(call.base)
+        base = _base_version(call.base_version_header)
         if base is None:
-            return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
+            return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or not an integer")
         outcome = await self._port.submit_order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == OK:
             return json_response(OK, {"Ver": outcome.version})
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -1,8 +1,8 @@
-"""Reading and checking the operator's documents.
+"""Parsing, validation and patching of the operator's documents.
 
-Invariant: a `Document` that leaves this module is valid as a whole, and its `body` is either the very bytes
-that the operator sent or, after a patch, the merged document under the patch's version.  The result depends
-on the arguments alone, as replicas read the same document in different places.
+Invariant: every `Document` returned by this module is valid, and its `body` is either exactly the bytes that
+the operator sent or, after a patch, the encoded merged document with the patch's version.  All functions are
+deterministic because every replica parses the same documents for itself.
 """
 
 from __future__ import annotations
@@ -13,12 +13,18 @@
 import attrs
 
 from kestrelbend.tier.configuration import schemas
-from kestrelbend.tier.configuration.checks import check_document, check_names, decode, name_of, validate
+from kestrelbend.tier.configuration.checks import (
+    check_document,
+    check_unique_names,
+    decode_document,
+    item_name,
+    validate_schema,
+)
 from kestrelbend.tier.configuration.document_errors import (
     DocumentRejection,
     InvalidDocument,
     RejectionCode,
-    invalid,
+    invalid_document,
 )
 from kestrelbend.tier.configuration.field_checks import abbreviated
 from kestrelbend.tier.configuration.json_codec import encode_json
@@ -26,7 +32,7 @@
 
 @attrs.frozen(eq=False)
 class Document:
-    """One valid configuration; `values` is `body` decoded and must not be changed."""
+    """A valid configuration; `values` is the decoded `body` and must not be modified."""
 
     version: int
     body: bytes
@@ -34,120 +40,122 @@
 
     @property
     def routes(self) -> list[dict[str, Any]]:
-        """The routes, as the operator wrote them."""
+        """The items of the `Routes` section."""
         routes: list[dict[str, Any]] = self.values["Routes"]
         return routes
 
     @property
     def services(self) -> list[dict[str, Any]]:
-        """The services, as the operator wrote them."""
+        """The items of the `Services` section."""
         services: list[dict[str, Any]] = self.values["Services"]
         return services
 
     @property
     def limits(self) -> dict[str, Any]:
-        """The limits, as the operator wrote them; empty if there are none."""
+        """The fields of the `Limits` section; empty if the document has none."""
         return self.values.get("Limits") or {}
 
 
 @attrs.frozen(eq=False)
 class Patch:
-    """A patch that fits its schema; `apply_patch` tells whether the merged document is valid."""
+    """A patch that matches its schema; `apply_patch` checks whether the merged document is valid."""
 
     version: int
     values: dict[str, Any]
 
 
 def parse_put(body: bytes) -> Document | DocumentRejection:
-    """Reads a complete configuration and checks it."""
+    """Parses and validates a complete configuration."""
     try:
-        values = decode(body)
+        values = decode_document(body)
         check_document(values)
-    except InvalidDocument as fault:
-        return fault.rejection
+    except InvalidDocument as error:
+        return error.rejection
     return Document(version=values["Ver"], body=bytes(body), values=values)
 
 
 def parse_patch(body: bytes) -> Patch | DocumentRejection:
-    """Reads a patch and checks its own schema, whatever the document that it is meant for."""
+    """Parses a patch and validates its schema, independently of the document it applies to."""
     try:
-        values = decode(body)
-        validate(schemas.PATCH, values, "patch")
-        for kind, items in (values.get("Upsert") or {}).items():
+        values = decode_document(body)
+        validate_schema(schemas.PATCH, values, "patch")
+        for section, items in (values.get("Upsert") or {}).items():
             if isinstance(items, list):
-                check_names(kind, items)
-    except InvalidDocument as fault:
-        return fault.rejection
+                check_unique_names(section, items)
+    except InvalidDocument as error:
+        return error.rejection
     return Patch(version=values["Ver"], values=values)
 
 
 def apply_patch(current: Document, body: bytes | Patch) -> Document | DocumentRejection:
-    """Merges a patch into `current` and checks the result as a whole."""
+    """Merges a patch into `current` and validates the merged document."""
     patch = body if isinstance(body, Patch) else parse_patch(body)
     if isinstance(patch, DocumentRejection):
         return patch
     try:
         merged = _merge(current.values, patch.values)
         check_document(merged)
-    except InvalidDocument as fault:
-        return fault.rejection
+    except InvalidDocument as error:
+        return error.rejection
     encoded = encode_json(merged)
     return Document(version=patch.version, body=encoded, values=merged)
 
 
 def read_accepted(body: bytes) -> Document:
-    """Reads a document that the shard has accepted, without checking it again."""
+    """Parses a document that the shard has accepted, without validating it again."""
     values = json.loads(body)
     return Document(version=values["Ver"], body=bytes(body), values=values)
 
 
 def merge_accepted(current: Document, body: bytes) -> Document:
-    """The document that a patch leads to which the shard has accepted on `current`, without checking it."""
+    """Merges a patch that the shard has accepted on `current`, without validating the result again."""
     patch = json.loads(body)
     merged = _merge(current.values, patch)
     return Document(version=patch["Ver"], body=encode_json(merged), values=merged)
 
 
 def _merge(current: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """`current` with the patch's changes; items keep their places and new ones come last."""
+    """Returns `current` with the patch applied; items keep their order and new ones are appended."""
     merged = dict(current)
     merged["Ver"] = patch["Ver"]
-    for kind, names in (patch.get("Remove") or {}).items():
-        merged[kind] = _without_names(_items(merged, kind), set(names))
-    for kind, changes in (patch.get("Upsert") or {}).items():
+    for section, names in (patch.get("Remove") or {}).items():
+        merged[section] = _remove_items(_item_list(merged, section), set(names))
+    for section, changes in (patch.get("Upsert") or {}).items():
         if isinstance(changes, dict):
-            merged[kind] = _overlaid(merged, kind, changes)
+            merged[section] = _merge_fields(merged, section, changes)
         else:
-            merged[kind] = _with_changes(_items(merged, kind), changes)
+            merged[section] = _upsert_items(_item_list(merged, section), changes)
     if patch.get("Limits") is not None:
-        merged["Limits"] = _overlaid(merged, "Limits", patch["Limits"])
+        merged["Limits"] = _merge_fields(merged, "Limits", patch["Limits"])
     return merged
 
 
-def _items(values: dict[str, Any], kind: str) -> list[Any]:
-    """The list under a key; raises `InvalidDocument` where something else is there."""
-    items = values.get(kind)
+def _item_list(values: dict[str, Any], section: str) -> list[Any]:
+    """Returns the list of a section, empty if absent; raises `InvalidDocument` if it is not a list."""
+    items = values.get(section)
     if items is None:
         return []
     if not isinstance(items, list):
-        raise invalid(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(kind)} is no list of items")
+        raise invalid_document(
+            RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is not a list of items"
+        )
     return items
 
 
-def _overlaid(values: dict[str, Any], kind: str, changes: dict[str, Any]) -> dict[str, Any]:
-    """The object under a key with fields laid over it; raises `InvalidDocument` where there is none."""
-    present = values.get(kind) or {}
+def _merge_fields(values: dict[str, Any], section: str, changes: dict[str, Any]) -> dict[str, Any]:
+    """Returns a section's object with fields replaced; raises `InvalidDocument` if it is not an object."""
+    present = values.get(section) or {}
     if not isinstance(present, dict):
-        raise invalid(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(kind)} is no object")
+        raise invalid_document(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is not an object")
     return {**present, **changes}
 
 
-def _without_names(items: list[Any], names: set[str]) -> list[Any]:
-    return [item for item in items if name_of(item) not in names]
+def _remove_items(items: list[Any], names: set[str]) -> list[Any]:
+    return [item for item in items if item_name(item) not in names]
 
 
-def _with_changes(items: list[Any], changes: list[dict[str, Any]]) -> list[Any]:
-    """The items with those of the same name replaced; new ones come last."""
+def _upsert_items(items: list[Any], changes: list[dict[str, Any]]) -> list[Any]:
+    """Replaces items by changes with the same name; changes with new names are appended."""
     remaining = {item["Name"]: item for item in changes}
-    merged = [remaining.pop(name_of(item), item) for item in items]
+    merged = [remaining.pop(item_name(item), item) for item in items]
     return merged + list(remaining.values())
--- a/kestrelbend/tier/configuration/document_errors.py
+++ b/kestrelbend/tier/configuration/document_errors.py
@@ -1,4 +1,4 @@
-"""Why a document is not accepted."""
+"""Rejections of documents, and the exception that carries them."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class RejectionCode(enum.StrEnum):
-    """The kind of a rejection, for counting; the values stand in the API's answers and never change."""
+    """Category of a rejection; the values appear in responses of the API and must not change."""
 
-    UNREADABLE = "unreadable"  # cut short, no JSON, a key named twice, a number that JSON doesn't have
+    UNREADABLE = "unreadable"  # truncated, not JSON, a duplicate key, or a number that JSON does not have
     TOO_DEEP = "too_deep"
     WRONG_SCHEMA = "wrong_form"
     SAME_NAME = "same_name"
@@ -20,19 +20,19 @@
     UNKNOWN_SERVICE = "unknown_service"
     NO_WEIGHT = "no_weight"
     NO_SERVICE = "no_service"
-    UNKNOWN_KIND = "unknown_kind"  # of an order
+    UNKNOWN_KIND = "unknown_kind"  # of an order, not of a document
 
 
 @attrs.frozen
 class DocumentRejection:
-    """Why a document isn't accepted; `reason` is a sentence for the operator: what, where, which value."""
+    """Why a document is rejected; `reason` tells the operator the error, its location and the value."""
 
     code: RejectionCode
     reason: str
 
 
 class InvalidDocument(TierError):
-    """Carries a rejection from a check to the public functions of `document`; never leaves that module."""
+    """Carries a rejection from a check to its public caller in `document` or `checks`, which catches it."""
 
     code = "configuration.invalid_document"
 
@@ -41,6 +41,6 @@
         self.rejection = rejection
 
 
-def invalid(code: RejectionCode, reason: str) -> InvalidDocument:
-    """The exception of a new rejection."""
+def invalid_document(code: RejectionCode, reason: str) -> InvalidDocument:
+    """Returns the exception for a rejection with this code and reason."""
     return InvalidDocument(DocumentRejection(code, reason))
--- a/kestrelbend/tier/configuration/field_checks.py
+++ b/kestrelbend/tier/configuration/field_checks.py
@@ -1,8 +1,8 @@
-"""Checks of the fields of JSON objects that come from outside.
+"""Validation of the fields of untrusted JSON objects.
 
-`ObjectSchema`, `ListSchema` and `MapSchema` are parts of a `schema.Schema` (they have its `validate`
-method) that take a small part of the time of plain schemas on documents of hundreds of items, and whose
-errors never quote more than a few characters of the data.
+`ObjectSchema`, `ListSchema` and `MapSchema` can be used inside a `schema.Schema` because they have its
+`validate` method.  They take a small fraction of the time of plain schemas on documents with hundreds of
+items, and their errors quote only a few characters of the data.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import schema
 
 MAX_TEXT = 1024  # characters
-MAX_ABBREVIATED = 60  # characters of a wrong value in an error
+MAX_ABBREVIATED = 60  # characters of an invalid value in an error message
 MAX_NUMBER = 1e15
 MAX_PORT = 65535
 
@@ -24,7 +24,7 @@
 @attrs.frozen
 class _Field:
     name: str
-    check: Any  # a function that tells whether a value is allowed, or a part with `validate`
+    check: Any  # a predicate for the value, or a schema with a `validate` method
     is_nested: bool
 
     @classmethod
@@ -33,14 +33,14 @@
 
 
 class ObjectSchema:
-    """Checks an object's known fields; unknown ones pass, and an optional one may be null."""
+    """Validates the known fields of an object; unknown fields are allowed, optional ones may be null."""
 
     def __init__(self, required: dict[str, Any], optional: dict[str, Any]) -> None:
         self._required = tuple(_Field.of(name, check) for name, check in required.items())
         self._optional = tuple(_Field.of(name, check) for name, check in optional.items())
 
     def validate(self, data: Any, **_: Any) -> Any:
-        """Returns `data`, or raises `schema.SchemaError` that names the first wrong field."""
+        """Returns `data`, or raises `schema.SchemaError` that names the first invalid field."""
         if not isinstance(data, dict):
             raise schema.SchemaError("is not an object")
         for field in self._required:
@@ -55,8 +55,8 @@
                 _check_field(field.name, field.check, value)
         return data
 
-    def faults(self, data: Any) -> Iterator[str]:
-        """All that is wrong; the first is what `validate` raises."""
+    def validation_errors(self, data: Any) -> Iterator[str]:
+        """Yields all errors; `validate` raises the first one."""
         if not isinstance(data, dict):
             yield "is not an object"
             return
@@ -64,43 +64,43 @@
             if field.name not in data:
                 yield f"{field.name} is missing"
             else:
-                yield from _field_faults(field.name, field.check, data[field.name])
+                yield from _field_errors(field.name, field.check, data[field.name])
         for field in self._optional:
             if data.get(field.name) is not None:
-                yield from _field_faults(field.name, field.check, data[field.name])
+                yield from _field_errors(field.name, field.check, data[field.name])
 
 
 class ListSchema:
-    """Checks that the data is a list, and each of its items."""
+    """Validates a list and each of its items."""
 
     def __init__(self, item: Any) -> None:
         self._item = item
 
     def validate(self, data: Any, **_: Any) -> Any:
-        """Returns `data`, or raises `schema.SchemaError` that names the first wrong item."""
+        """Returns `data`, or raises `schema.SchemaError` that names the first invalid item."""
         if not isinstance(data, list):
             raise schema.SchemaError("is not a list")
         for index, item in enumerate(data):
             _check_field(str(index), self._item, item)
         return data
 
-    def faults(self, data: Any) -> Iterator[str]:
-        """All that is wrong; the first is what `validate` raises."""
+    def validation_errors(self, data: Any) -> Iterator[str]:
+        """Yields all errors; `validate` raises the first one."""
         if not isinstance(data, list):
             yield "is not a list"
             return
         for index, item in enumerate(data):
-            yield from _field_faults(str(index), self._item, item)
+            yield from _field_errors(str(index), self._item, item)
 
 
 class MapSchema:
-    """Checks that the data is an object, and each of its values."""
+    """Validates an object with arbitrary keys, and each of its values."""
 
     def __init__(self, value: Any) -> None:
         self._value = value
 
     def validate(self, data: Any, **_: Any) -> Any:
-        """Returns `data`, or raises `schema.SchemaError` that names the first wrong value."""
+        """Returns `data`, or raises `schema.SchemaError` that names the first invalid value."""
         if not isinstance(data, dict):
             raise schema.SchemaError("is not an object")
         for name, value in data.items():
@@ -119,16 +119,16 @@
         raise schema.SchemaError(f"{name}: {error.code}") from None
 
 
-def _field_faults(name: str, check: Any, value: Any) -> Iterator[str]:
-    if hasattr(check, "faults"):
-        for fault in check.faults(value):
-            yield f"{name}: {fault}"
+def _field_errors(name: str, check: Any, value: Any) -> Iterator[str]:
+    if hasattr(check, "validation_errors"):
+        for error in check.validation_errors(value):
+            yield f"{name}: {error}"
     elif not check(value):
         yield f"{name}: {abbreviated(value)} is not allowed"
 
 
 def abbreviated(value: Any) -> str:
-    """A few ASCII characters that tell a value; containers are named only."""
+    """Returns a short ASCII text of a value for error messages; objects and lists give only their type."""
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
     if is_integer(value) or not isinstance(value, int):
@@ -138,48 +138,48 @@
 
 
 def is_text(value: Any) -> bool:
-    """A short non-empty string of printable characters (so that it can be encoded everywhere)."""
+    """Whether the value is a non-empty string of at most `MAX_TEXT` printable (so encodable) characters."""
     return isinstance(value, str) and 0 < len(value) <= MAX_TEXT and value.isprintable()
 
 
 def is_number(value: Any) -> bool:
-    """A finite number of reasonable size, not a truth value."""
+    """Whether the value is a number (not a boolean) within `MAX_NUMBER`, so also finite."""
     kind = type(value)
     return (kind is int or kind is float) and -MAX_NUMBER <= value <= MAX_NUMBER
 
 
 def is_integer(value: Any) -> bool:
-    """A whole number of reasonable size, not a truth value."""
+    """Whether the value is an integer (not a boolean) within `MAX_NUMBER`."""
     return type(value) is int and -MAX_NUMBER <= value <= MAX_NUMBER
 
 
 def is_positive(value: Any) -> bool:
-    """A number above 0."""
+    """Whether the value is a number greater than 0."""
     return is_number(value) and value > 0
 
 
 def is_non_negative(value: Any) -> bool:
-    """A number, 0 or above."""
+    """Whether the value is a number greater than or equal to 0."""
     return is_number(value) and value >= 0
 
 
 def is_non_negative_integer(value: Any) -> bool:
-    """A whole number, 0 or above."""
+    """Whether the value is an integer greater than or equal to 0."""
     return is_integer(value) and value >= 0
 
 
 def is_positive_integer(value: Any) -> bool:
-    """A whole number above 0."""
+    """Whether the value is an integer greater than 0."""
     return is_integer(value) and value > 0
 
 
 def is_boolean(value: Any) -> bool:
-    """True or false."""
+    """Whether the value is a boolean."""
     return isinstance(value, bool)
 
 
 def is_ip(value: Any) -> bool:
-    """An IPv4 address."""
+    """Whether the value is an IPv4 address."""
     try:
         ipaddress.IPv4Address(value if isinstance(value, str) else "")
     except ValueError:
@@ -188,7 +188,7 @@
 
 
 def is_address(value: Any) -> bool:
-    """An IPv4 address and a port, "ip:port"."""
+    """Whether the value is an IPv4 address with a port, "ip:port"."""
     return isinstance(value, str) and _is_address_text(value)
 
 
--- a/kestrelbend/tier/configuration/http_answers.py
+++ b/kestrelbend/tier/configuration/http_answers.py
@@ -1,4 +1,4 @@
-"""The answers of the operator's API: a status and a JSON body."""
+"""Responses of the operator's API: a status and a JSON body."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class ApiResponse:
-    """A status and a JSON body; `allow` is the method to be used where another one was."""
+    """A status and a JSON body; `allow` is the value of the Allow header of a 405 response."""
 
     status: int
     body: bytes
@@ -20,22 +20,22 @@
 
 
 def json_response(status: int, values: dict[str, Any]) -> ApiResponse:
-    """An answer whose body is an object."""
+    """Returns a response with an object as its body."""
     return ApiResponse(status, encode_json(values))
 
 
 def error_response(status: int, reason: str) -> ApiResponse:
-    """An answer that says why a call is not carried out."""
+    """Returns a response that tells why a call failed."""
     return json_response(status, {"Error": reason})
 
 
 def unavailable_response() -> ApiResponse:
-    """The answer that promises nothing: the caller may ask again, any node."""
-    return error_response(UNAVAILABLE, "can't be answered here now")
+    """Returns a 503, which says nothing about the call's effect: the caller may retry on any node."""
+    return error_response(UNAVAILABLE, "this node cannot process the call now; retry on any node")
 
 
 def status_response(status: int) -> ApiResponse:
-    """An answer whose status says it all."""
+    """Returns a response that is described by its status alone."""
     if status == UNAVAILABLE:
         return unavailable_response()
-    return json_response(status, {} if status < 300 else {"Error": "refused"})
+    return json_response(status, {} if status < 300 else {"Error": "call rejected"})
--- a/kestrelbend/tier/configuration/json_codec.py
+++ b/kestrelbend/tier/configuration/json_codec.py
@@ -1,4 +1,4 @@
-"""JSON as it is stored and answered here: without spaces, keys in the order that they are given."""
+"""Compact JSON for stored records and responses: without whitespace, keys in insertion order."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def encode_json(values: dict[str, Any]) -> bytes:
-    """The object's bytes; equal objects with keys in the same order give equal bytes."""
+    """Encodes an object; equal objects with keys in the same order give equal bytes."""
     return json.dumps(values, separators=(",", ":")).encode()
 
 
 def decode_object(body: bytes) -> dict[str, Any] | None:
-    """The object that a body holds, or None where it holds none, whatever its bytes."""
+    """Decodes a body to an object; returns None for any bytes that are not a JSON object."""
     try:
         values = json.loads(body)
     except (ValueError, RecursionError):
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -1,7 +1,8 @@
-"""The HTTP interface for the operator and for backends' heartbeats, as an ASGI application.
+"""The HTTP API for the operator and for backends' heartbeats, as an ASGI application.
 
-Invariant: a call is answered 2xx only if the port said so, and 4xx only as `rejections` allows; what can't be
-said now is a 503, which promises nothing.  Every body is read to its end, or to a bound, before the answer.
+Invariant: a response is 2xx only if the port reported success, and 4xx only if `rejections` allows it; if the
+result is not known now, it is a 503, which says nothing about the call's effect.  Every request body is read
+to its end, or up to a limit, before the response is sent.
 """
 
 from __future__ import annotations
@@ -36,12 +37,12 @@
 
 MAX_ORDER_BYTES = 8 * 1024 * 1024
 MAX_REPORT_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of a body that is too large; beyond, the rest is not read
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # read and discarded of a body that is too large; the rest is not read
 MAX_NAME = 256  # characters
 BODY_TIMEOUT_S = 20.0
 RETRY_AFTER_S = "0.2"
-BASE_VERSION = b"x-kestrelbend-base-version"
-CALL = re.compile(r"/api/(?P<call>[A-Za-z]+(?:\.[A-Za-z]+)?)(?:/(?P<name>[^/]+))?")
+BASE_VERSION_HEADER = b"x-kestrelbend-base-version"
+CALL_PATH = re.compile(r"/api/(?P<call>[A-Za-z]+(?:\.[A-Za-z]+)?)(?:/(?P<name>[^/]+))?")
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -49,14 +50,14 @@
 
 @attrs.frozen
 class _Match:
-    """What a path and a method name: a handler, and the name in the path (empty where there is none)."""
+    """The handler for a path and method, and the name in the path (empty if the call has none)."""
 
     handler: Handler
     name: str
 
 
 class _Disconnected(Exception):
-    """The caller went away before its body had come; there is nobody to answer."""
+    """The caller disconnected before its body was complete, so no response is sent."""
 
 
 class OperatorApi:
@@ -77,23 +78,23 @@
             Handler("Retire.Get", "GET", True, 0, retirement.get),
             Handler("Status", "GET", False, 0, self._status),
         )
-        self._handlers = {handler.call: handler for handler in handlers}
+        self._handlers = {handler.call_name: handler for handler in handlers}
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """The entry point of ASGI."""
+        """The ASGI entry point."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
         elif scope["type"] == "http":
             await self._serve_http(scope, receive, send)
 
     async def _serve_http(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        found = self._find(scope)
+        found = self._find_handler(scope)
         max_bytes = 0 if isinstance(found, ApiResponse) else found.handler.max_bytes
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, error_response(BODY_TIMEOUT, "the body did not come in time"))
+            await _send(send, error_response(BODY_TIMEOUT, "the request body was not received in time"))
             return
         except _Disconnected:
             return
@@ -102,41 +103,43 @@
             return
         await _send(send, await self._respond(found, scope, body))
 
-    def _find(self, scope: dict[str, Any]) -> _Match | ApiResponse:
-        """The handler of a call, or the answer to a call that there is not."""
-        match = CALL.fullmatch(scope["path"])
+    def _find_handler(self, scope: dict[str, Any]) -> _Match | ApiResponse:
+        """Returns the handler of a call, or the response to an unknown call or method."""
+        match = CALL_PATH.fullmatch(scope["path"])
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
         if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
-            return error_response(NOT_FOUND, "no such call")
+            return error_response(NOT_FOUND, "unknown call")
         if scope["method"] != handler.method:
             return attrs.evolve(
-                error_response(METHOD_NOT_ALLOWED, f"the call takes {handler.method}"), allow=handler.method
+                error_response(METHOD_NOT_ALLOWED, f"the call requires method {handler.method}"),
+                allow=handler.method,
             )
         return _Match(handler, name)
 
     async def _respond(self, found: _Match, scope: dict[str, Any], body: bytes | None) -> ApiResponse:
         if body is None:
-            return error_response(BODY_TOO_LARGE, "the body is too large")
-        base = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION]
-        call = Call(found.name, base[0] if len(base) == 1 else None, body)
-        return _allowed(found.handler.call, await found.handler.run(call))
+            return error_response(BODY_TOO_LARGE, "the request body is too large")
+        base_versions = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION_HEADER]
+        call = Call(found.name, base_versions[0] if len(base_versions) == 1 else None, body)
+        return _allowed(found.handler.call_name, await found.handler.run(call))
 
     async def _status(self, call: Call) -> ApiResponse:
         return json_response(OK, self._port.status())
 
 
 def _allowed(call: str, answer: ApiResponse) -> ApiResponse:
-    """The answer, or a 503 in place of a rejection that the call may not get."""
+    """Returns the response, or a 503 in place of a rejection that `rejections` does not allow for it."""
     if is_rejection(answer.status) and not may_reject(call, answer.status):
         return unavailable_response()
     return answer
 
 
 async def _read_body(receive: Receive, max_bytes: int) -> bytes | None:
-    """The complete body, or None if it was longer than `max_bytes`.
+    """Returns the complete body, or None if it is longer than `max_bytes`.
 
-    What is too long is read and dropped, so that the caller, which may still be writing, gets its answer.
+    The rest of a body that is too long is read and discarded, so that a caller that is still sending gets the
+    response.
     """
     chunks: list[bytes] = []
     size = 0
--- a/kestrelbend/tier/configuration/operator_call.py
+++ b/kestrelbend/tier/configuration/operator_call.py
@@ -1,4 +1,4 @@
-"""One call of the operator's API, as its handler needs it."""
+"""A call of the operator's API and the description of its handler."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @attrs.frozen(eq=False)
 class Call:
-    """One call: the name in its path, its base version's header as it came, and its complete body."""
+    """A call: the name in its path, the raw base version header, and the complete body."""
 
-    name: str  # of a backend or a node; empty where the call takes none
-    base: bytes | None
+    name: str  # of a backend or a node; empty if the call takes no name
+    base_version_header: bytes | None
     body: bytes
 
 
 @attrs.frozen
 class Handler:
-    """How one call is made, and what answers it; `max_bytes` is for the body, 0: it is read and ignored."""
+    """The form of a call and its handler; `max_bytes` limits the body, 0: the body is read and ignored."""
 
-    call: str
+    call_name: str
     method: str
     takes_name: bool
     max_bytes: int
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -1,8 +1,7 @@
-"""The placement of a shard, that is the replicas which hold it, as an order of kind `PLACEMENT`.
+"""Orders of kind `PLACEMENT`: they set the placement of a shard, which is the set of replicas that hold it.
 
-Invariant: a shard's placements follow one another by their numbers, so that an old order, delayed under way,
-never takes the place of a newer one.  In the body the number 0 is left out: it stands for the placements
-written before they had numbers.
+Invariant: the numbers of a shard's placements are consecutive, so that a delayed old order never replaces a
+newer placement.  The body omits the number 0, which stands for placements written before numbers existed.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 
 from kestrelbend.tier.configuration.field_checks import is_text
 from kestrelbend.tier.configuration.json_codec import decode_object, encode_json
-from kestrelbend.tier.configuration.messages import ConfigOutcome, accepted_before
+from kestrelbend.tier.configuration.messages import ConfigOutcome, already_accepted_outcome
 from kestrelbend.tier.configuration.statuses import INVALID, PRECONDITION_FAILED
 from kestrelbend.tier.configuration.stores import StoreRecords
 from kestrelbend.tier.membership.messages import ShardPlacement
 
 MAX_REPLICAS = 64
 
-# Keys of the body: they stand in journals and snapshots on disk, apart from the names of fields.
+# Keys of the body.  They are stored in journals and snapshots, so they are independent of field names.
 _SHARD = "shard"
 _FOUNDERS = "founders"
 _VOTERS = "voters"
@@ -26,7 +25,7 @@
 
 
 def encode_placement(placement: ShardPlacement) -> bytes:
-    """The body of an order that places a shard; equal placements give equal bytes."""
+    """Encodes a placement as the body of an order; equal placements give equal bytes."""
     values: dict[str, Any] = {
         _SHARD: placement.shard,
         _FOUNDERS: list(placement.founders),
@@ -38,7 +37,7 @@
 
 
 def decode_placement(body: bytes) -> ShardPlacement | None:
-    """The placement that a body holds, or None if it holds none."""
+    """Decodes the body of an order to a placement; returns None if it is invalid."""
     values = decode_object(body)
     if values is None:
         return None
@@ -56,11 +55,11 @@
 def check_placement(
     placement: ShardPlacement | None, known: ShardPlacement | None, stores: StoreRecords, version: int
 ) -> ConfigOutcome | None:
-    """The answer to an order that changes nothing, or None: then `placement` takes the place of `known`."""
+    """Returns the outcome of an order that changes nothing; None if `placement` must replace `known`."""
     if placement is None:
         return ConfigOutcome(INVALID, version, "not a placement")
     if known == placement:
-        return accepted_before(version)
+        return already_accepted_outcome(version)
     if known is not None and known.founders != placement.founders:
         return ConfigOutcome(PRECONDITION_FAILED, version, f"shard {placement.shard} has other founders")
     if not is_successor(placement, known):
@@ -74,16 +73,16 @@
 
 
 def is_successor(placement: ShardPlacement, known: ShardPlacement | None) -> bool:
-    """Whether a placement may take the place of the one known: its number is the next one.
+    """Whether a placement has the next number after the known one, so that it may replace it.
 
-    Those without numbers are of journals that were begun before there were any.
+    Placements without numbers come from journals that were started before numbers existed.
     """
     known_number = known.number if known is not None else 0
     return placement.number == known_number + 1 or placement.number == known_number == 0
 
 
 def _are_replicas(value: Any) -> bool:
-    """A list of one or more replicas, none of them twice."""
+    """Whether the value is a non-empty list of at most `MAX_REPLICAS` distinct replicas."""
     if not isinstance(value, list) or not 0 < len(value) <= MAX_REPLICAS:
         return False
     return all(is_text(replica) for replica in value) and len(set(value)) == len(value)
--- a/kestrelbend/tier/configuration/ports.py
+++ b/kestrelbend/tier/configuration/ports.py
@@ -1,4 +1,4 @@
-"""What the operator's API asks of the process that it runs in, and the outcomes that it may get."""
+"""The interface between the operator's API and the control node, and the outcomes of its methods."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ReportOutcome(enum.Enum):
-    """What became of a backend's report of itself."""
+    """The result of a backend's heartbeat or leave report."""
 
-    ACCEPTED = "taken"  # a departure: a majority holds it; a plain heartbeat: this node alone, for certain
-    MALFORMED = "malformed"  # rejected for good, wherever it is sent
-    UNAVAILABLE = "unavailable"  # this node can't vouch for it: ask another
+    ACCEPTED = "taken"  # a departure is stored on a majority; any other heartbeat is stored on this node
+    MALFORMED = "malformed"  # every node rejects it
+    UNAVAILABLE = "unavailable"  # this node cannot confirm it: retry on another
 
 
 class RetireOutcome(enum.Enum):
-    """What became of an order to empty a storage node."""
+    """The result of an order to retire a storage node."""
 
     ACCEPTED = "taken"
     UNKNOWN_NODE = "unknown node"
@@ -26,7 +26,7 @@
 
 
 class RetireState(enum.Enum):
-    """How far the emptying of a storage node has come."""
+    """The progress of the retirement of a storage node."""
 
     NOT_ORDERED = "not ordered"
     RUNNING = "running"
@@ -38,29 +38,29 @@
     """The control node behind the API."""
 
     async def submit_order(self, order: ConfigOrder) -> ConfigOutcome:
-        """Carries an order on the configuration out, here or at the shard's owner."""
+        """Executes an order on the configuration, here or at the shard's owner."""
 
     async def read(self) -> ReadReply:
-        """The newest configuration, as its shard's owner has it."""
+        """Returns the newest configuration, read at the shard's owner."""
 
     async def backend_heartbeat(self, identity: str, report: dict[str, Any]) -> ReportOutcome:
-        """Takes a backend's heartbeat.
+        """Processes a backend's heartbeat.
 
-        `ACCEPTED` for one that is ready without waiting for a majority; for one that drains once a majority
-        of the configuration's voters holds that.
+        A heartbeat of a ready backend is `ACCEPTED` without waiting for a majority; one of a draining backend
+        once a majority of the configuration shard's voters has stored it.
         """
 
     async def leave(self, identity: str) -> ReportOutcome:
-        """Takes a backend's report that it is gone; `ACCEPTED` once that is known wherever it must be."""
+        """Processes a backend's report that it has left; `ACCEPTED` once all nodes that need it know it."""
 
     async def retire_start(self, node: str, deadline_s: float) -> RetireOutcome:
-        """Begins to empty a storage node, which should be done `deadline_s` seconds from now."""
+        """Starts the retirement of a storage node, which should be complete in `deadline_s` seconds."""
 
     async def retire_state(self, node: str) -> RetireState:
-        """How far the emptying of a storage node has come."""
+        """Returns the progress of the retirement of a storage node."""
 
     def status(self) -> dict[str, Any]:
-        """What is known here of the tier, see `membership.status`."""
+        """Returns this node's view of the tier, see `membership.status`."""
 
     def heartbeat_url(self) -> str | None:
-        """An address for a backend's later heartbeats, or None to leave the choice to the backend."""
+        """Returns the URL for a backend's later heartbeats, or None to leave the choice to the backend."""
--- a/kestrelbend/tier/configuration/rejections.py
+++ b/kestrelbend/tier/configuration/rejections.py
@@ -1,8 +1,8 @@
-"""Every rejection (4xx) that the operator's API may give, and what must be proven before it is given.
+"""All rejections (4xx) that the operator's API may return, and the proof that each one requires.
 
-Invariant: a rejection that this table doesn't hold is never given; in its place goes a 503, which promises
-nothing and sends the caller on.  Callers end at once on a rejection, so one that rests on old or uncommitted
-state would deny a proper order for good.
+Invariant: a rejection that is not in this table is never returned; it is replaced by a 503, which says
+nothing about the call's effect and makes the caller retry elsewhere.  Callers do not retry after a rejection,
+so a rejection based on old or uncommitted state would deny a valid order permanently.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 class Proof(enum.Enum):
-    """What a rejection rests on, and with that who may give it."""
+    """The information that a rejection is based on, which determines the nodes that may return it."""
 
-    CALL = "the call's own bytes: any node may give it, in contact or not"
-    OWNER = "the state applied by an owner that a majority has confirmed after the call came"
-    ENTRY = "the committed entry of the order itself, as every replica applies it"
+    CALL = "the call's own bytes: any node may return it, with or without contact to the owner"
+    OWNER = "the state of an owner that a majority confirmed after the call was received"
+    ENTRY = "the committed log entry of the order, as every replica applies it"
 
 
 @attrs.frozen
 class Rejection:
-    """One status that one call may be rejected with; `ANY_CALL`: before its content is read."""
+    """A status that a call may be rejected with; `ANY_CALL`: applies before the content is evaluated."""
 
     call: str
     status: int
@@ -43,44 +43,47 @@
 _CALL = (Proof.CALL,)
 _OWNER = (Proof.OWNER,)
 _OWNER_OR_ENTRY = (Proof.OWNER, Proof.ENTRY)
-_ORDERS = ("Config.Put", "Config.Patch")
+_ORDER_CALLS = ("Config.Put", "Config.Patch")
 ANY_CALL = "*"
 
 REJECTIONS = (
-    Rejection(ANY_CALL, NOT_FOUND, _CALL, "no such call"),
-    Rejection(ANY_CALL, METHOD_NOT_ALLOWED, _CALL, "the call takes another method"),
-    Rejection(ANY_CALL, BODY_TIMEOUT, _CALL, "the body did not come in time, so nothing of it was read"),
-    Rejection(ANY_CALL, BODY_TOO_LARGE, _CALL, "the body is longer than any proper one"),
-    *(Rejection(call, INVALID, _CALL, "the base version is missing or no whole number") for call in _ORDERS),
+    Rejection(ANY_CALL, NOT_FOUND, _CALL, "unknown call"),
+    Rejection(ANY_CALL, METHOD_NOT_ALLOWED, _CALL, "the call requires another method"),
+    Rejection(ANY_CALL, BODY_TIMEOUT, _CALL, "the body was not received in time, so it was not evaluated"),
+    Rejection(ANY_CALL, BODY_TOO_LARGE, _CALL, "the body is longer than any valid one"),
     *(
-        Rejection(call, INVALID, _OWNER_OR_ENTRY, "no version's successor, as it is invalid")
-        for call in _ORDERS
+        Rejection(call, INVALID, _CALL, "the base version is missing or not an integer")
+        for call in _ORDER_CALLS
     ),
+    *(Rejection(call, INVALID, _OWNER_OR_ENTRY, "invalid on every version") for call in _ORDER_CALLS),
     *(
         Rejection(
-            call, PRECONDITION_FAILED, _OWNER_OR_ENTRY, "its base is passed, and the order was not accepted"
+            call,
+            PRECONDITION_FAILED,
+            _OWNER_OR_ENTRY,
+            "its base version is no longer current, and the order was not accepted",
         )
-        for call in _ORDERS
+        for call in _ORDER_CALLS
     ),
     Rejection("Config.Get", NOT_FOUND, _OWNER, "no configuration is committed yet"),
-    Rejection("Instances.Heartbeat", INVALID, _CALL, "the report is malformed, wherever it is sent"),
-    Rejection("Instances.Leave", INVALID, _CALL, "the id can be no backend's"),
-    Rejection("Retire.Start", INVALID, _CALL, "DeadlineS is no positive number of seconds"),
-    Rejection("Retire.Start", NOT_FOUND, _OWNER, "no store of this name is known"),
+    Rejection("Instances.Heartbeat", INVALID, _CALL, "the report is malformed for every node"),
+    Rejection("Instances.Leave", INVALID, _CALL, "the id is not a valid backend id"),
+    Rejection("Retire.Start", INVALID, _CALL, "DeadlineS is not a positive number"),
+    Rejection("Retire.Start", NOT_FOUND, _OWNER, "no store with this name is known"),
     Rejection(
-        "Retire.Start", CONFLICT, _OWNER_OR_ENTRY, "too few would be left, or too many are being emptied"
+        "Retire.Start", CONFLICT, _OWNER_OR_ENTRY, "too few nodes would remain, or too many are retiring"
     ),
-    Rejection("Retire.Get", NOT_FOUND, _OWNER, "nobody asked for the node to be emptied"),
+    Rejection("Retire.Get", NOT_FOUND, _OWNER, "no retirement of the node was requested"),
 )
 
 _ALLOWED = frozenset((rejection.call, rejection.status) for rejection in REJECTIONS)
 
 
 def is_rejection(status: int) -> bool:
-    """Whether a status ends a call for good."""
+    """Whether a status is a rejection, after which callers do not retry."""
     return 400 <= status < 500
 
 
 def may_reject(call: str, status: int) -> bool:
-    """Whether the table lets a call that was read to its end be rejected with a status."""
+    """Whether the table allows a status for a call that was read completely."""
     return (call, status) in _ALLOWED
--- a/kestrelbend/tier/configuration/retirement_calls.py
+++ b/kestrelbend/tier/configuration/retirement_calls.py
@@ -1,4 +1,4 @@
-"""The calls `Retire.Start` and `Retire.Get`, by which an operator has a storage node emptied."""
+"""Handlers of `Retire.Start` and `Retire.Get`, by which an operator moves all shards off a storage node."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 class RetirementCalls:
-    """The calls on storage nodes, each answered by what the port says; a call names the node."""
+    """Handles calls on storage nodes through the port; the name in the path is the node's."""
 
     def __init__(self, port: ControlPort) -> None:
         self._port = port
 
     async def start(self, call: Call) -> ApiResponse:
-        """Begins to empty a node; `DeadlineS` is in seconds."""
+        """Starts the retirement of a node; `DeadlineS` is in seconds."""
         order = decode_object(call.body)
         deadline_s: Any = order.get("DeadlineS") if order is not None else None
         if not is_positive(deadline_s):
-            return error_response(INVALID, "DeadlineS is no positive number of seconds")
+            return error_response(INVALID, "DeadlineS is not a positive number")
         return status_response(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline_s))])
 
     async def get(self, call: Call) -> ApiResponse:
-        """How far the emptying of a node has come."""
+        """Returns the progress of the retirement of a node."""
         state = await self._port.retire_state(call.name)
         if state is RetireState.UNAVAILABLE:
             return unavailable_response()
         if state is RetireState.NOT_ORDERED:
-            return error_response(NOT_FOUND, "nobody asked for the node to be emptied")
+            return error_response(NOT_FOUND, "no retirement of the node was requested")
         return json_response(OK, {"State": state.value})
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from kestrelbend.tier.configuration.checks import host_key
+from kestrelbend.tier.configuration.checks import normalize_host
 
 DEFAULT_MAX_HEADER_BYTES = 16384
 DEFAULT_MAX_BODY_BYTES = 4194304
@@ -20,11 +20,11 @@
 DEFAULT_IDLE_TIMEOUT_MS = 15000
 DEFAULT_HEALTH_PATH = "/healthz"
 DEFAULT_MAX_CONNECTIONS = 100
-WEIGHT_SCALE = 1000  # parts of 1 that weights with fractions are counted in
+WEIGHT_SCALE = 1000  # factor by which fractional weights are converted to integers
 
 
 class Target(NamedTuple):
-    """A service that gets a part of a route's requests, by its weight among the route's targets."""
+    """A service that receives requests of a route in proportion to its weight among the route's targets."""
 
     service: str
     weight: int  # above 0
@@ -32,40 +32,40 @@
 
 @attrs.frozen
 class Route:
-    """One route as requests need it; what an operator may leave out has its default here."""
+    """A route with defaults in place of optional fields that the operator omitted."""
 
     name: str
     hostname: str
     path_prefix: str
     kind: str  # `RouteType`
-    timeout_ms: float  # for a request, all its attempts together
-    slo_ms: float  # latency target of a request
-    priority: int  # among requests that wait, the lower goes first
-    retries: int  # backends that a request may be sent to, 1 at least
+    timeout_ms: float  # per request, over all attempts
+    slo_ms: float  # latency target per request
+    priority: int  # of queued requests; lower values are served first
+    retries: int  # number of backends that a request may be sent to, at least 1
     stored: bool
-    retain_s: int  # for which a program of the route may stay away and come back
-    sticky: bool  # sessions keep to a backend
-    resumable: bool  # a broken stream may be resumed within its answer
-    inter_token_target_ms: float  # latency target between two tokens (key `gap_aim_ms`)
+    retain_s: int  # how long a program of the route may be absent and still return
+    sticky: bool  # a session stays on one backend
+    resumable: bool  # a broken stream may be resumed within the same response
+    inter_token_target_ms: float  # latency target between two tokens (document key `gap_aim_ms`)
     targets: tuple[Target, ...]
 
 
 @attrs.frozen
 class Service:
-    """One service; `slots`, `kv_tokens` and `stride` are 0 where it isn't a model's."""
+    """A service; `slots`, `kv_tokens` and `stride` are 0 if it does not serve models."""
 
     name: str
     health_path: str
-    max_conns: int  # to one of its backends, by all gateways together
-    slots: int  # concurrent turns of a backend that names no number
+    max_conns: int  # per backend, for all gateways together
+    slots: int  # concurrent turns of a backend that does not report its own number
     kv_tokens: int  # capacity of a backend's KV cache
-    stride: int  # tokens in one event of a stream
+    stride: int  # tokens per stream event
     is_model: bool
 
 
 @attrs.frozen
 class Limits:
-    """What a client may send and how long it may take or stay idle."""
+    """Limits on the size of requests, the time to receive a header, and the time a client may be idle."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -74,7 +74,7 @@
 
 
 class _HostRoutes:
-    """The routes of one host by prefix, with the numbers of slashes that its prefixes have, rising."""
+    """The routes of one host by prefix, and the distinct numbers of slashes in the prefixes, ascending."""
 
     __slots__ = ("by_prefix", "depths")
 
@@ -83,11 +83,14 @@
         self.depths: tuple[int, ...] = ()
 
     def index_depths(self) -> None:
-        """Sorts the depths; called once all routes are in."""
+        """Computes `depths`; called after all routes were added."""
         self.depths = tuple(sorted({prefix.count("/") for prefix in self.by_prefix}))
 
     def find(self, path: str) -> Route | None:
-        """Every prefix ends in a slash, so the n-th slash of a path bounds its only candidate of depth n."""
+        """Returns the route with the longest matching prefix.
+
+        Every prefix ends with a slash, so the only candidate with n slashes ends at the path's n-th slash.
+        """
         found = None
         end = -1
         depth = 0
@@ -102,7 +105,7 @@
 
 
 class RoutingTable:
-    """The routes, services and limits of one version; never changes."""
+    """The routes, services and limits of one version; immutable."""
 
     def __init__(
         self, version: int, routes: tuple[Route, ...], services: dict[str, Service], limits: Limits
@@ -113,19 +116,19 @@
         self.limits = limits
         self._hosts: dict[str, _HostRoutes] = {}
         for route in routes:
-            host = self._hosts.setdefault(host_key(route.hostname), _HostRoutes())
+            host = self._hosts.setdefault(normalize_host(route.hostname), _HostRoutes())
             host.by_prefix[route.path_prefix] = route
         for host in self._hosts.values():
             host.index_depths()
 
     @classmethod
     def empty(cls) -> RoutingTable:
-        """What is in force before the first configuration."""
+        """Returns the table used before the first configuration."""
         return cls(0, (), {}, Limits())
 
     @classmethod
     def from_document(cls, version: int, document: Mapping[str, Any]) -> RoutingTable:
-        """The table of a valid document, given as its decoded JSON (`Document.values`)."""
+        """Builds the table of a valid document from its decoded JSON (`Document.values`)."""
         return cls(
             version=version,
             routes=tuple(_route(item) for item in document["Routes"]),
@@ -134,10 +137,10 @@
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route for a request's `Host` header and its path (without the query), if there is one."""
+        """Returns the route for a `Host` header and a path without query, or None."""
         routes = self._hosts.get(host)
         if routes is None:
-            routes = self._hosts.get(host_key(host.strip()))
+            routes = self._hosts.get(normalize_host(host.strip()))
             if routes is None:
                 return None
         return routes.find(path)
@@ -150,20 +153,20 @@
         path_prefix=item["PathPrefix"],
         kind=item["RouteType"],
         timeout_ms=item["TimeoutMs"],
-        slo_ms=_value(item, "SloMs", item["TimeoutMs"]),
-        priority=_value(item, "Prio", 0),
-        retries=max(1, _value(item, "Retries", 1)),
-        stored=_value(item, "Stored", False),
-        retain_s=math.ceil(_value(item, "RetainS", 0)),
-        sticky=_value(item, "Sticky", False),
-        resumable=_value(item, "Resumable", False),
-        inter_token_target_ms=_value(item, "gap_aim_ms", 0),
+        slo_ms=_value_or_default(item, "SloMs", item["TimeoutMs"]),
+        priority=_value_or_default(item, "Prio", 0),
+        retries=max(1, _value_or_default(item, "Retries", 1)),
+        stored=_value_or_default(item, "Stored", False),
+        retain_s=math.ceil(_value_or_default(item, "RetainS", 0)),
+        sticky=_value_or_default(item, "Sticky", False),
+        resumable=_value_or_default(item, "Resumable", False),
+        inter_token_target_ms=_value_or_default(item, "gap_aim_ms", 0),
         targets=_targets(item),
     )
 
 
 def _targets(item: dict[str, Any]) -> tuple[Target, ...]:
-    """Services by weight; a service that is named twice has the sum, and one of weight 0 is left out."""
+    """Returns services with weights; weights of a repeated service are added, weight 0 is omitted."""
     split = item.get("Split")
     if split is None:
         return (Target(item["Upstream"], 1),)
@@ -179,25 +182,25 @@
     engine = item.get("Engine") or {}
     return Service(
         name=item["Name"],
-        health_path=_value(item, "HealthPath", DEFAULT_HEALTH_PATH),
-        max_conns=_value(item, "MaxConns", DEFAULT_MAX_CONNECTIONS),
-        slots=_value(engine, "Slots", 0),
-        kv_tokens=_value(engine, "KvTokens", 0),
-        stride=_value(engine, "Stride", 0),
+        health_path=_value_or_default(item, "HealthPath", DEFAULT_HEALTH_PATH),
+        max_conns=_value_or_default(item, "MaxConns", DEFAULT_MAX_CONNECTIONS),
+        slots=_value_or_default(engine, "Slots", 0),
+        kv_tokens=_value_or_default(engine, "KvTokens", 0),
+        stride=_value_or_default(engine, "Stride", 0),
         is_model=item.get("Engine") is not None,
     )
 
 
 def _limits(item: dict[str, Any]) -> Limits:
     return Limits(
-        max_header_bytes=_value(item, "MaxHeaderBytes", DEFAULT_MAX_HEADER_BYTES),
-        max_body_bytes=_value(item, "MaxBodyBytes", DEFAULT_MAX_BODY_BYTES),
-        header_timeout_ms=_value(item, "HeaderTimeoutMs", DEFAULT_HEADER_TIMEOUT_MS),
-        idle_timeout_ms=_value(item, "IdleTimeoutMs", DEFAULT_IDLE_TIMEOUT_MS),
+        max_header_bytes=_value_or_default(item, "MaxHeaderBytes", DEFAULT_MAX_HEADER_BYTES),
+        max_body_bytes=_value_or_default(item, "MaxBodyBytes", DEFAULT_MAX_BODY_BYTES),
+        header_timeout_ms=_value_or_default(item, "HeaderTimeoutMs", DEFAULT_HEADER_TIMEOUT_MS),
+        idle_timeout_ms=_value_or_default(item, "IdleTimeoutMs", DEFAULT_IDLE_TIMEOUT_MS),
     )
 
 
-def _value(item: dict[str, Any], name: str, default: Any) -> Any:
-    """A field's value; null counts as left out."""
+def _value_or_default(item: dict[str, Any], name: str, default: Any) -> Any:
+    """Returns a field's value; null is treated as absent."""
     value = item.get(name)
     return default if value is None else value
--- a/kestrelbend/tier/configuration/schemas.py
+++ b/kestrelbend/tier/configuration/schemas.py
@@ -1,6 +1,6 @@
-"""The schemas of the operator's documents: which fields there are and what each may hold.
+"""Schemas of the operator's documents and patches.
 
-Fields that are not named here are kept and not checked.  The keys are those of the operators' pages.
+Fields that are not listed here are kept without validation.  The keys are defined by the operator's guide.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 def is_version(value: Any) -> bool:
-    """The version of a document: a whole number above 0."""
+    """Whether the value is a document version: an integer greater than 0 and less than `MAX_VERSION`."""
     return type(value) is int and 0 < value < MAX_VERSION
 
 
 def is_prefix(value: Any) -> bool:
-    """A prefix of paths: begins and ends with a slash."""
+    """Whether the value is a path prefix that begins and ends with a slash."""
     return is_text(value) and value[0] == "/" and value[-1] == "/"
 
 
 def is_path(value: Any) -> bool:
-    """A path: begins with a slash."""
+    """Whether the value is a path that begins with a slash."""
     return is_text(value) and value[0] == "/"
 
 
@@ -92,8 +92,8 @@
 _NAMED_ITEMS = ListSchema(ObjectSchema(required={"Name": is_text}, optional={}))
 
 
-class _Changes:
-    """What a patch may bring under one key: named items of a list, or the fields of an object."""
+class _SectionChanges:
+    """The changes of a patch to one section: named items of a list, or fields of an object."""
 
     def validate(self, data: Any, **_: Any) -> Any:
         """Returns `data`, or raises `schema.SchemaError`."""
@@ -104,7 +104,7 @@
     ObjectSchema(
         required={"Ver": is_version},
         optional={
-            "Upsert": MapSchema(_Changes()),
+            "Upsert": MapSchema(_SectionChanges()),
             "Remove": MapSchema(ListSchema(is_text)),
             "Limits": ObjectSchema({}, {}),
         },
--- a/kestrelbend/tier/configuration/shard_ports.py
+++ b/kestrelbend/tier/configuration/shard_ports.py
@@ -1,4 +1,4 @@
-"""What `shard_service` asks of its process: replicas, connections, work off the event loop."""
+"""Interfaces that `shard_service` needs from its process: replicas, connections, work off the event loop."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 
 
 class RunOffLoop(Protocol):
-    """Runs a function that touches nothing of the caller's, off the event loop."""
+    """Runs a function off the event loop; the function must not access state of the caller."""
 
     async def __call__(self, function: Callable[[], _Result], /) -> _Result:
-        """What the function returns."""
+        """Returns the function's result."""
 
 
-async def run_here(function: Callable[[], _Result], /) -> _Result:
-    """Runs a function on the spot."""
+async def run_inline(function: Callable[[], _Result], /) -> _Result:
+    """Runs a function synchronously, on the event loop."""
     return function()
 
 
 class HostedShards(Protocol):
-    """The replicas of this process, as `replication.host.ShardHost` has them."""
+    """The replicas of this process, implemented by `replication.host.ShardHost`."""
 
     def replica(self, shard: str) -> Replica | None:
-        """The replica of a shard, if there is one here."""
+        """Returns the local replica of a shard, or None."""
 
     def state_machine(self, shard: str) -> Any:
-        """The state machine of a shard, if there is one here."""
+        """Returns the local state machine of a shard, or None."""
 
     def propose(
         self, shard: str, command: bytes, outcome: Callable[[ConfigOutcome | None], None], now: float
     ) -> bool:
-        """Proposes a command; `outcome` gets its result, or None where it may be committed or not."""
+        """Proposes a command; `outcome` receives its result, or None if it may be committed or not."""
 
     def confirm_read(self, shard: str, outcome: Callable[[bool], None], now: float) -> bool:
-        """Calls back with True once the state here is the newest there is; False where none can tell."""
+        """Calls `outcome` with True once the local state is confirmed as the newest, else with False."""
 
     def flush(self, shard: str) -> None:
-        """Sends and writes what proposals have left to do."""
+        """Sends and writes the pending output of proposals."""
 
 
 class OwnerConnection(Protocol):
     """A connection to another process."""
 
     async def request(self, message: Any, timeout: float) -> Any:
-        """The reply, or None where none came within `timeout` seconds."""
+        """Returns the reply, or None if none was received within `timeout` seconds."""
 
 
 class OwnerConnections(Protocol):
-    """The connections of this process to others."""
+    """The connections of this process to other processes."""
 
     def to(self, address: str) -> OwnerConnection | None:
-        """The connection to an address, if one stands."""
+        """Returns the established connection to an address, or None."""
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -1,27 +1,28 @@
-"""Orders on the configuration, at whichever control node they arrive.
+"""Processing of orders on the configuration at any control node.
 
-The shard's owner decides.  A rejection is given only after the owner has confirmed that it still is the
-owner, since a former one would reject by an old version; an acceptance is a committed entry.
+The shard's owner decides on each order.  It rejects an order only after a majority has confirmed that it is
+still the owner, because a former owner would reject orders based on an old version.  An order is accepted by
+a committed log entry.
 
-The life of an order (`ConfigurationService.submit`, `decide`):
+States of an order (`ConfigurationService.submit`, `decide`):
 
     received      at any control node (`operator_api`)
-       |          forwarded to the owner that this node's replica knows, again every `ATTEMPT_INTERVAL_S`;
-       |          no clear answer within `ANSWER_TIMEOUT_S`: UNDETERMINED, the caller may ask any node again
+       |          forwarded to the owner that this node's replica knows, retried every `ATTEMPT_INTERVAL_S`;
+       |          no final outcome within `ANSWER_TIMEOUT_S`: UNDETERMINED, the caller may retry on any node
        v
-    checked       by the owner's state (`state.check`), large documents off the event loop
-       |          changes nothing: rejected, or accepted before; said once the owner is confirmed
+    checked       against the owner's state (`state.check`), large documents off the event loop
+       |          changes nothing: rejected or already accepted; replied once the owner is confirmed
        v
-    proposed      as a checked entry of the shard's log, valid on its base version alone
-       |          ownership or time lost: UNDETERMINED, since the entry may be committed, now or later
+    proposed      as a checked entry of the shard's log, valid only on its base version
+       |          ownership lost or timeout: UNDETERMINED, since the entry may be committed, now or later
        v
-    committed     on a majority's disks, and applied (`state.apply`); another order came first: rejected by
-       |          the entry itself
+    committed     on a majority's disks, and applied (`state.apply`); if another order was committed first,
+       |          applying the entry rejects the order
        v
-    acknowledged  200 to the caller, once the gateways subscribed here serve by it (`stream`), or their time
-                  is over
+    acknowledged  200 to the caller, once the gateways subscribed here use the version (`stream`), or their
+                  timeout has expired
 
-Invariant: an order is never both rejected and in force, however often it is sent and wherever.
+Invariant: an order is never both rejected and applied, however often and at whichever nodes it is sent.
 """
 
 from __future__ import annotations
@@ -37,74 +38,74 @@
 from ..protocol.codec import decode, encode
 from .document_orders import checked_entry
 from .messages import UNDETERMINED, ConfigOrder, ConfigOutcome, OrderKind, ReadReply, ReadRequest
-from .shard_ports import HostedShards, OwnerConnections, RunOffLoop, run_here
+from .shard_ports import HostedShards, OwnerConnections, RunOffLoop, run_inline
 from .state import ConfigurationState
 from .statuses import OK
 
 if TYPE_CHECKING:
     from ..replication.replica import Replica
 
-ANSWER_TIMEOUT_S = 0.9  # callers go on to another node after a second
-FORWARD_TIMEOUT_S = 0.85  # of the owner for an order that another node forwarded, and of that node
+ANSWER_TIMEOUT_S = 0.9  # callers try another node after a second
+FORWARD_TIMEOUT_S = 0.85  # for a forwarded order, both at the owner and at the forwarding node
 MIN_FORWARD_TIMEOUT_S = 0.01
 ATTEMPT_INTERVAL_S = 0.03
 NOT_OWNER = ConfigOutcome(UNDETERMINED, 0, "not the owner")
-NOT_IN_TIME = ConfigOutcome(UNDETERMINED, 0, "not committed in time")
-NOT_READ = ReadReply(False, 0, b"")
-OPERATORS_KINDS = (OrderKind.PUT, OrderKind.PATCH)
-LARGE_BYTES = 64 * 1024  # of an order and the document that it changes
-MAX_EVALUATIONS = 3  # of one order, where other changes come between
+NOT_COMMITTED_IN_TIME = ConfigOutcome(UNDETERMINED, 0, "not committed in time")
+READ_UNAVAILABLE = ReadReply(False, 0, b"")
+OPERATOR_KINDS = (OrderKind.PUT, OrderKind.PATCH)
+LARGE_ORDER_BYTES = 64 * 1024  # total size of an order and the document that it changes
+MAX_EVALUATIONS = 3  # of one order, if other changes are applied in between
 
 
 class ShardNotOpen(TierError):
-    """The configuration's replica has not been opened in this process."""
+    """The replica of the configuration shard has not been opened in this process."""
 
     code = "configuration.not_open"
 
     def __init__(self) -> None:
-        super().__init__("configuration's shard: no replica here yet: ask `is_open` first")
+        super().__init__("configuration shard: no replica is open in this process: check `is_open` first")
 
 
 @attrs.frozen
-class SavedState:
-    """A snapshot that was made at once."""
+class FinishedSnapshot:
+    """A snapshot that was encoded in one step."""
 
     state: bytes
 
     def advance(self) -> bytes:
-        """The complete state."""
+        """Returns the complete encoded state."""
         return self.state
 
 
 class ConfigurationStateMachine:
-    """The configuration's state as a shard's state machine."""
+    """Adapts `ConfigurationState` to the state machine interface of a shard."""
 
     def __init__(self) -> None:
         self.state = ConfigurationState()
 
     def apply(self, command: bytes) -> ConfigOutcome:
-        """Applies one order."""
+        """Applies an encoded order."""
         order: ConfigOrder = decode(command)
         return self.state.apply(order)
 
-    def begin_snapshot(self) -> SavedState:
-        """The state as it is now; it takes milliseconds, since the document is kept as bytes."""
-        return SavedState(self.state.snapshot())
+    def begin_snapshot(self) -> FinishedSnapshot:
+        """Returns a snapshot of the state; it takes milliseconds because the document is kept as bytes."""
+        return FinishedSnapshot(self.state.snapshot())
 
     def snapshot(self) -> bytes:
-        """The complete state."""
+        """Returns the complete encoded state."""
         return self.state.snapshot()
 
     def restore(self, state: bytes) -> None:
-        """Replaces the state; raises `snapshot.SnapshotError` and leaves it where that can't be read."""
+        """Replaces the state; raises `snapshot.SnapshotError` and keeps the state if it is unreadable."""
         self.state.restore(state)
 
 
 class ConfigurationService:
-    """Carries orders to the owner and decides them where this process is the owner.
+    """Forwards orders to the owner, and decides on them if this process is the owner.
 
-    `now` gives seconds of a steady clock; `acknowledged(version, within)` waits until the gateways subscribed
-    here serve by a version, `within` seconds at most.
+    `now` returns seconds of a monotonic clock; `wait_for_acks(version, timeout_s)` waits until the gateways
+    subscribed here use a version, for at most `timeout_s` seconds.
     """
 
     def __init__(
@@ -112,24 +113,24 @@
         host: HostedShards,
         connections: OwnerConnections,
         now: Callable[[], float],
-        acknowledged: Callable[[int, float], Awaitable[None]],
-        run_off_loop: RunOffLoop = run_here,
+        wait_for_acks: Callable[[int, float], Awaitable[None]],
+        run_off_loop: RunOffLoop = run_inline,
     ) -> None:
         self._host = host
         self._connections = connections
         self._now = now
-        self._acknowledged = acknowledged
+        self._wait_for_acks = wait_for_acks
         self._run_off_loop = run_off_loop
         self.owner_check: Callable[[ConfigOrder], ConfigOutcome | None] = lambda order: None
 
     @property
     def is_open(self) -> bool:
-        """Whether the shard's replica has been opened here."""
+        """Whether the shard's replica is open in this process."""
         return self._host.replica(CONFIGURATION_SHARD) is not None
 
     @property
     def state(self) -> ConfigurationState:
-        """The state as far as this replica has applied it; raises `ShardNotOpen`."""
+        """The state that the local replica has applied; raises `ShardNotOpen`."""
         machine: ConfigurationStateMachine | None = self._host.state_machine(CONFIGURATION_SHARD)
         if machine is None:
             raise ShardNotOpen
@@ -137,14 +138,14 @@
 
     @property
     def replica(self) -> Replica:
-        """The replica here; raises `ShardNotOpen`."""
+        """The local replica; raises `ShardNotOpen`."""
         replica = self._host.replica(CONFIGURATION_SHARD)
         if replica is None:
             raise ShardNotOpen
         return replica
 
     async def submit(self, order: ConfigOrder) -> ConfigOutcome:
-        """The outcome; `UNDETERMINED` where no owner said anything clear in time."""
+        """Returns the order's outcome; `UNDETERMINED` if no owner returned a final one in time."""
         deadline = self._now() + ANSWER_TIMEOUT_S
         while True:
             outcome = await self._attempt(order, deadline)
@@ -158,77 +159,78 @@
         reply = await self._ask_owner(order, deadline)
         return reply if isinstance(reply, ConfigOutcome) else NOT_OWNER
 
-    async def decide(self, order: ConfigOrder, within: float = float("inf")) -> ConfigOutcome:
-        """As the owner: accept by a committed entry, reject after a confirmation or by such an entry.
+    async def decide(self, order: ConfigOrder, timeout_s: float = float("inf")) -> ConfigOutcome:
+        """Decides on an order as the owner.
 
-        An operator's order that is committed is acknowledged once the gateways subscribed here serve by it,
-        or the time (`within`, seconds) is over.
+        An acceptance needs a committed entry; a rejection needs a confirmation of the ownership or such an
+        entry.  An operator's committed order is acknowledged once the gateways subscribed here use it, or
+        after `timeout_s` seconds.
         """
-        deadline = self._now() + within
+        deadline = self._now() + timeout_s
         await self._evaluate_off_loop(order)
-        rejection = self._rejection(order)
+        rejection = self._final_outcome(order)
         if rejection is not None:
             if not await self._confirmed(deadline - self._now()):
                 return NOT_OWNER
-            rejection = self._rejection(order)
+            rejection = self._final_outcome(order)
         if rejection is not None:
             return rejection
         outcome = await self._propose(checked_entry(order), deadline - self._now())
-        if outcome.status == OK and order.kind in OPERATORS_KINDS:
-            await self._acknowledged(outcome.version, deadline - self._now())
+        if outcome.status == OK and order.kind in OPERATOR_KINDS:
+            await self._wait_for_acks(outcome.version, deadline - self._now())
         return outcome
 
     async def _evaluate_off_loop(self, order: ConfigOrder) -> None:
-        """Has a large order evaluated off the loop: an owner that stands still loses its ownership."""
+        """Evaluates a large order off the event loop: an owner whose loop is blocked loses its ownership."""
         state = self.state
-        if order.kind not in OPERATORS_KINDS or len(order.body) + len(state.body) < LARGE_BYTES:
+        if order.kind not in OPERATOR_KINDS or len(order.body) + len(state.body) < LARGE_ORDER_BYTES:
             return
         for _ in range(MAX_EVALUATIONS):
             if not state.documents.needs_evaluation(order):
                 return
             version = state.version
             result = await self._run_off_loop(state.documents.evaluation(order))
-            state.documents.keep_evaluation(order, version, result)
+            state.documents.cache_evaluation(order, version, result)
 
-    def _rejection(self, order: ConfigOrder) -> ConfigOutcome | None:
-        """The answer to an order that changes nothing, by the state or by what the owner alone can tell."""
+    def _final_outcome(self, order: ConfigOrder) -> ConfigOutcome | None:
+        """Returns the outcome of an order that changes nothing, from the state or the owner's own check."""
         return self.state.check(order) or self.owner_check(order)
 
-    async def _propose(self, order: ConfigOrder, within: float) -> ConfigOutcome:
-        """The committed entry's outcome; `UNDETERMINED` where it may be committed, now or later, or not."""
+    async def _propose(self, order: ConfigOrder, timeout_s: float) -> ConfigOutcome:
+        """Returns the outcome of the committed entry; `UNDETERMINED` if it may be committed now or later."""
         future: asyncio.Future[ConfigOutcome | None] = asyncio.get_running_loop().create_future()
 
-        def done(outcome: ConfigOutcome | None) -> None:
+        def set_result(outcome: ConfigOutcome | None) -> None:
             if not future.done():
                 future.set_result(outcome)
 
-        if not self._host.propose(CONFIGURATION_SHARD, encode(order), done, self._now()):
+        if not self._host.propose(CONFIGURATION_SHARD, encode(order), set_result, self._now()):
             return NOT_OWNER
         self._host.flush(CONFIGURATION_SHARD)
         try:
-            async with asyncio.timeout(None if within == float("inf") else max(0.0, within)):
+            async with asyncio.timeout(None if timeout_s == float("inf") else max(0.0, timeout_s)):
                 return await future or NOT_OWNER
         except TimeoutError:
-            return NOT_IN_TIME
+            return NOT_COMMITTED_IN_TIME
 
-    async def _confirmed(self, within: float) -> bool:
-        """Whether a majority has answered this owner since the call, in `within` seconds."""
+    async def _confirmed(self, timeout_s: float) -> bool:
+        """Whether a majority confirms this owner after the call, within `timeout_s` seconds."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
-        def done(is_confirmed: bool) -> None:
+        def set_result(is_confirmed: bool) -> None:
             if not future.done():
                 future.set_result(is_confirmed)
 
-        if not self._host.confirm_read(CONFIGURATION_SHARD, done, self._now()):
+        if not self._host.confirm_read(CONFIGURATION_SHARD, set_result, self._now()):
             return False
         try:
-            async with asyncio.timeout(max(0.0, min(within, ANSWER_TIMEOUT_S))):
+            async with asyncio.timeout(max(0.0, min(timeout_s, ANSWER_TIMEOUT_S))):
                 return await future
         except TimeoutError:
             return False
 
     async def read(self) -> ReadReply:
-        """The newest configuration, as the owner has it."""
+        """Returns the newest configuration, read at the owner."""
         deadline = self._now() + ANSWER_TIMEOUT_S
         while True:
             reply = await self._attempt_read(deadline)
@@ -240,16 +242,16 @@
         if self.replica.is_leader:
             return await self.read_as_owner(deadline - self._now())
         reply = await self._ask_owner(ReadRequest(CONFIGURATION_SHARD), deadline)
-        return reply if isinstance(reply, ReadReply) else NOT_READ
+        return reply if isinstance(reply, ReadReply) else READ_UNAVAILABLE
 
-    async def read_as_owner(self, within: float = ANSWER_TIMEOUT_S) -> ReadReply:
-        """As the owner: the state, once confirmed within so many seconds to be the newest."""
-        if not await self._confirmed(within):
-            return NOT_READ
+    async def read_as_owner(self, timeout_s: float = ANSWER_TIMEOUT_S) -> ReadReply:
+        """Returns the local state if it is confirmed within `timeout_s` seconds to be the newest."""
+        if not await self._confirmed(timeout_s):
+            return READ_UNAVAILABLE
         return ReadReply(True, self.state.version, self.state.body)
 
     async def _ask_owner(self, message: ConfigOrder | ReadRequest, deadline: float) -> object | None:
-        """What the owner that this replica knows replies; None without an owner, a connection or a reply."""
+        """Returns the reply of the owner that this replica knows; None without owner, connection or reply."""
         owner = self.replica.leader
         connection = self._connections.to(address_of(owner)) if owner else None
         if connection is None:
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -1,8 +1,8 @@
-"""The configuration shard's state machine: it applies each committed order to the part that it concerns.
+"""The configuration shard's state machine: dispatches each committed order to the component that handles it.
 
-Invariant: every replica that applies the same orders in the same sequence holds the same state and answers
-the same.  The parts: `document_orders` (the operator's document), `placements` (which replicas hold a shard),
-`stores` with `store_orders` (disks, and nodes that are to be emptied), `snapshot` (all of it as bytes).
+Invariant: replicas that apply the same orders in the same sequence have the same state and return the same
+outcomes.  Components: `document_orders` (the operator's document), `placements` (which replicas hold each
+shard), `stores` with `store_orders` (disks and retiring nodes), `snapshot` (encoding of the complete state).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from kestrelbend.tier.configuration.document import Document
 from kestrelbend.tier.configuration.document_orders import DocumentOrders
-from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, OrderKind, accepted_now
+from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, OrderKind, accepted_outcome
 from kestrelbend.tier.configuration.placements import check_placement, decode_placement
 from kestrelbend.tier.configuration.snapshot import SnapshotContent, decode_snapshot, encode_snapshot
 from kestrelbend.tier.configuration.store_orders import (
@@ -27,7 +27,7 @@
 
 
 class ConfigurationState:
-    """The current document, the orders accepted, the placements of shards and the nodes to be emptied."""
+    """The current document, the history of accepted orders, shard placements, disks and retiring nodes."""
 
     def __init__(self) -> None:
         self._documents = DocumentOrders()
@@ -52,30 +52,30 @@
 
     @property
     def documents(self) -> DocumentOrders:
-        """The orders on the document; another object after each `restore`, so it isn't to be kept."""
+        """The orders on the document; `restore` replaces this object, so callers must not keep it."""
         return self._documents
 
     @property
     def placements(self) -> tuple[ShardPlacement, ...]:
-        """The placements in force, one a shard."""
+        """The current placements, one per shard."""
         return tuple(self._placements.values())
 
     def placement(self, shard: str) -> ShardPlacement | None:
-        """A shard's placement in force; None before its first one."""
+        """Returns a shard's current placement; None before its first one."""
         return self._placements.get(shard)
 
     @property
     def retiring(self) -> tuple[str, ...]:
-        """The names of the nodes that are to be emptied, also of those that are empty by now."""
+        """The names of the retiring nodes, including those whose retirement is complete."""
         return self._stores.retiring
 
     @property
     def stores(self) -> StoreRecords:
-        """The disks known, and how far the emptying of nodes has come."""
+        """The known disks, and the progress of retirements."""
         return self._stores
 
     def check(self, order: ConfigOrder) -> ConfigOutcome | None:
-        """The answer to an order that changes nothing (rejected, or accepted before); None: apply it."""
+        """Returns the outcome of an order that changes nothing (rejected or already accepted), else None."""
         match order.kind:
             case OrderKind.PLACEMENT:
                 return self._check_placement(order)
@@ -91,7 +91,7 @@
                 return self._documents.check(order)
 
     def apply(self, order: ConfigOrder) -> ConfigOutcome:
-        """Carries an order out, or rejects it; deterministic."""
+        """Applies or rejects an order; deterministic."""
         if order.kind in (OrderKind.CHECKED_PUT, OrderKind.CHECKED_PATCH):
             return self._documents.apply_checked(order)
         answer = self.check(order)
@@ -99,17 +99,17 @@
             return answer
         match order.kind:
             case OrderKind.PLACEMENT:
-                placement = _after_check(decode_placement(order.body))
+                placement = _require_record(decode_placement(order.body))
                 self._placements[placement.shard] = placement
             case OrderKind.RETIRE:
                 self._stores.retire(order.body.decode())
             case OrderKind.DISK:
-                self._stores.record_disk(_after_check(decode_disk(order.body)), self._placed_replicas())
+                self._stores.record_disk(_require_record(decode_disk(order.body)), self._placed_replicas())
             case OrderKind.SHARD_REMOVAL:
-                self._stores.record_removal(_after_check(decode_shard_removal(order.body)))
+                self._stores.record_removal(_require_record(decode_shard_removal(order.body)))
             case _:
                 return self._documents.accept(order)
-        return accepted_now(self.version)
+        return accepted_outcome(self.version)
 
     def _check_placement(self, order: ConfigOrder) -> ConfigOutcome | None:
         placement = decode_placement(order.body)
@@ -117,37 +117,37 @@
         return check_placement(placement, known, self._stores, self.version)
 
     def _check_shard_removal(self, order: ConfigOrder) -> ConfigOutcome | None:
-        fact = decode_shard_removal(order.body)
-        placement = self.placement(fact.shard) if fact is not None else None
-        return check_shard_removal(fact, self._stores, placement, self.version)
+        removal = decode_shard_removal(order.body)
+        placement = self.placement(removal.shard) if removal is not None else None
+        return check_shard_removal(removal, self._stores, placement, self.version)
 
     def _placed_replicas(self) -> set[str]:
         return {voter for placement in self.placements for voter in placement.voters}
 
     def snapshot(self) -> bytes:
-        """The complete state: a line of JSON, then the current document's body as it is."""
+        """Encodes the complete state: a line of JSON, then the current document's body as it is."""
         return encode_snapshot(
             SnapshotContent(
                 document=self._documents.document,
                 history=self._documents.history,
-                forgotten_version=self._documents.forgotten_version,
+                evicted_version=self._documents.evicted_version,
                 placements=self.placements,
                 retiring=self._stores.retiring,
                 disks=self._stores.disks,
-                emptied=self._stores.emptied,
+                removals=self._stores.removals,
             )
         )
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the state by a snapshot's, or raises `SnapshotError` and leaves it as it was."""
+        """Replaces the state by a snapshot's; raises `SnapshotError` and keeps the state if that fails."""
         content = decode_snapshot(snapshot)
-        self._documents = DocumentOrders(content.document, content.history, content.forgotten_version)
+        self._documents = DocumentOrders(content.document, content.history, content.evicted_version)
         self._placements = {placement.shard: placement for placement in content.placements}
-        self._stores = StoreRecords(content.disks, content.retiring, content.emptied)
+        self._stores = StoreRecords(content.disks, content.retiring, content.removals)
 
 
-def _after_check(record: _Record | None) -> _Record:
-    """The record of an order that `check` has let pass, so that it is there."""
+def _require_record(record: _Record | None) -> _Record:
+    """Returns the decoded record of an order that `check` has validated, so it is never None."""
     if record is None:
         raise AssertionError("an order is applied only after its check")
     return record
--- a/kestrelbend/tier/configuration/store_orders.py
+++ b/kestrelbend/tier/configuration/store_orders.py
@@ -1,17 +1,17 @@
-"""Orders on nodes that are to be emptied: to empty one, to record its disks, to record what it holds no more.
+"""Orders on storage nodes: retire a node, record a disk, record that a shard was removed from a node.
 
-A `Retire.Start` of the operator makes a node *retiring*: it is to be emptied and gets no replica any more.
-Each shard that has left it is recorded by a `ShardRemoval`; with the last one the node's state is complete,
-and the operator may take the machine away.
+A `Retire.Start` of the operator makes a node *retiring*: its replicas are moved away and it gets no new ones.
+Each shard that no longer needs the node is recorded by a `ShardRemoval`; with the last one the retirement is
+complete, and the operator may remove the machine.
 
-Each function here gives the answer to an order that changes nothing, or None: then it must be applied.
+Each check function returns the outcome of an order that changes nothing, or None if it must be applied.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, accepted_before
+from kestrelbend.tier.configuration.messages import ConfigOrder, ConfigOutcome, already_accepted_outcome
 from kestrelbend.tier.configuration.ports import RetireState
 from kestrelbend.tier.configuration.statuses import CONFLICT, INVALID, OK, PRECONDITION_FAILED
 from kestrelbend.tier.configuration.stores import (
@@ -26,7 +26,7 @@
 
 
 def node_name(order: ConfigOrder) -> str:
-    """The node that an order names, or an empty string where it names none."""
+    """Returns the node name in an order's body, or an empty string if it is invalid."""
     try:
         node = order.body.decode()
     except UnicodeDecodeError:
@@ -35,46 +35,46 @@
 
 
 def check_retirement(order: ConfigOrder, stores: StoreRecords, version: int) -> ConfigOutcome | None:
-    """For the order to empty a node, whose name is its body."""
+    """Checks an order to retire a node, whose name is the order's body."""
     node = node_name(order)
     if not node:
         return ConfigOutcome(INVALID, version, "not the name of a node")
     if node in stores.retiring:
-        return accepted_before(version)
+        return already_accepted_outcome(version)
     if len(stores.retiring) >= MAX_RETIRING:
         return ConfigOutcome(CONFLICT, version, "too many nodes are being emptied")
     return None
 
 
 def check_disk(order: ConfigOrder, stores: StoreRecords, version: int) -> ConfigOutcome | None:
-    """For the order to record a disk."""
+    """Checks an order to record a disk."""
     disk = decode_disk(order.body)
     if disk is None:
         return ConfigOutcome(INVALID, version, "not a disk")
-    return accepted_before(version) if stores.knows(disk) else None
+    return already_accepted_outcome(version) if stores.has_disk(disk) else None
 
 
 def check_shard_removal(
-    fact: ShardRemoval | None, stores: StoreRecords, placement: ShardPlacement | None, version: int
+    removal: ShardRemoval | None, stores: StoreRecords, placement: ShardPlacement | None, version: int
 ) -> ConfigOutcome | None:
-    """For the order to record that a shard has left a node; `placement` is the shard's one in force."""
-    if fact is None:
+    """Checks an order to record a shard's removal from a node; `placement` is the shard's current one."""
+    if removal is None:
         return ConfigOutcome(INVALID, version, "not a node that is empty")
-    if stores.is_removed(fact.node, fact.shard):
-        return accepted_before(version)
-    if not stores.may_record_removal(fact, placement):
-        return ConfigOutcome(PRECONDITION_FAILED, version, f"{fact.node} may hold {fact.shard}")
+    if stores.is_removed(removal.node, removal.shard):
+        return already_accepted_outcome(version)
+    if not stores.may_record_removal(removal, placement):
+        return ConfigOutcome(PRECONDITION_FAILED, version, f"{removal.node} may hold {removal.shard}")
     return None
 
 
 def retire_state(
     order: ConfigOrder, stores: StoreRecords, placements: Iterable[ShardPlacement], version: int
 ) -> ConfigOutcome:
-    """How far the emptying of a node has come, as the reason: never an entry of the log."""
+    """Returns the progress of a retirement as the outcome's reason; such an order is never a log entry."""
     node = node_name(order)
     if node not in stores.retiring:
         state = RetireState.NOT_ORDERED
-    elif stores.is_complete(node, placements):
+    elif stores.is_retired(node, placements):
         state = RetireState.COMPLETE
     else:
         state = RetireState.RUNNING
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -1,8 +1,8 @@
-"""Which disks are known, which nodes are to be emptied, and what is known to be empty: committed facts.
+"""Committed records of the known disks, the retiring nodes, and the shards that were removed from them.
 
-Invariant: a node counts as empty only by facts that stay true.  A `ShardRemoval` names a committed group
-without the node, moved there by a placement without it; later placements have higher numbers, none of them
-may add a disk of a node that is to be emptied, and no group follows a lower number than its own.
+Invariant: a retirement is complete only by records that stay true.  A `ShardRemoval` contains a committed
+group without the node, which resulted from a placement without it.  Later placements have higher numbers and
+cannot add a disk of a retiring node, and no group moves to a placement with a lower number than its own.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_DISKS = 16384
 MAX_NODE_NAME = 256
 
-# Keys of the bodies below: they stand in journals and snapshots on disk, apart from the names of fields.
+# Keys of the bodies below.  They are stored in journals and snapshots, independently of field names.
 _NODE = "node"
 _REPLICA = "replica"
 _SERVES_STORAGE = "serves_storage"
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class DiskRecord:
-    """A disk that may hold replicas: an emptied one is another replica of the same node."""
+    """A disk that may hold replicas; an emptied disk becomes another replica of the same node."""
 
     node: str
     replica: str
@@ -41,25 +41,25 @@
 
 @attrs.frozen
 class ShardRemoval:
-    """A shard has left a node: its owner reported a committed group without the node's disks.
+    """A shard was removed from a node: its owner reported a committed group without the node's disks.
 
-    The live voters of that group hold everything, so the node is not needed for this shard any more.
+    The live voters of that group hold the complete data, so this shard no longer needs the node.
     """
 
     node: str
     shard: str
     epoch: int  # of the owner that reported it
-    group: tuple[str, ...]  # the replicas that are the group's voters
-    number: int  # of the placement that the group was moved to
+    group: tuple[str, ...]  # the replicas that are voters of the group
+    number: int  # of the placement that the group was moved to by its owner
 
 
 def encode_disk(disk: DiskRecord) -> bytes:
-    """The body of an order of kind DISK."""
+    """Encodes the body of an order of kind DISK."""
     return encode_json({_NODE: disk.node, _REPLICA: disk.replica, _SERVES_STORAGE: disk.serves_storage})
 
 
 def decode_disk(body: bytes) -> DiskRecord | None:
-    """The disk that a body names, or None if it names none."""
+    """Decodes the body of an order of kind DISK; returns None if it is invalid."""
     values = decode_object(body)
     if values is None:
         return None
@@ -71,21 +71,21 @@
     return DiskRecord(node, replica, serves)
 
 
-def encode_shard_removal(emptied: ShardRemoval) -> bytes:
-    """The body of an order of kind SHARD_REMOVAL."""
+def encode_shard_removal(removal: ShardRemoval) -> bytes:
+    """Encodes the body of an order of kind SHARD_REMOVAL."""
     return encode_json(
         {
-            _NODE: emptied.node,
-            _SHARD: emptied.shard,
-            _EPOCH: emptied.epoch,
-            _GROUP: list(emptied.group),
-            _NUMBER: emptied.number,
+            _NODE: removal.node,
+            _SHARD: removal.shard,
+            _EPOCH: removal.epoch,
+            _GROUP: list(removal.group),
+            _NUMBER: removal.number,
         }
     )
 
 
 def decode_shard_removal(body: bytes) -> ShardRemoval | None:
-    """What a body says to be empty, or None if it says nothing of the kind."""
+    """Decodes the body of an order of kind SHARD_REMOVAL; returns None if it is invalid."""
     values = decode_object(body)
     if values is None:
         return None
@@ -96,41 +96,43 @@
     number: Any = values.get(_NUMBER)
     if not (_is_node(node) and is_text(shard) and isinstance(group, list) and group):
         return None
-    if not (all(map(is_text, group)) and _is_count(epoch) and _is_count(number)):
+    if not (
+        all(map(is_text, group)) and _is_non_negative_integer(epoch) and _is_non_negative_integer(number)
+    ):
         return None
     return ShardRemoval(node, shard, epoch, tuple(group), number)
 
 
 class StoreRecords:
-    """The disks known, the nodes to be emptied and what has left them; changed by applied orders alone."""
+    """The known disks, the retiring nodes and the shard removals; modified only by applying orders."""
 
     def __init__(
         self,
         disks: Iterable[DiskRecord] = (),
         retiring: Iterable[str] = (),
-        emptied: Iterable[ShardRemoval] = (),
+        removals: Iterable[ShardRemoval] = (),
     ) -> None:
         self._disks = {disk.replica: disk for disk in disks}
         self._retiring = dict.fromkeys(retiring)
-        self._emptied = {(fact.node, fact.shard): fact for fact in emptied}
+        self._removals = {(removal.node, removal.shard): removal for removal in removals}
 
     @property
     def disks(self) -> tuple[DiskRecord, ...]:
-        """The disks known, oldest first."""
+        """The known disks, oldest first."""
         return tuple(self._disks.values())
 
     @property
     def retiring(self) -> tuple[str, ...]:
-        """The nodes to be emptied; a name stays here for good, also once its node has departed."""
+        """The retiring nodes; a name is kept permanently, also after the node has left the tier."""
         return tuple(self._retiring)
 
     @property
-    def emptied(self) -> tuple[ShardRemoval, ...]:
-        """What is known to have left a node."""
-        return tuple(self._emptied.values())
+    def removals(self) -> tuple[ShardRemoval, ...]:
+        """The recorded shard removals."""
+        return tuple(self._removals.values())
 
-    def knows(self, disk: DiskRecord) -> bool:
-        """Whether exactly this was recorded."""
+    def has_disk(self, disk: DiskRecord) -> bool:
+        """Whether exactly this record exists."""
         return self._disks.get(disk.replica) == disk
 
     def is_store(self, node: str) -> bool:
@@ -138,58 +140,58 @@
         return any(disk.node == node and disk.serves_storage for disk in self._disks.values())
 
     def replicas_of(self, node: str) -> set[str]:
-        """All disks that the node ever had."""
+        """Returns the replicas on all disks that the node ever had."""
         return {disk.replica for disk in self._disks.values() if disk.node == node}
 
     def is_on_retiring_node(self, replica: str) -> bool:
-        """Whether the replica is on the disk of a node that is to be emptied."""
+        """Whether the replica is on a disk of a retiring node."""
         disk = self._disks.get(replica)
         return disk is not None and disk.node in self._retiring
 
     def is_removed(self, node: str, shard: str) -> bool:
-        """Whether the shard is known to have left the node."""
-        return (node, shard) in self._emptied
+        """Whether the removal of the shard from the node is recorded."""
+        return (node, shard) in self._removals
 
-    def is_complete(self, node: str, placements: Iterable[ShardPlacement]) -> bool:
-        """Whether every shard that exists is known to have left a node that is to be emptied."""
+    def is_retired(self, node: str, placements: Iterable[ShardPlacement]) -> bool:
+        """Whether the node is retiring and the removal of every existing shard from it is recorded."""
         shards = [CONFIGURATION_SHARD, *(placement.shard for placement in placements)]
         return node in self._retiring and all(self.is_removed(node, shard) for shard in shards)
 
-    def may_record_removal(self, fact: ShardRemoval, placement: ShardPlacement | None) -> bool:
-        """Whether a fact stays true from here on; `placement` is the one in force of its shard.
+    def may_record_removal(self, removal: ShardRemoval, placement: ShardPlacement | None) -> bool:
+        """Whether a removal will stay true; `placement` is the shard's current one.
 
-        It does if no replica of the node is in the group or may come into a later one: the group is the one
-        that the placement in force led to, and no later placement adds a replica of a retiring node.
+        It stays true if no replica of the node is in the group or can be added to a later one: the group
+        results from the current placement, and no later placement adds a replica of a retiring node.
         """
-        node_replicas = self.replicas_of(fact.node)
-        if fact.node not in self._retiring or not self._disks.keys() >= set(fact.group):
+        node_replicas = self.replicas_of(removal.node)
+        if removal.node not in self._retiring or not self._disks.keys() >= set(removal.group):
             return False
-        if fact.shard == CONFIGURATION_SHARD:
-            return node_replicas.isdisjoint(fact.group)
-        if placement is None or not 0 < placement.number == fact.number:
+        if removal.shard == CONFIGURATION_SHARD:
+            return node_replicas.isdisjoint(removal.group)
+        if placement is None or not 0 < placement.number == removal.number:
             return False
-        return node_replicas.isdisjoint(fact.group) and node_replicas.isdisjoint(placement.voters)
+        return node_replicas.isdisjoint(removal.group) and node_replicas.isdisjoint(placement.voters)
 
-    def record_disk(self, disk: DiskRecord, placed: set[str]) -> None:
-        """Records a disk; beyond the bound the oldest that is none of the `placed` ones is forgotten."""
+    def record_disk(self, disk: DiskRecord, placed_replicas: set[str]) -> None:
+        """Records a disk; beyond `MAX_DISKS`, evicts the oldest that is not in `placed_replicas`."""
         self._disks[disk.replica] = disk
         if len(self._disks) > MAX_DISKS:
-            oldest = next((replica for replica in self._disks if replica not in placed), None)
+            oldest = next((replica for replica in self._disks if replica not in placed_replicas), None)
             if oldest is not None:
                 del self._disks[oldest]
 
     def retire(self, node: str) -> None:
-        """Records that a node is to be emptied."""
+        """Records that a node is retiring."""
         self._retiring[node] = None
 
-    def record_removal(self, fact: ShardRemoval) -> None:
-        """Records that a shard has left a node."""
-        self._emptied[fact.node, fact.shard] = fact
+    def record_removal(self, removal: ShardRemoval) -> None:
+        """Records that a shard was removed from a node."""
+        self._removals[removal.node, removal.shard] = removal
 
 
 def _is_node(value: Any) -> bool:
     return is_text(value) and 0 < len(value) <= MAX_NODE_NAME
 
 
-def _is_count(value: Any) -> bool:
+def _is_non_negative_integer(value: Any) -> bool:
     return type(value) is int and value >= 0
--- a/kestrelbend/tier/configuration/stream.py
+++ b/kestrelbend/tier/configuration/stream.py
@@ -1,10 +1,10 @@
 """Streams the configuration's committed versions to gateways and tracks their acknowledgements.
 
-Most gateways take bodies from another control node and get notices here: the number of each new version.
+Most gateways receive bodies from another control node, and only notices here: the number of each new version.
 
-Invariant: on one connection versions only rise, and `current` is said of a version only while this node's
+Invariant: versions on a connection only increase, and a version is marked `current` only while this node's
 replica is current (see `membership.owner_contact`).  A gateway that was never notified that its version is
-current is notified as soon as that holds.
+current is notified as soon as the replica is current.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 class GatewayConnection(Protocol):
-    """A gateway's connection to this control node; it is the gateway's key here."""
+    """A gateway's connection to this control node, which also identifies the gateway here."""
 
     def send_encoded(self, data: bytes) -> bool:
-        """Sends a message that is encoded already."""
+        """Sends an encoded message."""
 
 
 @attrs.define(eq=False)
 class _Subscriber:
-    """What a gateway was sent and has acknowledged: numbers of versions, 0 for none."""
+    """A subscribed gateway, with the versions sent to it and acknowledged by it; 0 for none."""
 
     connection: GatewayConnection
     with_bodies: bool
@@ -40,7 +40,7 @@
 
 @attrs.frozen(eq=False)
 class _Waiter:
-    """Somebody who waits until all gateways serve by a version."""
+    """A caller that waits until all gateways use a version."""
 
     version: int
     future: asyncio.Future[None]
@@ -54,24 +54,24 @@
         self._waiters: list[_Waiter] = []
 
     def subscribe(self, connection: GatewayConnection, version: int, with_bodies: bool = True) -> None:
-        """A gateway that serves by `version` (0: none) wants what is newer, or notices of it."""
+        """Subscribes a gateway that uses `version` (0: none) to newer versions, or to notices of them."""
         self._subscribers[connection] = _Subscriber(connection, with_bodies, version, version)
 
     def connection_lost(self, connection: GatewayConnection) -> None:
-        """A connection ended; it needs not be a gateway's."""
+        """Removes the subscriber of a lost connection; a connection without subscriber is ignored."""
         if self._subscribers.pop(connection, None) is not None:
-            self._release()
+            self._notify_waiters()
 
     def record_ack(self, connection: GatewayConnection, version: int) -> None:
-        """A gateway serves by this version."""
+        """Records that a gateway uses a version."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
             subscriber.acknowledged = max(subscriber.acknowledged, version)
-            self._release()
+            self._notify_waiters()
 
     def publish(self, version: int, body: bytes, current: bool) -> None:
-        """Brings every gateway to this version; one encoding serves all."""
-        complete: bytes | None = None
+        """Sends a version to every gateway that needs it; the message is encoded once for all of them."""
+        update: bytes | None = None
         notice: bytes | None = None
         for subscriber in self._subscribers.values():
             newer = version > subscriber.sent
@@ -79,30 +79,30 @@
             if not newer and not confirms:
                 continue
             if newer and subscriber.with_bodies:
-                complete = complete or encode(ConfigUpdate(version, current, body))
-                subscriber.connection.send_encoded(complete)
+                update = update or encode(ConfigUpdate(version, current, body))
+                subscriber.connection.send_encoded(update)
             else:
                 notice = notice or encode(ConfigUpdate(version, current, b""))
                 subscriber.connection.send_encoded(notice)
             subscriber.sent = version
             subscriber.notified_current = subscriber.notified_current or current
 
-    async def wait_for_acks(self, version: int, within: float = ACK_TIMEOUT_S) -> None:
-        """Returns once all gateways here serve by `version`, or after `within` seconds.
+    async def wait_for_acks(self, version: int, timeout_s: float = ACK_TIMEOUT_S) -> None:
+        """Returns once all gateways subscribed here use `version`, or after `timeout_s` seconds.
 
-        It never takes more than `ACK_TIMEOUT_S`: a gateway that does not answer delays no operator for long.
+        It waits for at most `ACK_TIMEOUT_S`, so that an unresponsive gateway delays operators only briefly.
         """
-        if within <= 0 or self._all_have(version):
+        if timeout_s <= 0 or self._all_acknowledged(version):
             return
         future = asyncio.get_running_loop().create_future()
         self._waiters.append(_Waiter(version, future))
-        await asyncio.wait([future], timeout=min(within, ACK_TIMEOUT_S))
+        await asyncio.wait([future], timeout=min(timeout_s, ACK_TIMEOUT_S))
 
-    def _all_have(self, version: int) -> bool:
+    def _all_acknowledged(self, version: int) -> bool:
         return all(subscriber.acknowledged >= version for subscriber in self._subscribers.values())
 
-    def _release(self) -> None:
+    def _notify_waiters(self) -> None:
         for waiter in self._waiters:
-            if not waiter.future.done() and self._all_have(waiter.version):
+            if not waiter.future.done() and self._all_acknowledged(waiter.version):
                 waiter.future.set_result(None)
         self._waiters = [waiter for waiter in self._waiters if not waiter.future.done()]
--- a/kestrelbend/tier/control/store_facts.py
+++ b/kestrelbend/tier/control/store_facts.py
@@ -21,7 +21,7 @@
     disks = [
         DiskRecord(member.node, member.replica, member.serves_storage) for member in members if member.replica
     ]
-    unknown = [disk for disk in disks if not state.stores.knows(disk)]
+    unknown = [disk for disk in disks if not state.stores.has_disk(disk)]
     return [ConfigOrder(OrderKind.DISK, 0, encode_disk(disk)) for disk in unknown]
 
 
--- a/tests/tier/test_configuration_state.py
+++ b/tests/tier/test_configuration_state.py
@@ -175,7 +175,7 @@
         self.assertEqual([200, 200, 200], self.answers(put(0, 3), put(3, 7), put(3, 7)))
 
     def test_given_large_documents_then_few_are_kept_decoded(self):
-        self.patch(document_orders, "MAX_EVALUATION_BYTES_KEPT", 3000)
+        self.patch(document_orders, "MAX_CACHED_EVALUATION_BYTES", 3000)
         orders = [put(0, version, Padding="x" * 1000) for version in range(1, 9)]
         for order in orders:
             self.assertIsNone(self.state.check(order))
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -11,7 +11,7 @@
 from kestrelbend.tier.configuration import document_orders
 from kestrelbend.tier.configuration.messages import UNDETERMINED, ConfigOrder, OrderKind
 from kestrelbend.tier.configuration.shard_service import (
-    LARGE_BYTES,
+    LARGE_ORDER_BYTES,
     ConfigurationStateMachine,
     ConfigurationService,
     ShardNotOpen,
@@ -381,13 +381,13 @@
     def test_given_a_large_order_then_it_is_checked_beside_the_loop_and_others_go_on(self):
         async def story():
             self.evaluate_beside_the_loop(0.4)
-            large = put(0, 5, Padding="x" * LARGE_BYTES)
+            large = put(0, 5, Padding="x" * LARGE_ORDER_BYTES)
             tasks = self.begin(large, put(0, 3))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual(200, (await tasks[1]).status)
             self.assertEqual([200, 412], await self.statuses(tasks[1:] + tasks[:1]))
-            tasks = self.begin(put(3, 5, Padding="x" * LARGE_BYTES))
+            tasks = self.begin(put(3, 5, Padding="x" * LARGE_ORDER_BYTES))
             await asyncio.sleep(0.41)
             self.host.commit()
             self.assertEqual([200], await self.statuses(tasks))
@@ -397,7 +397,7 @@
     def test_given_a_check_that_takes_all_the_time_then_the_order_is_refused_when_it_comes_again(self):
         async def story():
             self.evaluate_beside_the_loop(0.5)
-            large = put(0, 5, Padding="x" * LARGE_BYTES)
+            large = put(0, 5, Padding="x" * LARGE_ORDER_BYTES)
             tasks = self.begin(large, put(0, 3))
             await asyncio.sleep(0.01)
             self.host.commit()
