--- a/benchmarks/late_second_answers.py
+++ b/benchmarks/late_second_answers.py
@@ -24,7 +24,7 @@
 
 
 def known_backend(chance, draw, mean):
-    """The trust in a backend whose latest answers took so long."""
+    """The reuse history of a backend whose latest answers took so long."""
     history = ReuseHistory()
     for _ in range(MAX_LATENCIES):
         history.record_latency(draw(chance, mean))
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -1,7 +1,8 @@
-"""Backends: carries deliveries and probes on aiohttp's client, and says what came of each.
+"""Client for the backends: sends deliveries and probes with aiohttp and reports the result of each.
 
-Invariant: each delivery and each probe ends with exactly one event, and its outcome is never said to be safer
-than it was seen (RFC 9110, section 9.2.2: what may have run is not repeated by itself).
+Invariant: each delivery and each probe ends with exactly one event. A request that the backend may have
+processed is never reported as unprocessed (RFC 9110, section 9.2.2: such a request is not retried
+automatically unless it is idempotent).
 """
 
 from __future__ import annotations
@@ -30,20 +31,20 @@
     from .requests import Request
 
 MICROSECONDS_PER_SECOND: Final = 1e6
-MAX_CHARGE: Final = 1e9  # units, where the settings state no limit
+MAX_CHARGE: Final = 1e9  # units, if the settings set no limit
 MAX_USED_PERCENT: Final = 1e6
 PERCENT: Final = 100
 OK: Final = 200
-NOT_PROCESSED_STATUSES: Final = (503, 504)  # they may say that the request was not processed
+NOT_PROCESSED_STATUSES: Final = (503, 504)  # these may carry `X-Not-Processed: 1`
 LOAD_PATH: Final = "/_load"
 PING_PATH: Final = "/ping"
 
 BackendResponse = tuple[int, bytes, Mapping[str, str]]
-"""Status, body and headers."""
+"""Status, body and headers of a response."""
 
 
 class BackendClient:
-    """The connections to all backends, and what is under way on them.
+    """Connections to all backends, with the deliveries and probes in flight on them.
 
     `queue`: the owner's events. `clock`: the current time in microseconds. `descriptor_limits`: the limits
     on open file descriptors. `connecting`: how many connections are being established. `endpoints`: host:port
@@ -72,18 +73,19 @@
         self.reuse_histories: defaultdict[BackendState, ReuseHistory] = defaultdict(ReuseHistory)
         self.blocked: dict[BackendState, Any] = {}
 
-    # Addresses.
+    # Endpoints.
 
     def set_endpoint(self, backend: BackendState, endpoint: str) -> None:
-        """A backend is at `endpoint` (host:port) from now on."""
+        """Set a backend's endpoint (host:port); if it differs, the pool for the old endpoint is retired."""
         if self.endpoints.get(backend) != endpoint:
             self.remove_endpoint(backend)
             self.endpoints[backend] = endpoint
 
     def pool_for(self, backend: BackendState) -> ConnectionPool | None:
-        """The pool of a backend's connections; None where its address is not known.
+        """Return a backend's connection pool, or None if its endpoint is unknown.
 
-        Made when it is first needed: one for each of hundreds costs time at the start, and memory.
+        A pool is created on first use: creating one for each of hundreds of backends costs startup time and
+        memory.
         """
         pool = self.pools.get(backend)
         if pool is None and backend in self.endpoints:
@@ -93,25 +95,25 @@
         return pool
 
     def remove_endpoint(self, backend: BackendState) -> None:
-        """A backend is no longer at its address; what is under way on its connections goes on."""
+        """Forget a backend's endpoint; requests in flight on its connections continue."""
         self.endpoints.pop(backend, None)
         self.reuse_histories.pop(backend, None)
         self._retire_pool(backend)
 
     def _retire_pool(self, backend: BackendState) -> None:
-        """Its idle connections go now, those in use with their last user."""
+        """Remove a backend's pool; the pool is closed once its last request has ended."""
         pool = self.pools.pop(backend, None)
         if pool is not None:
             pool.retired = True
             self._close_if_unused(pool)
 
     def _close_if_unused(self, pool: ConnectionPool) -> None:
-        """Close a retired pool once nobody uses it."""
+        """Close a retired pool that no request uses."""
         if pool.retired and not pool.users:
             self._track(asyncio.create_task(pool.session.close()))
 
     def retire_pools(self, *backends: BackendState) -> None:
-        """Give up the connections kept to these backends, or to all where none is named."""
+        """Retire the pools of these backends, or all pools if none is given."""
         for backend in backends or list(self.pools):
             self._retire_pool(backend)
 
@@ -122,17 +124,18 @@
     # Deliveries.
 
     def deliver(self, delivery: Delivery, request: Request) -> None:
-        """Send a delivery; `DeliveryEnded` follows."""
+        """Start a delivery, which ends with a `DeliveryEnded` event."""
         counters["deliveries"] += 1
         task = asyncio.create_task(self._deliver(delivery, request))
         self.delivery_tasks[delivery] = task
         task.add_done_callback(lambda _: self._report_unstarted(delivery))
 
     def _report_unstarted(self, delivery: Delivery) -> None:
-        """A task cancelled before its first turn runs nothing of its body, not even its `finally`.
+        """Report a delivery whose task was cancelled before its first step.
 
-        (Seen in a test: its client left in the turn in which a further delivery was decided, and that
-        delivery's credit was never earned back.)
+        Such a task runs no part of its coroutine, not even `finally`. This happens if the client disconnects
+        in the loop iteration in which a further delivery is decided; without this event the credit of that
+        delivery was never returned.
         """
         if delivery in self.delivery_tasks:
             self._report_end(delivery, Result.VOID)
@@ -141,36 +144,38 @@
         self,
         delivery: Delivery,
         result: Result,
-        answer: tuple[bytes, dict[str, str]] | None = None,
+        response: tuple[bytes, dict[str, str]] | None = None,
         load: dict[str, float] | None = None,
-        actual: float = 0,
-        used: float | None = None,
-        at: int | None = None,
+        charged_units: float = 0,
+        used_fraction: float | None = None,
+        ended_at: int | None = None,
     ) -> None:
-        """Put the one event of a delivery, with the time that it took: until `at`, or until now."""
+        """Report the end of a delivery, with its duration until `ended_at` (by default, until now)."""
         self.delivery_tasks.pop(delivery)
         counters["deliveries_" + result.name.lower()] += 1
-        took = (self.clock() if at is None else at) - delivery.sent_at
-        self.queue.put_nowait(DeliveryEnded(delivery, result, took, answer, load, actual, used))
+        duration = (self.clock() if ended_at is None else ended_at) - delivery.sent_at
+        self.queue.put_nowait(
+            DeliveryEnded(delivery, result, duration, response, load, charged_units, used_fraction)
+        )
 
     def cancel(self, delivery: Delivery) -> None:
-        """Stop waiting for a delivery; its end follows as an event."""
+        """Cancel a delivery, if it is still in flight; `DeliveryEnded` follows."""
         if delivery in self.delivery_tasks:
             self.delivery_tasks[delivery].cancel()
 
     async def _deliver(self, delivery: Delivery, request: Request) -> None:
-        """Send it, and end with exactly one event, whatever comes."""
+        """Send a delivery and report its end with exactly one event, even after an unexpected error."""
         attempt = SendAttempt(delivery.backend, self, delivery, request)
-        answer: tuple[bytes, dict[str, str]] | None = None
+        response: tuple[bytes, dict[str, str]] | None = None
         load: dict[str, float] | None = None
-        actual: float = 0
-        used: float | None = None
+        charged_units: float = 0
+        used_fraction: float | None = None
         result = Result.CANCELLED
         try:
             remaining_s = (delivery.deadline - self.clock()) / MICROSECONDS_PER_SECOND
-            passed = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's, which is a Mapping
-            headers = [*passed, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
-            status, body, got = await self._exchange(
+            forwarded = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's type is a Mapping
+            headers = [*forwarded, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
+            status, body, response_headers = await self._exchange(
                 attempt,
                 request.method,
                 request.target,
@@ -178,30 +183,37 @@
                 headers=headers,
                 data=request.body or None,
             )
-            answer = (body, {name: got[name] for name in PASSED_BACK if name in got})
-            result = self._result_of_response(status, got)
-            load = load_report(got.get("X-Server-Load"))
-            actual = reported_number(got.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE) or 0
-            used = self._reported_use(got)
+            response = (
+                body,
+                {name: response_headers[name] for name in PASSED_BACK if name in response_headers},
+            )
+            result = self._result_of_response(status, response_headers)
+            load = load_report(response_headers.get("X-Server-Load"))
+            charged_units = (
+                reported_number(response_headers.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE)
+                or 0
+            )
+            used_fraction = self._used_fraction(response_headers)
         except asyncio.CancelledError:
-            pass  # by `cancel`: the event says so
-        except Exception as error:  # noqa: BLE001  whatever it is, the delivery has its end by it
+            pass  # by `cancel`; the result is `CANCELLED` already
+        except Exception as error:  # noqa: BLE001  any error ends the delivery with an event
             result = self._result_of_error(error, attempt)
         finally:
             pool = self.pools.get(delivery.backend)
             if (
-                answer is None
+                response is None
                 and delivery.overdue
                 and pool is not None
                 and pool.last_response_at < delivery.sent_at
             ):
-                # Silent for all that time: other connections kept from before would each cost a delivery.
+                # The backend sent nothing for the whole time: other idle connections may be dead too, and
+                # each would cost a delivery.
                 self.retire_pools(delivery.backend)
-            at = None if answer is None else attempt.finished_at()
-            self._report_end(delivery, result, answer, load, actual, used, at)
+            ended_at = None if response is None else attempt.finished_at()
+            self._report_end(delivery, result, response, load, charged_units, used_fraction, ended_at)
 
-    def _reported_use(self, headers: Mapping[str, str]) -> float | None:
-        """The fraction of its quota that the customer has used, where answers tell it."""
+    def _used_fraction(self, headers: Mapping[str, str]) -> float | None:
+        """The fraction of its quota that the customer has used, if responses report it."""
         if not self.settings["meter_period"]:
             return None
         percent = reported_number(headers.get("Api-Used"), MAX_USED_PERCENT)
@@ -210,9 +222,9 @@
     async def _exchange(
         self, attempt: SendAttempt, method: str, target: str, timeout_s: float, **options: Any
     ) -> BackendResponse:
-        """One request on one connection; another connection is taken only before its first byte.
+        """Send one request and return its response; another connection is tried only before the first byte.
 
-        Raises `NothingWritten`, `TimeoutError` after `timeout_s` seconds, or what aiohttp's client raises.
+        Raises `NothingWritten`, `TimeoutError` after `timeout_s` seconds, or any error of aiohttp's client.
         """
         pool = self.pool_for(attempt.backend)
         if pool is None or timeout_s <= 0:
@@ -225,7 +237,7 @@
                 while True:
                     try:
                         return await self._send_request(pool, attempt, method, target, **options)
-                    except StaleConnection:  # another connection, perhaps a new one
+                    except StaleConnection:  # try another connection, or a new one
                         attempt.finish_connecting()
                     except ReuseDelayPending:
                         await asyncio.sleep(REUSE_DELAY_S)
@@ -238,10 +250,11 @@
     async def _send_request(
         pool: ConnectionPool, attempt: SendAttempt, method: str, target: str, **options: Any
     ) -> BackendResponse:
-        """One request and its complete answer.
+        """Send a request on one connection and read the complete response.
 
-        The answer has to tell where it ends (RFC 9112, section 6.3): one that ends with its connection cannot
-        be told from one that was cut off. Raises `ClientPayloadError` where it does not, or is too long.
+        The response must state its length or be chunked (RFC 9112, section 6.3): a response that is delimited
+        by the end of the connection cannot be told from a truncated one. Raises `ClientPayloadError` if it is
+        not delimited, or too long.
         """
         async with pool.session.request(
             method,
@@ -252,14 +265,14 @@
         ) as response:
             length = response.content_length
             if length is None and response.headers.get("Transfer-Encoding") != "chunked":
-                raise aiohttp.ClientPayloadError("nothing tells where it ends")
+                raise aiohttp.ClientPayloadError("the response has neither a length nor chunked encoding")
             if (length or 0) > LONGEST_BODY:
-                raise aiohttp.ClientPayloadError("longer than the protocol allows")
+                raise aiohttp.ClientPayloadError("the response is longer than the protocol allows")
             body = bytearray()
             async for chunk in response.content.iter_any():
                 body += chunk
-                if len(body) > LONGEST_BODY:  # one that never ends would fill the memory
-                    raise aiohttp.ClientPayloadError("longer than the protocol allows")
+                if len(body) > LONGEST_BODY:  # an endless response would exhaust the memory
+                    raise aiohttp.ClientPayloadError("the response is longer than the protocol allows")
         now = attempt.backend_client.clock()
         attempt.completed_at = now
         pool.last_response_at = now
@@ -268,7 +281,7 @@
 
     @staticmethod
     def _result_of_response(status: int, headers: Mapping[str, str]) -> Result:
-        """How a delivery ended, by its answer; only a backend that says so has not processed it."""
+        """The result of a delivery by its response; it is unprocessed only if the backend states so."""
         if status == OK:
             return Result.SUCCEEDED
         if status in NOT_PROCESSED_STATUSES and headers.get("X-Not-Processed") == "1":
@@ -277,7 +290,7 @@
 
     @staticmethod
     def _result_of_error(error: Exception, attempt: SendAttempt) -> Result:
-        """How an attempt without an answer ended; once a byte may have been written, it may have run."""
+        """The result of an attempt without a response; after a write it may have been processed."""
         if isinstance(error, SendNotAllowed):
             return Result.VOID
         if not attempt.write_started:
@@ -287,25 +300,25 @@
     # Probes.
 
     def probe(self, backend: BackendState) -> None:
-        """Probe a backend; `BackendProbed` follows."""
+        """Start a probe of a backend, which ends with a `BackendProbed` event."""
         counters["probes"] += 1
         self._track(asyncio.create_task(self._probe(backend)))
 
     async def _probe(self, backend: BackendState) -> None:
-        """Ask a backend for its load, or only whether it is there; end with exactly one event."""
-        has_report = self.settings["load_reports"] != "none"
+        """Request a backend's load report, or only a ping; report the end with exactly one event."""
+        expects_load = self.settings["load_reports"] != "none"
         attempt = SendAttempt(backend, self)
         result = Result.CANCELLED
         load: dict[str, float] | None = None
-        sent = self.clock()
+        started_at = self.clock()
         timeout_s = self.settings["connect_timeout"] / MICROSECONDS_PER_SECOND
         try:
-            path = LOAD_PATH if has_report else PING_PATH
+            path = LOAD_PATH if expects_load else PING_PATH
             status, body, _ = await self._exchange(attempt, "GET", path, timeout_s)
             result = Result.SUCCEEDED if status == OK else Result.ERRORED
-            load = load_report(body) if has_report and status == OK else None
-        except Exception as error:  # noqa: BLE001  whatever it is, the probe has its end by it
+            load = load_report(body) if expects_load and status == OK else None
+        except Exception as error:  # noqa: BLE001  any error ends the probe with an event
             result = self._result_of_error(error, attempt)
         finally:
-            at = attempt.finished_at() if result is Result.SUCCEEDED else self.clock()
-            self.queue.put_nowait(BackendProbed(backend, result, at - sent, load))
+            ended_at = attempt.finished_at() if result is Result.SUCCEEDED else self.clock()
+            self.queue.put_nowait(BackendProbed(backend, result, ended_at - started_at, load))
--- a/kestrelbend/gateway/net/connection_pool.py
+++ b/kestrelbend/gateway/net/connection_pool.py
@@ -1,9 +1,9 @@
-"""The pool of connections to one backend at one address, and how long each rests after an answer.
+"""The pool of connections to one endpoint of a backend, and the delay before a connection is reused.
 
-aiohttp's client is kept from three things: it hands a connection out again at once after an answer, its
-reader takes whatever comes next for the next answer, and it sends a GET again when a kept connection breaks.
-The names of its inside that this rests on are checked when a pool is made, so that a release without them is
-noticed.
+Three behaviours of aiohttp's client are overridden: it reuses a connection immediately after a response,
+its reader takes any further bytes for the next response, and it resends a GET when a kept-alive connection
+breaks. The overrides use private names of aiohttp, which are checked when a pool is created, so that a
+release without them is noticed.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class DelayedReuseConnector(aiohttp.TCPConnector):
-    """Keeps a connection out of use for a moment after an answer, as long as its backend is not trusted, and
-    after an early answer as long as that is in doubt.
+    """Delays the reuse of a connection after a response.
 
-    `resting`: how many connections are kept out of use now.
+    A delay is applied while the backend's reuse history requires one, and after an early response until it
+    is certain which request that response belongs to. `delayed_count`: connections in their reuse delay now.
     """
 
     def __init__(self, reuse_history: ReuseHistory, **options: Any) -> None:
@@ -39,7 +39,7 @@
         self.delayed_count = 0
 
     def _release(self, key: ConnectionKey, protocol: Any, *, should_close: bool = False) -> None:
-        """Take a connection back; overrides aiohttp's. `protocol` is an `Answers`."""
+        """Return a connection to the pool; overrides aiohttp's method. `protocol` is an `Answers`."""
         needs_delay = self.reuse_history.remaining_delays or protocol.proof is not None
         if should_close or protocol.should_close or not needs_delay:
             protocol.released()
@@ -48,14 +48,16 @@
             self.delayed_count += 1
             self._loop.call_later(REUSE_DELAY_S, self._end_reuse_delay, key, protocol)
 
-    def _end_reuse_delay(self, key: ConnectionKey, protocol: Any, turns: int = MAX_LOOP_ITERATIONS) -> None:
-        """Its moment is over: it is free, or was ended meanwhile.
+    def _end_reuse_delay(
+        self, key: ConnectionKey, protocol: Any, iterations: int = MAX_LOOP_ITERATIONS
+    ) -> None:
+        """Release a connection after its reuse delay; it may have been closed meanwhile.
 
-        After a stall of this gateway the timer comes before what lies unread: that is read first, in as many
-        as `turns` turns of the loop.
+        After a stall of this process the timer fires before pending input is read. That input is read first,
+        within up to `iterations` iterations of the loop.
         """
-        if turns and protocol.is_connected() and protocol.unread():
-            self._loop.call_later(LOOP_ITERATION_S, self._end_reuse_delay, key, protocol, turns - 1)
+        if iterations and protocol.is_connected() and protocol.unread():
+            self._loop.call_later(LOOP_ITERATION_S, self._end_reuse_delay, key, protocol, iterations - 1)
             return
         self.delayed_count -= 1
         was_quiet = protocol.is_connected() and not protocol.should_close and not protocol.unread()
@@ -66,20 +68,21 @@
 
 
 class ConnectionPool:
-    """The connections to one backend at one address (`endpoint`, host:port).
+    """The connections to one endpoint (host:port) of a backend.
 
-    `users`: requests that use it now. `heard`: when the last answer was complete, in microseconds of the
-    gateway's clock. `retired`: the backend is elsewhere or gone; the pool is closed with its last user.
-    `settings`: the gateway's; `idle_close` and `connect_timeout` are read, in microseconds.
+    `users`: requests that use the pool now. `last_response_at`: when the last response was complete, in
+    microseconds of the gateway's clock. `retired`: the pool is no longer used for new requests and is closed
+    after its last one. `settings`: the gateway's; `idle_close` and `connect_timeout` are read, in
+    microseconds.
     """
 
     def __init__(self, endpoint: str, settings: Mapping[str, Any], reuse_history: ReuseHistory) -> None:
         connect_timeout = settings["connect_timeout"] / MICROSECONDS_PER_SECOND
-        # Closed here before the far side's machine does: what is written after that would be lost.
-        idle = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_PER_SECOND
+        # Idle connections are closed before the backend's host closes them: a later write would be lost.
+        idle_timeout = (settings["idle_close"] - 2 * settings["connect_timeout"]) / MICROSECONDS_PER_SECOND
         check_invariant(hasattr(aiohttp.TCPConnector, "_release"), "client_keeps_connections_back")
         self.connector = DelayedReuseConnector(
-            reuse_history, limit=0, keepalive_timeout=max(0.0, idle), happy_eyeballs_delay=None
+            reuse_history, limit=0, keepalive_timeout=max(0.0, idle_timeout), happy_eyeballs_delay=None
         )
         check_invariant(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
         factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, reuse_history)
@@ -93,7 +96,7 @@
             trace_configs=[trace_config()],
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout),
         )
-        # It would send a GET again by itself when a kept connection breaks; each sending is a delivery.
+        # aiohttp would resend a GET when a kept-alive connection breaks; each resend must be a delivery.
         check_invariant(hasattr(self.session, "_retry_connection"), "client_resends_can_be_stopped")
         self.session._retry_connection = False
         self.endpoint = endpoint
--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -1,9 +1,9 @@
 """Client of the counter service: `CNT.ADD name amount lifetime_ms` over RESP2, version 2 of Redis's protocol.
 
-The service answers each call with the total of the counter that `name` names, as text, or with an error.
-Answers come in the order of the calls on their connection, and nothing else ties an answer to its call: after
-an answer that cannot be read the connection is aborted. A call that was written may have been added, whatever
-comes of it; only one that was never written, or that the service rejects, certainly was not.
+The service replies to each call with the new total of the counter `name`, as text, or with an error. Replies
+arrive in the order of the calls on a connection, and nothing else matches a reply to its call: after a reply
+that cannot be parsed the connection is aborted. A call that was written may have been added, whatever its
+result; only a call that was never written, or that the service rejects, certainly was not added.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 from .metrics import counters
 
 MAX_CONNECTIONS: Final = 8
-LOOP_ITERATION_S: Final = 0.001  # the loop reads its sockets once before a timer so far off
+LOOP_ITERATION_S: Final = (
+    0.001  # the event loop reads its sockets at least once before a timer this far in the future
+)
 MICROSECONDS_PER_SECOND: Final = 1e6
 MICROSECONDS_PER_MS: Final = 1000
 AMOUNT_DECIMALS: Final = 6
@@ -28,12 +30,12 @@
 Address = tuple[str, int]
 """Host and port, as asyncio takes them."""
 
-# By the first word of an error reply; after any other one it is unknown whether the call was added.
+# By the first word of an error reply; after any other error it is unknown whether the call was added.
 RESULT_BY_ERROR: Final = {"BUSY": Result.REJECTED, "ERR": Result.UNREACHABLE}
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection: the calls written on it and not answered, and those that wait for it to come up."""
+    """One connection, with its unanswered calls and the calls that wait until it is established."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -45,14 +47,14 @@
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the calls that waited for the connection."""
+        """Write the calls that were waiting for the connection."""
         self.transport = cast(asyncio.Transport, transport)
         for call in self.waiting:
             self.write(call)
         self.waiting.clear()
 
     def write(self, call: CounterCall) -> None:
-        """Send a call, once the connection is established; a call that ended meanwhile is not sent."""
+        """Write a call once the connection is established, unless the call has ended by then."""
         if self.transport is None:
             self.waiting.append(call)
         elif not call.done:
@@ -61,13 +63,13 @@
             self.transport.write(call.request)
 
     def data_received(self, data: bytes) -> None:
-        """Match replies with the pending calls, oldest first; abort at one that cannot be matched or read."""
+        """Match replies with the pending calls, oldest first; abort if a reply is unexpected or invalid."""
         assert self.transport is not None
         self.last_received_at = asyncio.get_running_loop().time()
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
-                # After what is no answer to a call, which answer is whose can no longer be told.
+                # After an unexpected reply, later replies can no longer be matched with their calls.
                 if not self.pending or not self.pending.popleft().handle_reply(reply):
                     self.transport.abort()
                     return
@@ -75,20 +77,21 @@
             self.transport.abort()
 
     def connection_lost(self, _: Exception | None = None) -> None:
-        """End all calls: as timed out those that were written, as unreachable the others."""
+        """End all calls: those that were written as timed out, the others as unreachable."""
         self.closed = True
         for call in self.pending:
-            call.end(Result.TIMED_OUT)  # written completely: it may have been added
+            call.end(Result.TIMED_OUT)  # it was written and may have been added
         for call in self.waiting:
             call.end(Result.UNREACHABLE)
         self.pending.clear()
         self.waiting.clear()
 
     def is_usable(self, now: float, silence_timeout: float, address: Address | None) -> bool:
-        """Whether new calls may go on it; one that is of no use any more is closed.
+        """Whether new calls may use this connection; one that is no longer needed is closed.
 
-        Not one that ended, nor one that has been silent for `silence_timeout` seconds with calls out: a fresh
-        connection may be answered. One to a former address of the service stays for the calls out on it.
+        A connection is unusable if it is closed, or if it received nothing for `silence_timeout` seconds
+        while calls were pending: a new connection may get replies. A connection to a former address of the
+        service stays open for its unfinished calls.
         """
         if self.address != address and not self.unfinished_calls():
             if self.transport is not None:
@@ -97,24 +100,24 @@
         if self.closed or self.transport is not None and self.transport.is_closing():
             return False
         if self.pending and now - max(self.last_received_at, self.pending[0].started_at) > silence_timeout:
-            assert self.transport is not None  # calls are pending once they are written
+            assert self.transport is not None  # only written calls are pending
             self.transport.abort()
             return False
         return True
 
     def unfinished_calls(self) -> int:
-        """How many calls are out on it or wait for it."""
+        """How many calls await a reply or wait for the connection."""
         return len(self.pending) + len(self.waiting)
 
     def has_call_for(self, name: object) -> bool:
-        """Whether a call for this counter has not ended on it."""
+        """Whether a call for this counter is unfinished on this connection."""
         return any(call.name == name and not call.done for call in (*self.pending, *self.waiting))
 
 
 class CounterCall:
-    """One `CNT.ADD`: it ends once, by its answer, its timeout or the end of its connection.
+    """One `CNT.ADD` call, which ends exactly once: by its reply, its timeout or the loss of its connection.
 
-    Its end goes to the owner's queue as the event `("counted", name, result, total)`.
+    The end is reported to the owner's queue as a `CounterReplied` event.
     """
 
     __slots__ = ("done", "name", "request", "client", "started_at", "timer")
@@ -129,35 +132,35 @@
         self.timer = loop.call_later(client.call_timeout, self.end, Result.UNREACHABLE)
 
     def mark_written(self) -> None:
-        """From now on a timeout leaves open whether the call was added."""
+        """Note that the call is being written: after a timeout it may have been added."""
         self.timer.cancel()
         deadline = self.started_at + self.client.call_timeout
         self.timer = asyncio.get_running_loop().call_at(deadline, self.on_deadline)
 
     def on_deadline(self) -> None:
-        """Time out, but after one more turn of the loop.
+        """Time out after one more iteration of the loop.
 
-        After a stall of this gateway the timer comes before what lies unread: that is read first.
+        After a stall of this process the timer fires before pending input is read; that input is read first.
         """
         self.timer = asyncio.get_running_loop().call_later(LOOP_ITERATION_S, self.end, Result.TIMED_OUT)
 
     def handle_reply(self, reply: object) -> bool:
-        """End by this reply; False: it cannot be read, and the connection's order of answers is in doubt."""
+        """End the call by its reply; return False if the reply is invalid, so that the order is in doubt."""
         if isinstance(reply, hiredis.ReplyError):
             known = RESULT_BY_ERROR.get(str(reply).partition(" ")[0])
             self.end(known or Result.TIMED_OUT)
             return known is not None
         try:
-            total = float(reply)  # type: ignore[arg-type]  # anything: what is no number is caught
+            total = float(reply)  # type: ignore[arg-type]  # any object; a conversion error is caught
         except (TypeError, ValueError):
             total = math.nan
-        # What is no number may have been added.
+        # After a reply that is not a number the call may have been added.
         readable = math.isfinite(total)
         self.end(Result.SUCCEEDED if readable else Result.TIMED_OUT, total if readable else 0.0)
         return readable
 
     def end(self, result: Result, total: float = 0.0) -> None:
-        """Report the outcome; only the first one counts. `total`: the counter's value after this call."""
+        """Report the result, unless one was reported before. `total`: the counter's value after the call."""
         if not self.done:
             self.done = True
             self.timer.cancel()
@@ -166,10 +169,10 @@
 
 
 class CounterClient:
-    """The counter service as one gateway reaches it; the outcome of each call comes as an event of `queue`.
+    """One gateway's client of the counter service; the result of each call is an event on `queue`.
 
-    `address`: where it is, None where there is none: its calls end as unreachable. `settings`: the gateway's;
-    `connect_timeout` is read. `call_timeout`: microseconds, from the call on.
+    `address`: of the service; if None, calls end as unreachable. `settings`: the gateway's; only
+    `connect_timeout` is read. `call_timeout`: in microseconds, from the start of a call.
     """
 
     def __init__(
@@ -182,7 +185,7 @@
         self.queue = queue
         self.address = address
         self.connections: list[CounterConnection] = []
-        # In seconds.
+        # Timeouts in seconds.
         self.call_timeout = call_timeout / MICROSECONDS_PER_SECOND
         self.connect_timeout = settings["connect_timeout"] / MICROSECONDS_PER_SECOND
         self.silence_timeout = max(self.connect_timeout, 2 * self.call_timeout)
@@ -200,25 +203,29 @@
             self._connection_for(name, self.address).write(call)
 
     def set_address(self, address: Address | None) -> None:
-        """The service is at another address now; what is out ends where it was sent."""
+        """Use another address of the service from now on; unfinished calls stay on their connections."""
         self.address = address
 
     def _connection_for(self, name: object, address: Address) -> CounterConnection:
-        """The connection for a call; a new one where all are busy and there may be one more.
+        """Choose the connection for a call; open a new one if all are busy and the limit allows it.
 
-        Answers come in the order of the calls, so that one to a slow part of the service holds up all behind
-        it: calls take free connections, but those for one name stay behind one another.
+        Replies arrive in the order of the calls, so a call to a slow part of the service delays all calls
+        behind it. Calls therefore use idle connections, but calls for one counter stay on one connection.
         """
         now = asyncio.get_running_loop().time()
         self.connections = [
-            one for one in self.connections if one.is_usable(now, self.silence_timeout, address)
+            connection
+            for connection in self.connections
+            if connection.is_usable(now, self.silence_timeout, address)
         ]
         for connection in self.connections:
             if connection.has_call_for(name):
                 return connection
-        current = [one for one in self.connections if one.address == address]
-        # One whose oldest call is past its time may have fallen silent: what can goes elsewhere.
-        ready = [one for one in current if not (one.pending and one.pending[0].done)]
+        current = [connection for connection in self.connections if connection.address == address]
+        # A connection whose oldest call has timed out may be dead: other connections are preferred.
+        ready = [
+            connection for connection in current if not (connection.pending and connection.pending[0].done)
+        ]
         chosen = min(ready or current, key=CounterConnection.unfinished_calls, default=None)
         if chosen is None or (not ready or chosen.unfinished_calls()) and len(current) < MAX_CONNECTIONS:
             chosen = CounterConnection(address)
@@ -229,7 +236,7 @@
         return chosen
 
     async def _connect(self, connection: CounterConnection) -> None:
-        """Establish a connection, or end the calls that wait for it as unreachable."""
+        """Establish a connection; if that fails, end the calls that wait for it as unreachable."""
         try:
             async with asyncio.timeout(self.connect_timeout):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *connection.address)
--- a/kestrelbend/gateway/net/datagrams.py
+++ b/kestrelbend/gateway/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: each becomes a `DatagramReceived` on the owner's queue."""
+"""Receives UDP datagrams from other gateways as `DatagramReceived` events on the owner's queue."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """The protocol of one UDP socket; `transport` is None until it is open."""
+    """The asyncio protocol of one UDP socket; `transport` is None until the socket is open."""
 
     def __init__(self, queue: asyncio.Queue[Any]) -> None:
         self.queue = queue
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to send by."""
+        """Keep the transport for sending."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
-        """Hand a datagram to the owner, who reads it."""
+        """Queue a datagram for the owner, which decodes it."""
         self.queue.put_nowait(DatagramReceived(source, data))
 
     def error_received(self, _: Exception) -> None:
-        """Count a datagram that could not be sent: the peer's machine says so later, if at all."""
+        """Count a failed send; the ICMP error of the peer's host arrives later, if at all."""
         counters["peer_send_failed"] += 1
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -1,11 +1,11 @@
-"""Endpoint discovery: asks the discovery service for its complete list, then watches it for changes.
+"""Endpoint discovery: requests the complete list of the discovery service, then watches it for changes.
 
-An answer is JSON: `rev` (the version), `all` (whether it is complete, else the changes since a version) and
-`targets` (the backends). Versions order the answers; changes of an older version are never taken, for they
-may bring back a backend that has departed.
+A response is JSON: `rev` (the version), `all` (whether the list is complete; if not, it holds the changes
+since a version) and `targets` (the backends). Responses are ordered by version; changes of an older version
+are never applied, since they could bring back a departed backend.
 
-Invariant: whoever `on_received` names has seen a list before it stands in the queue, so that no first byte of
-a request goes to a backend that a list already read takes off or moves.
+Invariant: `on_received` is called with a list before the list's event is queued, so that no new request is
+written to a backend that a list already received removes or moves.
 """
 
 from __future__ import annotations
@@ -31,13 +31,15 @@
     EndpointState.GONE,
     EndpointState.DRAINING,
     EndpointState.READY,
-)  # the least is asked of the first
-WATCH_MS: Final = 2000  # a watch waits so long at discovery
-HEDGE_AFTER_S: Final = 0.75  # beyond that, until a call without answer is hedged; then twice as long
-CALL_TIMEOUT_S: Final = 3.0  # a call, whatever it says by then
-RETRY_INTERVAL_S: Final = 0.1  # between failed calls
-FIRST_LIST_TIMEOUT_S: Final = 0.3  # a start waits so long for the first list
-COMPLETE_INTERVAL_S: Final = 4.0  # after a complete list, the next one is asked for, whatever the watch tells
+)  # of two entries for one backend, the state that comes first here is applied
+WATCH_MS: Final = 2000  # how long a watch may wait for changes at the discovery service
+HEDGE_AFTER_S: Final = (
+    0.75  # a call is hedged this long after its expected wait; later ones after twice as long
+)
+CALL_TIMEOUT_S: Final = 3.0  # limit of a call, even if data still arrives
+RETRY_INTERVAL_S: Final = 0.1  # delay after a failed call
+FIRST_LIST_TIMEOUT_S: Final = 0.3  # how long startup waits for the first list
+COMPLETE_INTERVAL_S: Final = 4.0  # a complete list is requested this often, whatever a watch reports
 MICROSECONDS_PER_MS: Final = 1000
 DEFAULT_WEIGHT: Final = 1.0
 LIST_FAULT_COUNTERS: Final = ("unreadable_rows", "doubled_rows")
@@ -45,53 +47,53 @@
 
 
 class EndpointRow(NamedTuple):
-    """One backend of a list, in the order of fields that the gateway's decisions take."""
+    """One backend of a list; the order of the fields is that of `hosting.EndpointRow`."""
 
     uid: str
     zone: str
     model: str
-    group: Any  # as received: a number that means the same backends' group
+    group: Any  # as received; equal values denote one group of backends
     state: EndpointState
     weight: float  # relative capacity
-    started_at: int  # Unix time in microseconds; 0: not stated
+    started_at: int  # start of its process, Unix time in microseconds; 0 if not stated
 
 
 class EndpointList(NamedTuple):
-    """One answer of discovery: all backends if `complete`, else those that changed."""
+    """One response of discovery: all backends if `complete`, otherwise those that changed."""
 
     version: int
     complete: bool
     rows: list[EndpointRow]
-    endpoints: dict[str, str]  # host:port by backend, where it is stated
+    endpoints: dict[str, str]  # host:port by backend, if stated
 
 
 class KnownBackend(NamedTuple):
-    """What was last said of a backend that is not gone."""
+    """The latest entry for a backend that is not gone."""
 
     row: EndpointRow
     endpoint: str | None
 
 
-def parse_endpoint_list(answer: Any) -> EndpointList:
-    """One answer in discovery's form, decoded from JSON; raises `Malformed` where it is not a list at all.
+def parse_endpoint_list(response: Any) -> EndpointList:
+    """Parse a decoded JSON response of discovery; raises `Malformed` if it is not a list at all.
 
-    An entry that cannot be read is left out and counted: the rest of the list must not wait for its repair.
-    But that a backend drains or is gone holds, whatever else its entry lacks. Of two entries for one backend
-    the one that asks for less is taken (rule 3).
+    An invalid entry is skipped and counted, so that it does not block the rest of the list. A state of
+    draining or gone is applied even if other fields of the entry are invalid. Of two entries for one backend
+    the one with the more restrictive state is applied (rule 3).
     """
     try:
-        version = int(answer["rev"])
-        complete = bool(answer["all"])
-        raw_entries = list(answer["targets"])
+        version = int(response["rev"])
+        complete = bool(response["all"])
+        raw_entries = list(response["targets"])
     except (KeyError, TypeError, ValueError) as error:
         raise Malformed(f"discovery: {type(error).__name__}: {error}") from None
     rows: dict[str, EndpointRow] = {}
     endpoints: dict[str, str] = {}
     for entry in raw_entries:
-        read = _parse_entry(entry)
-        if read is None:
+        parsed = _parse_entry(entry)
+        if parsed is None:
             continue
-        row, endpoint = read
+        row, endpoint = parsed
         if row.uid in rows:
             counters["doubled_rows"] += 1
             if STATES_BY_PRECEDENCE.index(rows[row.uid].state) <= STATES_BY_PRECEDENCE.index(row.state):
@@ -103,7 +105,7 @@
 
 
 def _parse_entry(entry: Any) -> KnownBackend | None:
-    """One entry of a list; None: of no use, which is counted."""
+    """Parse one entry of a list; return None if it is unusable. Invalid entries are counted."""
     try:
         uid = str(entry["uid"])
         state = STATES[entry["state"]]
@@ -130,10 +132,10 @@
 
 
 class EndpointDiscovery:
-    """Follows the discovery service at `address` (host:port) and puts what is new on the owner's queue.
+    """Watches the discovery service at `address` (host:port) and reports changes on the owner's queue.
 
-    The events are `EndpointsReceived` and, when discovery stops answering, `DiscoveryFailed`.
-    `on_received` is called with each list before it stands in the queue.
+    The events are `EndpointsReceived` and, when discovery stops responding, `DiscoveryFailed`. `on_received`
+    is called with each list before its event is queued.
     """
 
     def __init__(
@@ -147,21 +149,21 @@
         self.on_received = on_received
         self.session: aiohttp.ClientSession | None = None
         self.watch_task: asyncio.Task[None] | None = None
-        self.first_call_done = asyncio.Event()  # discovery has answered once, or does not
+        self.first_call_done = asyncio.Event()  # set once the first call has succeeded or failed
         self._reset()
         self.logged_faults = dict.fromkeys(LIST_FAULT_COUNTERS, 0)
         self.is_empty = False
 
     def _reset(self) -> None:
-        """Know nothing of the list: the next call asks for all of it."""
+        """Forget the list; the next call requests the complete list."""
         self.version: int | None = None
         self.query_since: int | None = None  # version to request changes since; None: the complete list
         self.last_complete_at: float | None = None  # loop time of the last complete list
         self.known: dict[str, KnownBackend] = {}
-        self.received_older = False  # a complete list of an older version came just now
+        self.received_older = False  # the last response was a complete list of an older version
 
     def _log_list_faults(self, received: EndpointList) -> None:
-        """Say once what is odd about a list; it is served on with the rest, and with what was known."""
+        """Log new faults of a list once; the valid entries and the earlier ones stay in use."""
         for name, logged in self.logged_faults.items():
             if counters[name] and not logged:
                 log.warning("discovery lists what cannot be used", extra={name: counters[name]})
@@ -171,25 +173,25 @@
             log.warning("discovery lists no backend" if self.is_empty else "discovery lists backends again")
 
     def set_address(self, address: str) -> None:
-        """Discovery is at another address now: its complete list is asked for at once."""
+        """Use another address of discovery, and request its complete list at once."""
         if address != self.service_address:
             self.service_address = address
             self._reset()
             if self.watch_task is not None:
-                self.watch_task.cancel()  # with its calls; what one of them answers now is not taken
+                self.watch_task.cancel()  # cancels its calls too; their responses are ignored
                 self.watch_task = None
             self.watch()
 
     def watch(self) -> None:
-        """Follow discovery, if that is not done already."""
+        """Start watching discovery, unless it is being watched."""
         if self.watch_task is None or self.watch_task.done():
             self.watch_task = asyncio.create_task(self._watch_forever())
 
     async def _watch_forever(self) -> None:
-        """Ask again and again, for ever.
+        """Call discovery again and again, without end.
 
-        A watch goes on while the next call comes within 200 ms of the last answer; the answer is handed over
-        first, which takes no time here.
+        Discovery keeps a watch alive if the next call arrives within 200 ms of the last response; passing the
+        response on first takes a negligible time.
         """
         if self.session is None:
             self.session = _open_session()
@@ -199,7 +201,7 @@
             called_at = loop.time()
             try:
                 received = await self._call_hedged(self.session)
-            except Exception as error:  # noqa: BLE001  whatever discovery says, it is asked again
+            except Exception as error:  # noqa: BLE001  any error is retried
                 counters["discovery_failed"] += 1
                 self.first_call_done.set()
                 if not is_failing:
@@ -216,10 +218,12 @@
             is_new = self.apply(received)
             self.first_call_done.set()
             if not is_new and loop.time() - called_at < RETRY_INTERVAL_S:
-                await asyncio.sleep(RETRY_INTERVAL_S)  # an answer at once that says nothing, perhaps for ever
+                await asyncio.sleep(
+                    RETRY_INTERVAL_S
+                )  # discovery responds at once without changes, maybe repeatedly
 
     async def wait_for_first_response(self) -> None:
-        """Wait until discovery has told its list, or says nothing; `FIRST_LIST_TIMEOUT_S` at most."""
+        """Wait until the first call has succeeded or failed, `FIRST_LIST_TIMEOUT_S` at most."""
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await self.first_call_done.wait()
@@ -227,11 +231,11 @@
             pass
 
     async def _call_hedged(self, session: aiohttp.ClientSession) -> EndpointList:
-        """The first answer to any call; raises what the first failed call raised, once none is out any more.
+        """Return the first response to any call; once all calls have failed, raise the first error.
 
-        A call without answer in its time is hedged by one on another connection, and so on, so that no call
-        holds up what the next one would tell. (Seen in the code: a silent watch and a silent connect, one
-        after the other, took 6.1 s.)
+        A call without a timely response is hedged by a call on another connection, and so on, so that no
+        stuck call delays the next one. (Without hedging, a stuck watch followed by a stuck connect delayed a
+        change by 6.1 s.)
         """
         calls: list[asyncio.Task[EndpointList]] = []
         hedge_after = HEDGE_AFTER_S
@@ -247,19 +251,19 @@
                         return task.result()
                     calls.remove(task)
                 if not calls:
-                    assert errors[0] is not None  # an answer was returned above
+                    assert errors[0] is not None  # a success was returned above
                     raise errors[0]
                 if done:
                     await asyncio.sleep(RETRY_INTERVAL_S)
                 else:
                     hedge_after = 2 * HEDGE_AFTER_S
         finally:
-            for task in calls:  # what is overtaken says nothing new
+            for task in calls:  # their responses are no longer needed
                 if not task.cancel() and not task.cancelled():
-                    task.exception()  # nor how it failed
+                    task.exception()  # marks the error as retrieved
 
     async def _call(self, session: aiohttp.ClientSession, wait_ms: int) -> EndpointList:
-        """One call, by which changes are waited for so many milliseconds."""
+        """Make one call; discovery waits for changes up to `wait_ms` milliseconds."""
         query = "" if self.query_since is None else f"?since={self.query_since}&timeout_ms={wait_ms}"
         url = f"http://{self.service_address}/catalog/members{query}"
         async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -270,12 +274,12 @@
         return parse_endpoint_list(json.loads(text))
 
     def apply(self, received: EndpointList) -> bool:
-        """Hand a list on, in the order of versions; False: it says nothing new.
+        """Pass a list on if its version is not older than the last one; return False if nothing changed.
 
-        Changes up to a version before the last are none: the complete list is asked for. A complete list of
-        such a version may be that of a part of discovery that lags; it is taken when it is told again, since
-        its numbers may begin anew. A watch may lose what it watches and say nothing of it: now and then the
-        complete list is asked for.
+        Changes of an older version are ignored, and the complete list is requested. A complete list of an
+        older version may come from a discovery instance that lags behind. It is applied if a second one
+        follows, since discovery may have restarted its version numbers. Since a watch may stop reporting
+        changes without an error, a complete list is requested every `COMPLETE_INTERVAL_S`.
         """
         version = received.version
         complete = received.complete
@@ -285,8 +289,8 @@
             self.query_since = None
             return False
         known = _merge({} if complete else self.known, received)
-        has_news = version != self.version and (complete or bool(received.rows))
-        is_new = known != self.known or has_news
+        has_changes = version != self.version and (complete or bool(received.rows))
+        is_new = known != self.known or has_changes
         now = asyncio.get_running_loop().time()
         if complete or self.last_complete_at is None:
             self.last_complete_at = now
@@ -301,13 +305,13 @@
 
 
 def _open_session() -> aiohttp.ClientSession:
-    # What is kept idle beside the watch may have fallen silent with it: it goes soon.
+    # A connection that is idle beside a stuck watch may be dead as well: idle connections are closed early.
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=HEDGE_AFTER_S, happy_eyeballs_delay=None)
     return aiohttp.ClientSession(connector=connector, trust_env=False, cookie_jar=aiohttp.DummyCookieJar())
 
 
 def _merge(known: Mapping[str, KnownBackend], received: EndpointList) -> dict[str, KnownBackend]:
-    """What is known after a list, without the backends that are gone."""
-    entries_read = {row.uid: KnownBackend(row, received.endpoints.get(row.uid)) for row in received.rows}
-    merged = {**known, **entries_read}
+    """Apply a list to the known backends, without those that are gone."""
+    updates = {row.uid: KnownBackend(row, received.endpoints.get(row.uid)) for row in received.rows}
+    merged = {**known, **updates}
     return {uid: backend for uid, backend in merged.items() if backend.row.state is not EndpointState.GONE}
--- a/kestrelbend/gateway/net/key_value_logging.py
+++ b/kestrelbend/gateway/net/key_value_logging.py
@@ -1,4 +1,4 @@
-"""Logging: structlog renders what the logging module is given, as key=value lines or as JSON lines."""
+"""Logging setup: structlog formats the records of the logging module as key=value lines or JSON lines."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 from .metrics import counters
 
-FIRST_KEYS: Final = ("at", "level", "event")
+LEADING_KEYS: Final = ("at", "level", "event")
 KEY_VALUE: Final = "key-value"
 JSON: Final = "json"
 
 Event = MutableMapping[str, Any]
-"""A log record's keys and values on their way through structlog's processors."""
+"""A log record's keys and values, as structlog's processors pass them on."""
 
 
 class LogFormatter(logging.Formatter):
-    """Formats as `form` says, `key-value` or `json`.
+    """Formats records as `key-value` or `json`.
 
-    The formatter in it is made when the first line is written: loading structlog must not hold up a start.
+    structlog's formatter is created with the first record, so that loading structlog does not delay startup.
     """
 
-    def __init__(self, form: str = KEY_VALUE) -> None:
+    def __init__(self, output_format: str = KEY_VALUE) -> None:
         super().__init__()
-        self.form = form
+        self.output_format = output_format
         self.formatter: logging.Formatter | None = None
 
     def format(self, record: logging.LogRecord) -> str:
-        """One line."""
-        self.formatter = self.formatter or structlog_formatter(self.form)
+        """Format a record as one line."""
+        self.formatter = self.formatter or structlog_formatter(self.output_format)
         return self.formatter.format(record)
 
 
-def structlog_formatter(form: str) -> logging.Formatter:
-    """The formatter that structlog makes for this form."""
+def structlog_formatter(output_format: str) -> logging.Formatter:
+    """Create structlog's formatter for this format."""
     structlog = import_structlog_without_rich()
-    if form == JSON:
+    if output_format == JSON:
         renderer = structlog.processors.JSONRenderer()
     else:
-        renderer = structlog.processors.LogfmtRenderer(key_order=FIRST_KEYS, bool_as_flag=False)
+        renderer = structlog.processors.LogfmtRenderer(key_order=LEADING_KEYS, bool_as_flag=False)
     formatter: logging.Formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.stdlib.add_log_level,
@@ -63,13 +63,13 @@
 
 
 def import_structlog_without_rich() -> ModuleType:
-    """Structlog without rich, which it loads wherever that is installed.
+    """Import structlog without rich, which structlog would import if it is installed.
 
-    The laboratory's command brings it: 3.5 MB and 0.05 s that a gateway has no use for.
+    rich is installed for the lab command; a gateway does not need it, and it costs 3.5 MB and 0.05 s.
     """
     modules: dict[str, Any] = sys.modules
     loaded = modules.get("rich")
-    modules["rich"] = None  # an import of it fails
+    modules["rich"] = None  # makes the import fail
     try:
         import structlog
     finally:
@@ -81,22 +81,22 @@
 
 
 def add_time(_logger: Any, _method: str, event: Event) -> Event:
-    """When the record was made: `at`, in UTC to the millisecond."""
+    """Add the record's creation time as `at`, in UTC with milliseconds."""
     at = datetime.fromtimestamp(event["_record"].created, UTC)
     event["at"] = at.isoformat(timespec="milliseconds").replace("+00:00", "Z")
     return event
 
 
 def rename_exception(_logger: Any, _method: str, event: Event) -> Event:
-    """A trace goes under the name that staff know, `trace`, on one line."""
+    """Rename structlog's `exception` key to `trace`, the documented key for a traceback."""
     if "exception" in event:
         event["trace"] = event.pop("exception")
     return event
 
 
 def order_and_convert(_logger: Any, _method: str, event: Event) -> Event:
-    """Keys in one order, values as text or numbers."""
-    ordered = {key: event.pop(key) for key in FIRST_KEYS if key in event}
+    """Put the keys in a fixed order and convert all values to text or numbers."""
+    ordered = {key: event.pop(key) for key in LEADING_KEYS if key in event}
     ordered.update(event)
     return {
         key: value if isinstance(value, (int, float, str)) else str(value) for key, value in ordered.items()
@@ -104,9 +104,9 @@
 
 
 def drop_malformed_requests(record: logging.LogRecord) -> bool:
-    """A filter of aiohttp's log, which has each request that is no HTTP with a trace.
+    """Filter for aiohttp's log: count malformed HTTP requests instead of logging each with a traceback.
 
-    Its sender gets a 400, which says it all; here it is counted.
+    The sender is told with status 400.
     """
     if not (record.exc_info and isinstance(record.exc_info[1], HttpProcessingError)):
         return True
@@ -114,9 +114,9 @@
     return False
 
 
-def configure(form: str = KEY_VALUE, level: str = "info") -> None:
-    """Log to the standard error in this form, from this level on; a further call replaces the first one's."""
+def configure(output_format: str = KEY_VALUE, level: str = "info") -> None:
+    """Log to standard error in this format, from this level on; replaces any earlier configuration."""
     handler = logging.StreamHandler()
-    handler.setFormatter(LogFormatter(form))
+    handler.setFormatter(LogFormatter(output_format))
     logging.getLogger("aiohttp.server").addFilter(drop_malformed_requests)
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/kestrelbend/gateway/net/metrics.py
+++ b/kestrelbend/gateway/net/metrics.py
@@ -1,6 +1,6 @@
-"""Counters of what the gateway took in, sent and answered; printed on request and at exit.
+"""The gateway's counters, which are logged on request and at exit, and its descriptor limits.
 
-The counters' names are part of what operators see: they do not change.
+Operators rely on the counters' names: they do not change.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 log = logging.getLogger(__name__)
 
 counters: Counter[str] = Counter()
-"""The process's counters by their printed names."""
+"""The counters of the process, by the names under which they are logged."""
 
 
 class DescriptorLimits:
-    """Who may hold how many of the process's descriptors.
+    """Divides the process's file descriptors between client connections and all other uses.
 
-    Half are for clients at most, and a sixteenth for those of them that are half closed; three eighths are
-    always there for the rest, which takes besides what is free, but for the last eighth.
+    Client connections may use at most one half, plus one sixteenth for half-closed ones. Three eighths are
+    reserved for all other uses, which may also take any free descriptor except the last eighth.
 
-    `most`: descriptors that the process may hold; SIGHUP changes it. `clients`: connections of clients.
-    `ending`: those of them that are half closed.
+    `max_descriptors`: how many the process may open; SIGHUP changes it. `client_connections`: how many are
+    open. `half_closed_clients`: how many of those are half-closed.
     """
 
     def __init__(self, max_descriptors: int) -> None:
@@ -33,14 +33,14 @@
 
     @staticmethod
     def open_descriptors() -> int:
-        """How many descriptors are open; as many as can be, where none is left to look with."""
+        """How many descriptors are open; `sys.maxsize` if none is left to list them with."""
         try:
             return len(os.listdir("/proc/self/fd"))
         except OSError:
             return sys.maxsize
 
     def has_room_for_client(self, pending: int = 0) -> bool:
-        """Whether one more client may be accepted after `pending` others."""
+        """Whether one more client may be accepted, besides `pending` others."""
         return (
             self.excess_clients(pending) < 0
             and self.client_connections + pending < self.max_descriptors * 9 // 16
@@ -48,15 +48,15 @@
         )
 
     def excess_clients(self, pending: int = 0) -> int:
-        """Clients beyond their half; negative: how many more there may be."""
+        """How many clients exceed their half; if negative, how many more fit."""
         return self.client_connections - self.half_closed_clients + pending - self.max_descriptors // 2
 
     def has_room_for_other(self, pending: int) -> bool:
-        """Whether one more connection that is no client's may be made after `pending` others."""
-        open_now = self.open_descriptors() + pending
+        """Whether one more connection to another process may be opened, besides `pending` others."""
+        expected = self.open_descriptors() + pending
         return (
-            open_now < self.max_descriptors * 7 // 8
-            or open_now - self.client_connections < self.max_descriptors * 3 // 8
+            expected < self.max_descriptors * 7 // 8
+            or expected - self.client_connections < self.max_descriptors * 3 // 8
         )
 
 
@@ -72,5 +72,5 @@
 
 
 def log_counters() -> None:
-    """Log all counters, in the order of their names."""
+    """Log all counters, sorted by name."""
     log.info("counters", extra=dict(sorted(counters.items())))
--- a/kestrelbend/gateway/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -1,4 +1,4 @@
-"""The UDP side of membership between gateways, and the singleton tasks that rest on it."""
+"""UDP transport of the membership between gateways, and the singleton tasks that are based on it."""
 
 from __future__ import annotations
 
@@ -34,17 +34,19 @@
 NANOSECONDS_PER_MICROSECOND: Final = 1000
 NANOSECONDS_PER_MS: Final = 1_000_000
 MIN_TIMER_US: Final = 1000
-MAX_NAME_PREFIX: Final = 24  # of a gateway's name, in the one that it takes where another has its own
-GENERATION_MASK: Final = 0xFFFFFF  # of the generation, in that name
+MAX_NAME_PREFIX: Final = 24  # characters of a gateway's name that are kept if a name conflict changes it
+GENERATION_MASK: Final = 0xFFFFFF  # the part of the generation that is appended to that name
 
 
 class GatewayMembership:
-    """Belongs to the owner's task.
+    """This gateway's membership, leases and shared probes; used only by the owner's task.
 
-    Hazard: its clock is monotonic, in microseconds, since leases rest on it; a generation is Unix time in
-    milliseconds. `core`: the membership. `voter`, `holders`: leases as this gateway grants them, and the ones
-    that it wants, by task. `probing`: shared probes; None where each gateway probes for itself. `static`: the
-    peers of the configuration, as host:port.
+    Hazard: its clock is monotonic, in microseconds, since leases depend on it; a generation is Unix time in
+    milliseconds.
+
+    `core`: the membership protocol without I/O. `voter`: grants leases to other gateways. `holders`: the
+    leases that this gateway contends for, by task. `probing`: shared probes; None if each gateway probes for
+    itself. `configured_peers`: the peers of the configuration, as host:port.
     """
 
     datagrams: DatagramReceiver
@@ -70,7 +72,7 @@
             max_message_bytes=self.codec.message_bytes(),
         )
         rng = Random(seed)
-        peers = [pack_address(pair) for pair in settings.peers]
+        peers = [pack_address(address) for address in settings.peers]
         self.core = SwimNode(settings.name, self.address, generation, parameters, rng, self.now(), peers)
         self.configured_peers = [f"{host}:{port}" for host, port in settings.peers]
         self.voter = Voter(self.now())
@@ -81,11 +83,11 @@
 
     @staticmethod
     def now() -> int:
-        """Monotonic time in microseconds."""
+        """The monotonic time in microseconds."""
         return time.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
 
     async def start(self) -> None:
-        """Open the socket and join; raises `OSError` where its address cannot be had."""
+        """Open the socket and join the membership; raises `OSError` if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         _, self.datagrams = await loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self.queue), local_addr=self.settings.listen
@@ -95,22 +97,22 @@
     # Events, in the owner's task.
 
     def receive_datagram(self, source: tuple[str | Any, int], data: bytes) -> None:
-        """Take a datagram in; one that is no member's is counted, the first one of a reason logged."""
+        """Process a datagram; invalid ones are counted by reason, and the first of each reason is logged."""
         try:
             message = self.codec.decode(data)
-            at = pack_address(source)
+            sender = pack_address(source)
         except (UnreadableMessage, OSError) as error:
-            why = error.reason if isinstance(error, UnreadableMessage) else "address"
-            counters[f"peer_unreadable_{why}"] += 1
-            if counters[f"peer_unreadable_{why}"] == 1:
-                extra = {"why": why, "source": format_address(source)}
-                log.warning("a datagram that is no member's", extra=extra)
+            reason = error.reason if isinstance(error, UnreadableMessage) else "address"
+            counters[f"peer_unreadable_{reason}"] += 1
+            if counters[f"peer_unreadable_{reason}"] == 1:
+                extra = {"why": reason, "source": format_address(source)}
+                log.warning("ignoring an invalid membership datagram", extra=extra)
             return
-        self.core.receive(self.now(), at, message)
+        self.core.receive(self.now(), sender, message)
         self._apply_output()
 
     def on_timer(self) -> None:
-        """The membership's next step, or a lease's, is due."""
+        """Run the membership's timers and the lease requests that are due."""
         self.timer = None
         self.core.tick(self.now())
         for holder in self.holders.values():
@@ -118,7 +120,7 @@
         self._apply_output()
 
     def _apply_output(self) -> None:
-        """Carry out whatever the core has to say, to others and to this gateway."""
+        """Process the output of the core: log changes, handle messages, send datagrams and set the timer."""
         core = self.core
         while core.changes:
             change = core.changes.popleft()
@@ -135,7 +137,7 @@
         if self.probing is not None:
             counters["reports_shared"] += self.probing.receive(core, self._load_report_callback())
         while core.received_leases:
-            self._take_lease_message(*core.received_leases.popleft())
+            self._handle_lease_message(*core.received_leases.popleft())
         self._flush()
         if self.timer is not None:
             self.timer.cancel()
@@ -145,20 +147,20 @@
         )
 
     def _load_report_callback(self) -> Callable[[BackendState, Any], None]:
-        """Whom the decisions let know of a load report."""
+        """The decisions' method that receives load reports."""
         return self.owner.gateway.background.load_reported
 
     def _flush(self) -> None:
-        """Send what the core has to send."""
+        """Send the core's outgoing datagrams."""
         transport = self.datagrams.transport
-        assert transport is not None  # open since the start
+        assert transport is not None  # opened by `start`
         while self.core.outgoing:
-            to, message = self.core.outgoing.popleft()
+            receiver, message = self.core.outgoing.popleft()
             counters["peer_datagrams"] += 1
-            transport.sendto(self.codec.encode(message), unpack_address(to))
+            transport.sendto(self.codec.encode(message), unpack_address(receiver))
 
     def _resolve_name_conflict(self, other: MembershipUpdate) -> None:
-        """Another one serves under this name: this one goes on under a name of its own."""
+        """Continue under a new, unique name after another gateway was found to use this gateway's name."""
         new_name = f"{self.settings.name[:MAX_NAME_PREFIX]}~{self.core.local.generation & GENERATION_MASK:x}"
         log.error(
             "two gateways have one name; this one takes another",
@@ -168,17 +170,17 @@
                 "now": new_name,
             },
         )
-        old = self.core
+        old_core = self.core
         self.core = SwimNode(
             new_name,
             self.address,
-            old.local.generation + 1,
-            old.parameters,
-            Random(old.local.generation),
+            old_core.local.generation + 1,
+            old_core.parameters,
+            Random(old_core.local.generation),
             self.now(),
-            [pack_address(pair) for pair in self.settings.peers],
+            [pack_address(address) for address in self.settings.peers],
         )
-        for member in old.members.values():
+        for member in old_core.members.values():
             if member.state <= MemberState.SUSPECT:
                 self.core.rules.apply(member.update(), disseminate=False)
         self.core.rules.apply(other, disseminate=False)
@@ -189,35 +191,35 @@
     # Probes as singleton tasks.
 
     def backends_to_probe(self) -> list[BackendState]:
-        """Backends that this gateway should probe now, of those that are warming up."""
+        """The backends in warm-up that this gateway has to probe now."""
         assert self.probing is not None  # asked only with shared probes
         listed: Mapping[Any, BackendState] = self.owner.listed
         return self.probing.due_backends(listed, self.owner.gateway.slow_start.is_warming_up, self.now())
 
     def publish_probe(self, backend: BackendState, load: dict[str, float] | None) -> None:
-        """Share the result of a probe with the other gateways."""
+        """Publish the result of a probe to the other gateways."""
         assert self.probing is not None  # asked only with shared probes
         self.probing.publish(self.core, self.now(), self.owner.backend_ids.get(backend), load)
 
     # Singleton tasks under a lease.
 
     def contend_for(self, task: str) -> LeaseHolder[bytes]:
-        """Try to hold a singleton task from now on; `holds` says whether this gateway does."""
+        """Contend for a singleton task from now on; `held_token` tells whether this gateway holds it."""
         voters = [pack_address(_parse_address(peer)) for peer in voters_for(task, self.configured_peers)]
         self.holders[task] = LeaseHolder(task, self._identity(), voters)
         return self.holders[task]
 
     def _identity(self) -> HolderId:
-        """As whom this gateway holds tasks now: the core may have taken another name or generation."""
+        """The identity under which this gateway holds tasks; the core may change its name or generation."""
         return HolderId(self.core.local.name, self.core.local.generation)
 
     def held_token(self, task: str) -> int | None:
-        """Its fencing token, or None."""
+        """Return the fencing token of a task that this gateway holds now, or None."""
         holder = self.holders.get(task)
         return holder.fencing_token if holder is not None and holder.holds(self.now()) else None
 
     def _request_lease(self, holder: LeaseHolder[bytes]) -> None:
-        """Ask the voters for a lease, or for more of it, if it is time."""
+        """Request a lease or its renewal from the voters, if a request is due."""
         now = self.now()
         holder.identify(self._identity())
         if not holder.voters or not holder.is_request_due(now):
@@ -226,19 +228,19 @@
         request = LeaseMessage(holder.task, token, *holder.identity, requested_at=now)
         for voter in holder.voters:
             if voter == self.address:
-                granted, highest, wait = self.voter.request(now, holder.task, token, holder.identity)
-                self._record_answer(holder, voter, granted, highest, wait, now)
+                granted, highest_token, wait = self.voter.request(now, holder.task, token, holder.identity)
+                self._record_reply(holder, voter, granted, highest_token, wait, now)
             else:
                 self.core.send_lease(voter, request)
 
-    def _take_lease_message(self, member: Member, lease: LeaseMessage) -> None:
-        """A lease's message: a request to this voter, or an answer to this holder."""
+    def _handle_lease_message(self, member: Member, lease: LeaseMessage) -> None:
+        """Handle a lease message: a request or release for the voter, or a reply to one of the holders."""
         now = self.now()
         identity = HolderId(lease.holder, lease.generation)
         if lease.verdict in (LeaseVerdict.GRANTED, LeaseVerdict.DENIED):
             holder = self.holders.get(lease.task)
             if holder is not None and holder.identity == identity:
-                self._record_answer(
+                self._record_reply(
                     holder,
                     member.address,
                     lease.verdict == LeaseVerdict.GRANTED,
@@ -264,7 +266,7 @@
                 ),
             )
 
-    def _record_answer(
+    def _record_reply(
         self,
         holder: LeaseHolder[bytes],
         voter: bytes,
@@ -273,33 +275,37 @@
         wait: int,
         requested_at: int,
     ) -> None:
-        """A voter's answer; `wait`: microseconds until it may grant, where it does not now."""
+        """Record a voter's reply; `wait`: microseconds until a voter that denied the request may grant it."""
         if granted:
             holder.record_grant(voter, token, requested_at)
         else:
             holder.record_denial(self.now(), token, wait)
 
-    # The view, and the end.
+    # Member list and shutdown.
 
     def view(self) -> list[dict[str, Any]]:
-        """This gateway's row, then those of the others by their names.
+        """Return the member list: this gateway's row, then the other members' rows, sorted by name.
 
-        The keys are those of `kestrelbend members`; `since_s`: seconds since a member's last change.
+        The keys are part of the output of `kestrelbend members`. `since_s`: seconds since a member's last
+        change of state.
         """
-        owned = self._owned_tasks()
+        tasks_by_owner = self._tasks_by_owner()
         members = sorted(self.core.members.values(), key=lambda member: member.name)
-        return [self._local_row(owned), *(self._member_row(member, owned) for member in members)]
-
-    def _owned_tasks(self) -> dict[str | None, list[str]]:
-        """The singleton tasks by the names of those who have them."""
-        owned: dict[str | None, list[str]] = {}
+        return [
+            self._local_row(tasks_by_owner),
+            *(self._member_row(member, tasks_by_owner) for member in members),
+        ]
+
+    def _tasks_by_owner(self) -> dict[str | None, list[str]]:
+        """The singleton tasks of each member, by the member's name."""
+        tasks_by_owner: dict[str | None, list[str]] = {}
         if self.probing is not None:
             assignment = self.probing.assignment
             for task in assignment.assignments:
-                owned.setdefault(assignment.owner(task), []).append(task)
-        return owned
+                tasks_by_owner.setdefault(assignment.owner(task), []).append(task)
+        return tasks_by_owner
 
-    def _local_row(self, owned: dict[str | None, list[str]]) -> dict[str, Any]:
+    def _local_row(self, tasks_by_owner: dict[str | None, list[str]]) -> dict[str, Any]:
         now = self.now()
         local = self.core.local
         return {
@@ -309,7 +315,7 @@
             "incarnation": local.incarnation,
             "address": format_address(unpack_address(local.address)),
             "since_s": None,
-            "duties": sorted(owned.get(local.name, ())),
+            "duties": sorted(tasks_by_owner.get(local.name, ())),
             "self": True,
             "doubt": local.local_health,
             "leases": {
@@ -317,7 +323,7 @@
             },
         }
 
-    def _member_row(self, member: Member, owned: dict[str | None, list[str]]) -> dict[str, Any]:
+    def _member_row(self, member: Member, tasks_by_owner: dict[str | None, list[str]]) -> dict[str, Any]:
         age_us = self.now() - member.changed_at_us
         return {
             "name": member.name,
@@ -326,11 +332,11 @@
             "incarnation": member.incarnation,
             "address": format_address(unpack_address(member.address)),
             "since_s": round(age_us / MICROSECONDS_PER_SECOND, 1),
-            "duties": sorted(owned.get(member.name, ())),
+            "duties": sorted(tasks_by_owner.get(member.name, ())),
         }
 
     def log_members(self) -> None:
-        """Log the view, a line for each member."""
+        """Log the member list, one line for each member."""
         for row in self.view():
             log.info(
                 "member",
@@ -342,7 +348,7 @@
             )
 
     def leave(self) -> None:
-        """Give leases back and tell the others that this gateway leaves; nothing is due any more."""
+        """Release the leases, announce to the other gateways that this one leaves, and stop the timer."""
         for holder in self.holders.values():
             if holder.holds(self.now()):
                 release = LeaseMessage(
@@ -350,7 +356,7 @@
                 )
                 for voter in holder.voters:
                     self.core.send_lease(voter, release)
-        self.holders.clear()  # who has left asks for none, though datagrams still come while it drains
+        self.holders.clear()  # datagrams still arrive while draining, but no lease is requested any more
         self.core.leave(self.now())
         self._flush()
         if self.timer is not None:
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -23,61 +23,66 @@
     from .connection_pool import ConnectionPool
     from .requests import Request
 
-MAX_LOOP_ITERATIONS: Final = 4  # of the loop, in which what lies unread at either end is read
+MAX_LOOP_ITERATIONS: Final = 4  # of the event loop, within which pending input of client and backend is read
 
 
 class NothingWritten(GatewayError):
-    """A sending ended, or has to be tried again, before its first byte: the backend did no work for it."""
+    """An attempt ended, or must be repeated, before its first byte was written: the backend did no work."""
 
     code = "net.nothing_written"
 
 
 class SendNotAllowed(NothingWritten):
-    """No time or socket is left, its client has gone, or the backend began to drain or went meanwhile."""
+    """The request must not be sent any more.
+
+    Its time is over, no descriptor is left, its client has disconnected, or the backend is draining, gone or
+    moved.
+    """
 
     code = "net.not_wanted"
 
 
 class StaleConnection(NothingWritten):
-    """The kept connection has ended or said something of its own: another one may serve."""
+    """The kept-alive connection was closed or has received unsolicited data; another one may serve."""
 
     code = "net.stale"
 
 
 class ReuseDelayPending(NothingWritten):
-    """No connection can be made, and one rests for a moment after its answer: it may serve then."""
+    """No connection can be opened, but one is in its reuse delay and may serve afterwards."""
 
     code = "net.settling"
 
 
 class SendClient(Protocol):
-    """What a sending asks of the gateway's backends (`backends.Backends`)."""
+    """What an attempt needs of `backends.BackendClient`."""
 
     descriptor_limits: DescriptorLimits
     connecting: int
-    """Connections being made."""
+    """How many connections are being established."""
 
     @property
     def endpoints(self) -> Mapping[Any, str]:
-        """host:port by backend."""
+        """The endpoint (host:port) of each backend."""
 
     @property
     def blocked(self) -> Mapping[Any, Any]:
-        """Backends that a list not yet taken in takes off or moves."""
+        """Backends that a received list, not yet applied, removes or moves."""
 
     def clock(self) -> int:
-        """Now, in microseconds of the gateway's clock."""
+        """The current time in microseconds of the gateway's clock."""
 
     def retire_pools(self, backend: Any = None) -> Any:
-        """Give up the connections kept to a backend, or to all."""
+        """Retire the connection pool of a backend, or all pools."""
 
 
 class SendAttempt:
-    """What is known of one attempt: to whom, on which connection, and how far it has come.
+    """One attempt to send a request: the backend, the connection and the progress.
 
-    `d` and `request` are None for a probe. `link`: the pool, `answers`: the connection's reader, once chosen.
-    `connects`: it makes a connection. `begun`: a byte of it may have been written. `whole`: when its answer
-    was complete, in microseconds of the backend_client's clock.
+    `delivery` and `request` are None for a probe. `pool` and the connection's `response_reader` are set once
+    they are chosen. `is_connecting`: a connection is being established for it. `write_started`: a byte of the
+    request may have been written. `completed_at`: when the response was complete, in microseconds of the
+    gateway's clock.
     """
 
     __slots__ = (
@@ -111,19 +116,19 @@
         self.write_started = False
 
     def finish_connecting(self) -> None:
-        """It makes no connection any more."""
+        """Note that no connection is being established for this attempt any more."""
         self.backend_client.connecting -= self.is_connecting
         self.is_connecting = False
 
     def has_unread_data(self) -> bool:
-        """Whether its client, or what it would be written to, has said or ended something not yet read."""
+        """Whether data, an end or a reset from the client or the backend is waiting to be read."""
         return self.response_reader.unread() or self.request is not None and self.request.unread()
 
     def requires_settled_connection(self) -> bool:
-        """Whether it may go only on a connection that has settled.
+        """Whether the request may only be written once the connection has settled (see `Answers`).
 
-        An early answer could not be told from a second one to the request before, or a request that may not
-        be repeated would fail by the doubt.
+        For a slow backend, an early response could not be told from a second one to the previous request; a
+        non-idempotent request would fail if its response were ambiguous.
         """
         if self.delivery is None:
             return False
@@ -133,10 +138,11 @@
         )
 
     def may_start(self) -> bool:
-        """Whether its first byte may be written now.
+        """Whether the first byte of the request may be written now.
 
-        Rule 3 counts from then; a client may have gone or got its answer, its time or the window for repeats
-        be over since the delivery was decided.
+        This moment counts for rule 3, by which a draining, departed or moved backend gets no new request.
+        Since the delivery was decided, its client may also have disconnected or been answered, or its
+        deadline or the retry window may have passed.
         """
         backend_client = self.backend_client
         if (
@@ -153,17 +159,17 @@
         )
 
     def finished_at(self) -> int:
-        """By the backend_client's clock: when its answer was complete, if it was.
+        """When the response was complete, or now if it is not, by the gateway's clock.
 
-        Whether that was this request's may have been found out later.
+        Whether the response belongs to this request may have become certain only later.
         """
         return self.backend_client.clock() if self.completed_at is None else self.completed_at
 
 
 async def _before_first_byte(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
-    """Decide whether a first byte may be written; there is a connection, and nothing is written yet.
+    """Decide whether the request may be written: a connection is established and nothing is written yet.
 
-    After a stall of this gateway the end of a client, or that of the connection, lies unread.
+    After a stall of this process, the end of the client's or the backend's connection may be unread.
     """
     attempt: SendAttempt = context.trace_request_ctx
     if attempt.requires_settled_connection():
@@ -182,7 +188,7 @@
 
 
 async def _connect_started(_session: aiohttp.ClientSession, context: Any, _params: object) -> None:
-    """A connection is to be made: where no descriptor is left for it, one that rests is waited for."""
+    """Allow a new connection; without a free descriptor, wait for a connection in its reuse delay instead."""
     attempt: SendAttempt = context.trace_request_ctx
     backend_client = attempt.backend_client
     if not backend_client.descriptor_limits.has_room_for_other(backend_client.connecting):
@@ -200,7 +206,7 @@
 
 
 def trace_config() -> aiohttp.TraceConfig:
-    """The hooks of aiohttp's client by which a `SendAttempt`, its requests' trace context, is decided on."""
+    """The hooks for aiohttp's client; the trace context of each request is its `SendAttempt`."""
     config = aiohttp.TraceConfig()
     config.on_connection_create_start.append(_connect_started)
     config.on_connection_create_end.append(_connect_finished)
--- a/kestrelbend/gateway/net/usage_exchange.py
+++ b/kestrelbend/gateway/net/usage_exchange.py
@@ -1,4 +1,4 @@
-"""The UDP side of the usage exchange between gateways: carries `usage_sharing.exchange`."""
+"""UDP transport of the usage exchange between gateways (`usage_sharing.exchange`)."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 
 
 class UsageExchangePeer:
-    """Belongs to the owner's task; its core is the decisions' `Context.usage`.
+    """Sends and receives the datagrams of this gateway's usage exchange; used only by the owner's task.
 
-    `addresses`: where gateways announce use to each other. `numbers`: gateways' numbers by their addresses.
+    `core`: the exchange without I/O, which is also the decisions' `Context.usage`. `addresses`: the UDP
+    addresses of the gateways. `gateway_numbers`: the gateways' numbers by their addresses.
     """
 
     datagrams: DatagramReceiver
@@ -35,15 +36,17 @@
         self.owner = owner
         settings = owner.settings
         gateway = owner.gateway
-        self.gateway_numbers: dict[Any, int] = {pair: number for number, pair in enumerate(addresses.peers)}
+        self.gateway_numbers: dict[Any, int] = {
+            address: number for number, address in enumerate(addresses.peers)
+        }
         self.core = gateway.context.usage = MeteredUsageExchange(
             settings["gateways"], settings["gateway"], settings["plans"], addresses.most_in, gateway.now
         )
 
     async def start(self, fraction: float) -> None:
-        """Open the socket; raises `OSError` where its address cannot be had.
+        """Open the socket; raises `OSError` if its address cannot be bound.
 
-        `fraction`: of the first period, drawn, so that not all gateways speak at once.
+        `fraction`: the part of the first period to wait, random, so that the gateways do not send at once.
         """
         loop = asyncio.get_running_loop()
         _, self.datagrams = await loop.create_datagram_endpoint(
@@ -52,35 +55,35 @@
         self._schedule(fraction)
 
     def _schedule(self, fraction: float = 1.0) -> None:
-        """Put the next event after so much of a period."""
+        """Schedule the next `UsagePeriodDue` event after this fraction of a period."""
         asyncio.get_running_loop().call_later(
             fraction * self.core.period_us / MICROSECONDS_PER_SECOND, self.queue.put_nowait, UsagePeriodDue()
         )
 
     def close_period(self) -> None:
-        """Close the period: announce what this gateway saw, or as the meter what all of them did."""
-        meter = self.core.meter
-        for to, data in self.core.close_period(self.owner.gateway.now):
+        """Close the period: announce this gateway's usage, or as the meter the usage of all gateways."""
+        meter_before = self.core.meter
+        for receiver, data in self.core.close_period(self.owner.gateway.now):
             counters["news_sent"] += 1
-            address = self.addresses.all if to is None else self.addresses.peers[to]
-            assert self.datagrams.transport is not None  # open since the start
+            address = self.addresses.all if receiver is None else self.addresses.peers[receiver]
+            assert self.datagrams.transport is not None  # opened by `start`
             self.datagrams.transport.sendto(data, address)
-        if meter is None and self.core.meter is not None:
-            log.info("meter: this gateway sums the use of all")
+        if meter_before is None and self.core.meter is not None:
+            log.info("this gateway is now the meter, which sums the usage of all gateways")
         self._schedule()
 
     def receive_datagram(self, source: tuple[str | Any, int], data: bytes) -> None:
-        """Take a datagram in; one that is no peer's or cannot be read is counted, the first one logged."""
+        """Process a datagram; count those of unknown senders and invalid ones, and log the first."""
         number = self.gateway_numbers.get(source)
         try:
             if number is None:
-                raise UnreadableUsageDatagram("no peer's")
+                raise UnreadableUsageDatagram("unknown sender")
             self.core.receive(number, data, self.owner.gateway.now)
             counters["news_received"] += 1
         except UnreadableUsageDatagram as error:
             counters["news_unreadable"] += 1
             if counters["news_unreadable"] == 1:
                 log.warning(
-                    "a datagram that cannot be read",
+                    "ignoring an invalid usage datagram",
                     extra={"why": error.reason, "source": format_address(source)},
                 )
