--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -144,7 +144,7 @@
         self,
         delivery: Delivery,
         result: Result,
-        response: tuple[bytes, dict[str, str]] | None = None,
+        client_response: tuple[bytes, dict[str, str]] | None = None,
         load: dict[str, float] | None = None,
         charged_units: float = 0,
         used_fraction: float | None = None,
@@ -155,7 +155,7 @@
         counters["deliveries_" + result.name.lower()] += 1
         duration = (self.clock() if ended_at is None else ended_at) - delivery.sent_at
         self.queue.put_nowait(
-            DeliveryEnded(delivery, result, duration, response, load, charged_units, used_fraction)
+            DeliveryEnded(delivery, result, duration, client_response, load, charged_units, used_fraction)
         )
 
     def cancel(self, delivery: Delivery) -> None:
@@ -166,7 +166,7 @@
     async def _deliver(self, delivery: Delivery, request: Request) -> None:
         """Send a delivery and report its end with exactly one event, even after an unexpected error."""
         attempt = SendAttempt(delivery.backend, self, delivery, request)
-        response: tuple[bytes, dict[str, str]] | None = None
+        client_response: tuple[bytes, dict[str, str]] | None = None
         load: dict[str, float] | None = None
         charged_units: float = 0
         used_fraction: float | None = None
@@ -183,7 +183,7 @@
                 headers=headers,
                 data=request.body or None,
             )
-            response = (
+            client_response = (
                 body,
                 {name: response_headers[name] for name in PASSED_BACK if name in response_headers},
             )
@@ -201,7 +201,7 @@
         finally:
             pool = self.pools.get(delivery.backend)
             if (
-                response is None
+                client_response is None
                 and delivery.overdue
                 and pool is not None
                 and pool.last_response_at < delivery.sent_at
@@ -209,8 +209,8 @@
                 # The backend sent nothing for the whole time: other idle connections may be dead too, and
                 # each would cost a delivery.
                 self.retire_pools(delivery.backend)
-            ended_at = None if response is None else attempt.finished_at()
-            self._report_end(delivery, result, response, load, charged_units, used_fraction, ended_at)
+            ended_at = None if client_response is None else attempt.finished_at()
+            self._report_end(delivery, result, client_response, load, charged_units, used_fraction, ended_at)
 
     def _used_fraction(self, headers: Mapping[str, str]) -> float | None:
         """The fraction of its quota that the customer has used, if responses report it."""
--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -221,11 +221,9 @@
         for connection in self.connections:
             if connection.has_call_for(name):
                 return connection
-        current = [connection for connection in self.connections if connection.address == address]
+        current = [candidate for candidate in self.connections if candidate.address == address]
         # A connection whose oldest call has timed out may be dead: other connections are preferred.
-        ready = [
-            connection for connection in current if not (connection.pending and connection.pending[0].done)
-        ]
+        ready = [candidate for candidate in current if not (candidate.pending and candidate.pending[0].done)]
         chosen = min(ready or current, key=CounterConnection.unfinished_calls, default=None)
         if chosen is None or (not ready or chosen.unfinished_calls()) and len(current) < MAX_CONNECTIONS:
             chosen = CounterConnection(address)
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -74,7 +74,7 @@
     endpoint: str | None
 
 
-def parse_endpoint_list(response: Any) -> EndpointList:
+def parse_endpoint_list(decoded: Any) -> EndpointList:
     """Parse a decoded JSON response of discovery; raises `Malformed` if it is not a list at all.
 
     An invalid entry is skipped and counted, so that it does not block the rest of the list. A state of
@@ -82,9 +82,9 @@
     the one with the more restrictive state is applied (rule 3).
     """
     try:
-        version = int(response["rev"])
-        complete = bool(response["all"])
-        raw_entries = list(response["targets"])
+        version = int(decoded["rev"])
+        complete = bool(decoded["all"])
+        raw_entries = list(decoded["targets"])
     except (KeyError, TypeError, ValueError) as error:
         raise Malformed(f"discovery: {type(error).__name__}: {error}") from None
     rows: dict[str, EndpointRow] = {}
--- a/kestrelbend/gateway/net/key_value_logging.py
+++ b/kestrelbend/gateway/net/key_value_logging.py
@@ -30,12 +30,12 @@
     def __init__(self, output_format: str = KEY_VALUE) -> None:
         super().__init__()
         self.output_format = output_format
-        self.formatter: logging.Formatter | None = None
+        self.delegate: logging.Formatter | None = None
 
     def format(self, record: logging.LogRecord) -> str:
         """Format a record as one line."""
-        self.formatter = self.formatter or structlog_formatter(self.output_format)
-        return self.formatter.format(record)
+        self.delegate = self.delegate or structlog_formatter(self.output_format)
+        return self.delegate.format(record)
 
 
 def structlog_formatter(output_format: str) -> logging.Formatter:
--- a/kestrelbend/gateway/net/usage_exchange.py
+++ b/kestrelbend/gateway/net/usage_exchange.py
@@ -37,7 +37,7 @@
         settings = owner.settings
         gateway = owner.gateway
         self.gateway_numbers: dict[Any, int] = {
-            address: number for number, address in enumerate(addresses.peers)
+            peer_address: number for number, peer_address in enumerate(addresses.peers)
         }
         self.core = gateway.context.usage = MeteredUsageExchange(
             settings["gateways"], settings["gateway"], settings["plans"], addresses.most_in, gateway.now
