--- a/kestrelbend/gateway/settings/__init__.py
+++ b/kestrelbend/gateway/settings/__init__.py
@@ -1,8 +1,9 @@
-"""The settings of one gateway in service: what may be stated, in which units, and all that is wrong at once.
+"""The settings of one gateway: the data model, the readers of its two formats, and validation.
 
-model          the terms that a gateway's decisions rest on, whoever states them
-installation   a TOML file's whole: the terms, and where everything is
-platform       the platform's JSON and the simulator's wire: the same terms under other names
-toml_files     a TOML file into structs, every fault with its line (toml_lines) and key
-units          times, sizes, fractions and addresses as people write them
+model          the settings that a gateway's decisions depend on, in either format
+installation   the contents of a gateway's TOML file: these settings, all addresses, and optional parts
+platform       reads the platform's JSON and the simulator's protocol, which use other names for the settings
+toml_files     converts a TOML file into structs; reports all errors at once, each with its line and key
+toml_lines     finds the lines of the keys
+units          parses durations, sizes, fractions and addresses
 """
--- a/kestrelbend/gateway/settings/installation.py
+++ b/kestrelbend/gateway/settings/installation.py
@@ -1,4 +1,4 @@
-"""A whole installation in one TOML file: a gateway's terms, where everything is, and its optional parts."""
+"""The contents of a gateway's TOML file: decision settings, addresses, and optional parts."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 MAX_KEY_NUMBER = 255
 
 KeyFault = tuple[str | tuple[str | int, ...], str]
-"""A key, or its path below the struct, and what is wrong with it."""
+"""A key, or its path below the struct, and a description of the error."""
 
 
 class Logs(Struct):
-    """What is logged, and how a line is written."""
+    """The format of log lines, and the level from which they are written."""
 
     form: Literal["key-value", "json"] = "key-value"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Limits(Struct):
-    """What the process may take of its machine."""
+    """The resources of its machine that the process may use."""
 
-    sockets: PositiveInt = 1024  # descriptors that the process may hold
-    memory: ByteSize = ByteSize(0)  # 0: not told
+    sockets: PositiveInt = 1024  # maximum of open file descriptors
+    memory: ByteSize = ByteSize(0)  # 0: unknown
 
 
 class Members(Struct):
-    """Where this gateway meets the others, by UDP."""
+    """The gateways' membership protocol, over UDP."""
 
     listen: Address
-    seen_at: Address | None = None  # where others reach it, if that is another address
-    peers: list[Address] = field(default_factory=list)  # some of the others, or all with this one
-    keys: dict[str, str] = field(default_factory=dict)  # by number, 1 to 255: 16 bytes, hexadecimal
+    seen_at: Address | None = None  # address at which other gateways reach this one, if it differs
+    peers: list[Address] = field(default_factory=list)  # some or all gateways; may include this one
+    keys: dict[str, str] = field(default_factory=dict)  # by number, 1 to 255: 16 bytes or more, hexadecimal
     period: Microseconds = Microseconds(300 * MILLISECOND)  # between pings
-    most_per_s: PositiveFloat = 40.0  # datagrams sent; never more
-    share_probes: bool = True  # cold backends are probed by one gateway for all
+    most_per_s: PositiveFloat = 40.0  # maximum of datagrams sent per second
+    share_probes: bool = True  # whether one gateway probes cold backends on behalf of all
 
     def faults(self) -> Iterator[KeyFault]:
-        """(key, text) for what is wrong with the fields together."""
+        """Yields (key, text) for invalid values and for fields that contradict each other."""
         if not self.keys:
-            yield "keys", "at least one is needed: gateways that share none do not know each other"
+            yield "keys", "at least one is needed: gateways without a common key ignore each other"
         for number, text in self.keys.items():
             if not _is_valid_key(number, text):
                 yield ("keys", number), "expected a number, 1 to 255, and 32 hexadecimal digits or more"
@@ -61,12 +61,12 @@
             if address is not None and not is_ipv4(address):
                 yield key, f"expected an IPv4 address and port, got {str(address)!r}"
         if not MIN_PERIOD <= self.period <= MAX_PERIOD:
-            yield "period", "lies between 50ms and 1m"
+            yield "period", "must be between 50ms and 1m"
         if self.most_per_s < MIN_DATAGRAMS_PER_S:
-            yield "most_per_s", "less than 4 leaves no room for pings and their answers"
+            yield "most_per_s", "must be at least 4, for pings and their replies"
 
     def to_membership_settings(self, name: str) -> MembershipSettings:
-        """What `net.peers` is made of, for the gateway of this name."""
+        """Converts it to the settings that `net.peers` takes, for the gateway of this name."""
         listen = self.listen.host_and_port
         return MembershipSettings(
             name=name,
@@ -81,7 +81,7 @@
 
 
 class MembershipSettings(Struct):
-    """A gateway's membership with every address and key read."""
+    """The settings of the membership protocol, with all addresses and keys parsed."""
 
     name: str
     listen: tuple[str, int]
@@ -89,12 +89,12 @@
     peers: list[tuple[str, int]]
     keys: dict[int, bytes]
     period: int  # microseconds
-    most_per_s: float  # datagrams sent
+    most_per_s: float  # maximum of datagrams sent
     share_probes: bool
 
 
 def _is_valid_key(number: str, text: str) -> bool:
-    """Whether a key's number and its hexadecimal text can be used."""
+    """Whether a key's number and its hexadecimal text are valid."""
     try:
         is_number = number.isdecimal() and 0 < int(number) <= MAX_KEY_NUMBER
         return is_number and len(bytes.fromhex(text)) >= MIN_KEY_BYTES
@@ -109,21 +109,21 @@
 
 
 class Installation(DecisionSettings, kw_only=True):
-    """One gateway: its terms, and where everything is."""
+    """All settings of one gateway."""
 
     name: str
     listen: Address
     discovery: Address
     counter_at: Address | None = None
-    seed: str = "0"  # hexadecimal; chance is drawn from it
+    seed: str = "0"  # of the random generators, hexadecimal
     limits: Limits = field(default_factory=Limits)
     logs: Logs = field(default_factory=Logs)
     members: Members | None = None
-    checks: CheckSettings | None = None  # answering external authorisation over gRPC
-    authorisers: list[AuthoriserSettings] = field(default_factory=list)  # asked before the first delivery
+    checks: CheckSettings | None = None  # serving external authorisation over gRPC
+    authorisers: list[AuthoriserSettings] = field(default_factory=list)  # called before the first delivery
 
     def faults(self) -> Iterator[KeyFault]:
-        """(key, text) for what is wrong with the fields together."""
+        """Yields (key, text) for invalid values and for fields that contradict each other."""
         try:
             int(self.seed, 16)
         except ValueError:
@@ -140,12 +140,12 @@
         if self.fleet.number >= self.fleet.gateways:
             yield ("fleet", "number"), f"there are {self.fleet.gateways} gateways, numbered from 0"
         if self.counter.allowed and self.counter_at is None:
-            yield "counter_at", "the counter may be used, but nothing says where it is"
+            yield "counter_at", "the counter is allowed, but nothing says where it is"
         if not self.backends.idle_close:
-            yield ("backends", "idle_close"), "has to be told: connections are closed before it"
+            yield ("backends", "idle_close"), "has to be told: the gateway closes idle connections before it"
 
     def _authoriser_faults(self) -> Iterator[KeyFault]:
-        """Authorisers have names of their own, and name operations and plans that there are."""
+        """Checks that authorisers have unique names and refer to existing operations and plans."""
         operations = {operation.name for operation in self.operations}
         plans = {plan.name for plan in self.plans}
         names: list[str] = []
@@ -161,19 +161,19 @@
                     yield ("authorisers", position, "plans"), f"none is named {name!r}"
 
     def _objective_faults(self) -> Iterator[KeyFault]:
-        """An operation's authorisers together take no more than half of its latency objective."""
+        """Checks that an operation's authorisers together may take at most half of its latency objective."""
         for position, operation in enumerate(self.operations):
-            asked = [
+            called = [
                 each for each in self.authorisers if not each.operations or operation.name in each.operations
             ]
-            budget_s = sum(authoriser.budget for authoriser in asked)
+            budget_s = sum(authoriser.budget for authoriser in called)
             if budget_s * SECOND > operation.objective / 2:
-                text = f"its authorisers may take {budget_s:g} s of it together, more than half"
+                text = f"its authorisers together may take {budget_s:g} s, more than half of it"
                 yield ("operations", position, "objective"), text
 
 
 def _list_faults(key: str, names: list[str]) -> Iterator[KeyFault]:
-    """A list has an item at least, and no two of one name."""
+    """Checks that a list has at least one item and that names are unique."""
     if not names:
         yield key, "at least one is needed"
     for position, name in enumerate(names):
@@ -182,10 +182,10 @@
 
 
 def _plan_faults(position: int, plan: Plan) -> Iterator[KeyFault]:
-    """A plan limits something, and each of its rates lets some units through at once."""
+    """Checks that a plan has a quota, and that each of its rates has a burst."""
     if not plan.rate and not plan.most_out:
         yield ("plans", position), "needs a rate, or most_out, or both"
     if plan.rate and plan.burst <= 0:
-        yield ("plans", position, "burst"), "with a rate, some units have to be usable at once"
+        yield ("plans", position, "burst"), "must be positive: some units must be usable at once"
     if plan.ceiling_rate and plan.ceiling_burst <= 0:
-        yield ("plans", position, "ceiling_burst"), "with a ceiling, some units have to be usable at once"
+        yield ("plans", position, "ceiling_burst"), "must be positive: some units must be usable at once"
--- a/kestrelbend/gateway/settings/model.py
+++ b/kestrelbend/gateway/settings/model.py
@@ -1,7 +1,7 @@
-"""The settings of a gateway, checked once: the terms that its decisions rest on, and where everything is.
+"""The settings that a gateway's decisions depend on, validated once when they are read.
 
-There is one model.  A TOML file states it in these words; the platform's JSON and the simulator's wire state
-it in theirs, which `platform` turns into these.
+There is one model.  A TOML file uses the field names below as its keys; the platform's JSON and the
+simulator's protocol use other names, which `platform` maps to these.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 
     name: str
     effect: Literal["idempotent", "tokened", "non-idempotent"] = "non-idempotent"
-    scope: Literal["all", "zone", "group"] = "group"  # tokened: which backends drop its repeats
-    memory: Microseconds = Microseconds(0)  # tokened: how long they know a token
+    scope: Literal["all", "zone", "group"] = "group"  # tokened: where duplicates are detected
+    memory: Microseconds = Microseconds(0)  # tokened: how long the backends remember a token
     objective: Microseconds = Microseconds(1 * SECOND)  # the latency objective
     timeout: Microseconds = Microseconds(0)  # the integration timeout
-    late_worth: Fraction = Fraction(0)  # worth of an answer between the two
+    late_worth: Fraction = Fraction(0)  # part of the value that a response after the objective has
     streamed: bool = False
-    worth: NonNegativeFloat = 1.0  # billed value, before the plan's price
+    worth: NonNegativeFloat = 1.0  # billed value, to be multiplied by the plan's price
 
     def to_interface(self) -> interface.Operation:
-        """The operation as the decisions take it; times in microseconds."""
+        """Converts it to the type that the decisions use; times in microseconds."""
         return interface.Operation(
             name=self.name,
             effect=IDEMPOTENCY_BY_NAME[self.effect],
@@ -61,22 +61,22 @@
 
 
 class Plan(Struct):
-    """A plan: quotas that hold for each of its customers over all gateways together."""
+    """A plan: quotas that apply to each of its customers, summed over all gateways."""
 
     name: str
-    rate: NonNegativeFloat = 0.0  # units a second; 0: no quota on the rate
+    rate: NonNegativeFloat = 0.0  # units per second; 0: no rate quota
     burst: NonNegativeFloat = 0.0  # units that may be used at once
-    most_out: NonNegativeInt = 0  # deliveries out at once; 0: no cap
+    most_out: NonNegativeInt = 0  # concurrent deliveries; 0: unlimited
     price: NonNegativeFloat = 1.0
-    # parts of its value that an invocation beyond the quota earns and costs
+    # fractions of its value that an invocation beyond the quota earns and costs
     over_worth: NonNegativeFloat = 0.0
     over_cost: NonNegativeFloat = 0.0
-    ceiling_rate: NonNegativeFloat = 0.0  # units a second that are never passed; 0: no hard ceiling
+    ceiling_rate: NonNegativeFloat = 0.0  # units per second that must never be exceeded; 0: no hard limit
     ceiling_burst: NonNegativeFloat = 0.0
     ceiling_slack: NonNegativeFloat = 0.0
 
     def to_interface(self, number: int = 0) -> interface.Plan:
-        """The plan as the decisions take it; `number` is its position among all."""
+        """Converts it to the type that the decisions use; `number` is its position in the list of plans."""
         return interface.Plan(
             name=self.name,
             rate=self.rate,
@@ -93,60 +93,60 @@
 
 
 class Fleet(Struct):
-    """The gateways that keep the quotas together."""
+    """The gateways that enforce the quotas jointly."""
 
     gateways: PositiveInt = 1
     number: NonNegativeInt = 0  # of this one, from 0
     zone: str = ""
-    discovery: Literal["pushed", "asked"] = "pushed"  # asked: changes come only to who asks for them
+    discovery: Literal["pushed", "asked"] = "pushed"  # asked: a gateway has to request changes
     ask_within: Microseconds = Microseconds(10 * SECOND)
-    tick: Microseconds = Microseconds(1 * MILLISECOND)  # the finest step of its clock
-    answer_slack: Microseconds = Microseconds(0)  # after a client's time, within which an answer still counts
+    tick: Microseconds = Microseconds(1 * MILLISECOND)  # resolution of the gateway's clock
+    answer_slack: Microseconds = Microseconds(0)  # how long after a client's deadline a response still counts
 
 
 class Backends(Struct):
-    """The backends: what they tell of themselves, and what a gateway may do to them."""
+    """The backends: the information they provide, and what a gateway may do."""
 
     reports: Literal["none", "probe", "answers"] = "none"  # where load reports come from
     report_fields: list[str] = field(default_factory=list)
     probing: bool = False
     cancelling: bool = False
-    second_copies: bool = False  # two deliveries of one invocation at once
-    most_deliveries: PositiveInt = 1  # of one invocation
-    most_open: NonNegativeInt = 0  # invocations open at a gateway; 0: no such limit
-    idle_close: Microseconds = Microseconds(0)  # after which its machine closes an idle connection
+    second_copies: bool = False  # whether one invocation may have two concurrent deliveries
+    most_deliveries: PositiveInt = 1  # maximum per invocation
+    most_open: NonNegativeInt = 0  # maximum of open invocations at a gateway; 0: unlimited
+    idle_close: Microseconds = Microseconds(0)  # after this, a backend's machine closes an idle connection
     connect_timeout: Microseconds = Microseconds(250 * MILLISECOND)
-    cold: Microseconds = Microseconds(0)  # warm so long after a start
-    cold_from: Fraction = Fraction(1)  # the part of its capacity that it starts with, at least
+    cold: Microseconds = Microseconds(0)  # warm-up time after a start
+    cold_from: Fraction = Fraction(1)  # minimum fraction of its capacity that a backend has at its start
     drain_grace: Microseconds = Microseconds(0)  # rule 3
-    # rule 4: sent fall_multiple of its capacity for so long, it falls over
+    # rule 4: a backend that receives fall_multiple times its capacity for this long fails
     fall: Microseconds = Microseconds(0)
     fall_multiple: PositiveFloat = 1.0
 
     def faults(self) -> Iterator[tuple[str, str]]:
-        """(key, text) for fields that do not go together."""
+        """Yields (key, text) for fields that contradict each other."""
         if self.reports == "probe" and not self.probing:
-            yield "reports", "come by probes, but probing is not allowed"
+            yield "reports", "load reports come from probes, but probing is not allowed"
 
 
 class Counter(Struct):
-    """The counter service, where there is one."""
+    """The counter service, which is optional."""
 
     allowed: bool = False
     timeout: Microseconds = Microseconds(50 * MILLISECOND)
 
 
 class Use(Struct):
-    """How clients are notified of their use."""
+    """The units of an invocation, and what clients are told of their usage."""
 
-    most_units: NonNegativeFloat = 0.0  # of one invocation; 0: no limit
-    metering: Microseconds = Microseconds(0)  # period of the use told in answers; 0: none is told
+    most_units: NonNegativeFloat = 0.0  # maximum per invocation; 0: unlimited
+    metering: Microseconds = Microseconds(0)  # period of the usage reported in responses; 0: not reported
     longest_retry_after: Microseconds = Microseconds(0)
-    retry_after: bool = True  # whether a refusal may say when to come back
+    retry_after: bool = True  # whether a rejection may carry a Retry-After
 
 
 class DecisionSettings(Struct):
-    """All that a gateway's decisions rest on."""
+    """All settings that a gateway's decisions depend on."""
 
     fleet: Fleet = field(default_factory=Fleet)
     backends: Backends = field(default_factory=Backends)
@@ -156,7 +156,7 @@
     plans: list[Plan] = field(default_factory=list)
 
     def settings(self) -> dict[str, Any]:
-        """The plain map of names to values that the module picks from."""
+        """Returns the settings as a flat mapping, from which `interface` and the gateway take theirs."""
         backends = self.backends
         fleet = self.fleet
         return {
--- a/kestrelbend/gateway/settings/platform.py
+++ b/kestrelbend/gateway/settings/platform.py
@@ -1,8 +1,8 @@
-"""The platform's words: its JSON and the simulator's wire state the same model under other names.
+"""Reads the settings in the names of the platform, from its JSON and from the simulator's protocol.
 
-Both give the settings as one object, on the wire as path=value pairs, in a configuration as nested JSON.  Its
-names, its milliseconds and its forms of numbers end here; what it names that is not known here is passed
-over.
+Both contain one settings object: nested JSON in a configuration, path=value pairs in the protocol.  This
+module maps the platform's names, its milliseconds and its number formats to the model.  Unknown names are
+ignored.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 Value = TypeVar("Value")
 Pairs = Mapping[str, str]
-"""The platform's settings: values as text by dotted path."""
+"""The platform's settings: text values by dotted path."""
 
-ABSENT_VALUES = ("-", "")  # as the wire writes what is not stated
+ABSENT_VALUES = ("-", "")  # stand for a setting that is not given
 MICROSECONDS_PER_MS = 1000
 
 EFFECT_NAMES = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
@@ -33,7 +33,7 @@
     "svc_ms": "service_ms",
     "served_ps": "served_per_s",
     "failed_ps": "errored_per_s",
-    # as backends write them on sockets
+    # the names in load reports over the network
     "queue": "queued",
     "inflight": "held",
     "util": "busy",
@@ -44,13 +44,13 @@
 
 
 class Malformed(GatewayError):
-    """What the other side sent is not in its form; the text names the path and what is wrong there."""
+    """Malformed input from another system; the message names the path and the error."""
 
     code = "settings.malformed"
 
 
 def choice_reader(table: Mapping[str, Value], what: str) -> Callable[[str], Value]:
-    """A reader of one of a few words; it raises `ValueError`, which says `what` is unknown."""
+    """Returns a reader for the keys of `table`; it raises `ValueError`, which names `what` is unknown."""
 
     def read(text: str) -> Value:
         try:
@@ -62,7 +62,7 @@
 
 
 def read_number(text: str) -> float:
-    """A finite number; raises `ValueError`."""
+    """Reads a finite number; raises `ValueError`."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"not a finite number: {text!r}")
@@ -70,44 +70,44 @@
 
 
 def read_milliseconds(text: str) -> int:
-    """Microseconds, from text in milliseconds; raises `ValueError`."""
+    """Reads a number of milliseconds and returns microseconds; raises `ValueError`."""
     return round(read_number(text) * MICROSECONDS_PER_MS)
 
 
 def read_time(text: str) -> Microseconds:
-    """As `read_milliseconds`, in the model's type."""
+    """Reads a number of milliseconds into the model's type; raises `ValueError`."""
     return Microseconds(read_milliseconds(text))
 
 
 def read_fraction(text: str) -> Fraction:
-    """A part of a whole, 0 to 1."""
+    """Reads a fraction; `toml_files.convert` checks that it is from 0 to 1."""
     return Fraction(read_number(text))
 
 
 def read_flag(text: str) -> bool:
-    """True or false; raises `ValueError`."""
+    """Reads a boolean: true, false, 1 or 0; raises `ValueError`."""
     if text not in ("true", "false", "1", "0"):
         raise ValueError(f"neither true nor false: {text!r}")
     return text in ("true", "1")
 
 
 def read_load_fields(text: str) -> list[str]:
-    """The names of load reports' fields, in the model's words; unknown ones stay."""
+    """Reads the names of load report fields and maps them to the model's; unknown ones are kept."""
     return [LOAD_FIELD_NAMES.get(name, name) for name in text.split(",")]
 
 
 def read_report_source(text: str) -> str:
-    """Where load reports come from."""
+    """Reads the source of load reports; unknown ones count as "none"."""
     return text if text in ("probe", "answers") else "none"
 
 
 def read_discovery_mode(text: str) -> str:
-    """Whether changes of backends come by themselves."""
+    """Reads whether changes of backends are pushed or have to be requested ("asked")."""
     return "asked" if text == "subscribe" else "pushed"
 
 
 Reader = Callable[[str], Any]
-"""Reads a value's text; raises `ValueError`."""
+"""Converts the text of a value; raises `ValueError`."""
 
 SETTING_PATHS: dict[tuple[str, str], tuple[str, Reader]] = {
     ("fleet", "gateways"): ("instances", int),
@@ -138,7 +138,7 @@
     ("use", "longest_retry_after"): ("policyLimits.maxRetryAfter", read_time),
     ("use", "retry_after"): ("policyLimits.retryAfter", read_flag),
 }
-"""By the model's path: the platform's path, and what reads the value."""
+"""By path in the model: the path in the platform's settings, and the reader of the value."""
 
 LIST_COLUMNS: dict[str, tuple[str, dict[str, tuple[str, Reader]]]] = {
     "operations": (
@@ -171,11 +171,11 @@
         },
     ),
 }
-"""By the model's list: the platform's list, and per field of the model the platform's column and reader."""
+"""By list in the model: the platform's list and, by field of the model, its column and the reader."""
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the same path=value pairs that the wire has."""
+    """Converts nested JSON into the path=value pairs of the simulator's protocol."""
     if isinstance(value, dict):
         yield from _flatten_rows(value.items(), path)
     elif isinstance(value, list) and any(isinstance(part, dict) for part in value):
@@ -197,15 +197,15 @@
 
 
 class _SettingsParser:
-    """The terms that the platform's pairs state, in the model's words."""
+    """Converts the platform's pairs into nested values under the model's names."""
 
     def __init__(self, pairs: Pairs) -> None:
         self._pairs = pairs
         self.values: dict[str, Any] = {}
-        self.paths: dict[Path, str] = {}  # the platform's, by the model's
+        self.paths: dict[Path, str] = {}  # the platform's path by the model's
 
     def read_all(self) -> None:
-        """Reads every value that the tables name; raises `Malformed` at the first that can't be read."""
+        """Reads every setting in the tables; raises `Malformed` at the first invalid value."""
         for model_path, (path, read) in SETTING_PATHS.items():
             section = self.values.setdefault(model_path[0], {})
             self._read(model_path, path, read, section)
@@ -215,31 +215,31 @@
     def _read_rows(
         self, name: str, path: str, columns: dict[str, tuple[str, Reader]]
     ) -> list[dict[str, Any]]:
-        stated: dict[str, int] = {}
-        self._read((name, "count"), f"{path}.count", int, stated)
-        rows: list[dict[str, Any]] = [{"name": ""} for _ in range(stated.get("count", 0))]
+        counts: dict[str, int] = {}
+        self._read((name, "count"), f"{path}.count", int, counts)
+        rows: list[dict[str, Any]] = [{"name": ""} for _ in range(counts.get("count", 0))]
         for position, row in enumerate(rows):
             for field, (column, read) in columns.items():
                 self._read((name, position, field), f"{path}.{position}.{column}", read, row)
         return rows
 
-    def _read(self, model_path: Path, path: str, read: Reader, into: dict[str, Any]) -> None:
-        """Reads one value into the last key of its path in the model, where it is stated."""
+    def _read(self, model_path: Path, path: str, read: Reader, target: dict[str, Any]) -> None:
+        """Reads one value, if it is given, into `target` under the last key of its path in the model."""
         text = self._pairs.get(path, "-")
         self.paths[model_path] = path
         if text in ABSENT_VALUES:
             return
         try:
-            into[str(model_path[-1])] = read(text)
+            target[str(model_path[-1])] = read(text)
         except (ValueError, OverflowError) as error:
             raise Malformed(f"settings: {path}: {error}") from None
 
 
 def parse_decision_settings(pairs: Pairs) -> DecisionSettings:
-    """The terms that the platform states; raises `Malformed` with the first fault, under its own name."""
+    """Converts the platform's settings; raises `Malformed` for the first fault, with the platform's path."""
     parser = _SettingsParser(pairs)
     parser.read_all()
-    # Its fields are not looked at beside one another: what the platform states, it answers for.
+    # Fields are not checked against each other: the platform is responsible for their consistency.
     model, faults = convert(DecisionSettings, parser.values, validate=False)
     if faults or model is None:
         first = faults[0]
@@ -249,5 +249,5 @@
 
 
 def settings(pairs: Pairs) -> dict[str, Any]:
-    """The map of names to values that the module gets; raises `Malformed`."""
+    """Converts the platform's settings into those of `DecisionSettings.settings`; raises `Malformed`."""
     return parse_decision_settings(pairs).settings()
--- a/kestrelbend/gateway/settings/toml_files.py
+++ b/kestrelbend/gateway/settings/toml_files.py
@@ -1,10 +1,11 @@
-"""Reads a file into a model of msgspec structs and says all that is wrong with it at once.
+"""Converts a TOML file into msgspec structs and reports all its errors at once.
 
-msgspec's own conversion ends at the first fault.  Here each value is converted by itself, so that a person
-who wrote a file sees everything in one go, each fault with its line and key.  A model may have
-`faults(self)`, which yields (key, text) for what only shows when its fields are looked at together.
+msgspec's own conversion stops at the first error.  This module converts each value separately, so that the
+author of a file sees all errors together, each with its line and key.  A model may have a method
+`faults(self)`, which yields (key, text) for errors that involve several fields.
 
-Invariant: `convert` gives an instance without faults, or faults; an instance with faults is not to be used.
+Invariant: `convert` returns either an instance and no faults, or faults; if there are faults, the instance
+must not be used.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 Model = TypeVar("Model", bound=msgspec.Struct)
 Converted = tuple[Any, "list[Fault]"]
-"""What a value became, and its faults; None where it became nothing."""
+"""The converted value, None if it could not be converted, and the value's faults."""
 
-NAME_SIMILARITY = 0.5  # from which on a known name is suggested for an unknown one, see `difflib`
+NAME_SIMILARITY = 0.5  # minimum `difflib` ratio for suggesting a known name in place of an unknown one
 TYPE_NAMES = {
     dict: "a table",
     list: "a list",
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong with one key; `line` is 0 where the file's lines are not known."""
+    """An error in the value of one key; `line` is 0 if it is unknown."""
 
     path: Path
     text: str
@@ -50,7 +51,7 @@
 
 
 class InvalidFile(GatewayError):
-    """A file that cannot be used; `faults` in the order of their lines."""
+    """The file is invalid; `faults` holds all its errors, in the order of their lines."""
 
     code = "settings.invalid_file"
 
@@ -61,7 +62,7 @@
 
 
 def format_path(path: Path) -> str:
-    """A path as a person writes it: `operations[1].scope`."""
+    """Formats a path for messages, as in `operations[1].scope`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
@@ -69,7 +70,7 @@
 
 
 def read_toml(path: str, model: type[Model]) -> Model:
-    """The model that a TOML file states; raises `InvalidFile` with all its faults."""
+    """Reads a TOML file into a model; raises `InvalidFile` with all its faults."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -79,40 +80,40 @@
 
 
 def parse_toml(text: str, model: type[Model], name: str = "configuration") -> Model:
-    """The model that a text states; raises `InvalidFile` with all its faults, under the file's `name`."""
-    import tomllib  # not at the top: a gateway told by JSON starts without them
+    """Reads TOML text into a model; raises `InvalidFile` with all its faults and the file's `name`."""
+    import tomllib  # imported here: a gateway with JSON settings starts without these modules
 
     from . import toml_lines
 
     try:
-        given = tomllib.loads(text)
+        raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise InvalidFile(name, [Fault((), f"not TOML: {error}")]) from None
-    instance, faults = convert(model, given)
+    instance, faults = convert(model, raw)
     if faults or instance is None:
-        found = toml_lines.find_key_lines(text)
-        located = [Fault(f.path, f.text, toml_lines.line_of(found, f.path)) for f in faults]
-        raise InvalidFile(name, sorted(located, key=lambda fault: (fault.line, str(fault.path))))
+        line_numbers = toml_lines.find_key_lines(text)
+        located_faults = [Fault(f.path, f.text, toml_lines.line_of(line_numbers, f.path)) for f in faults]
+        raise InvalidFile(name, sorted(located_faults, key=lambda fault: (fault.line, str(fault.path))))
     return instance
 
 
 def convert(
-    model: type[Model], given: object, path: Path = (), validate: bool = True
+    model: type[Model], raw: object, path: Path = (), validate: bool = True
 ) -> tuple[Model | None, list[Fault]]:
-    """(an instance or None, faults) for a struct and the mapping that states it.
+    """Converts a mapping into a struct; returns (the instance or None, faults).
 
-    `validate`: its fields are also looked at beside one another, by the model's own `faults`.
+    `validate`: whether to call the model's own `faults`, which checks fields against each other.
     """
-    if not isinstance(given, dict):
-        return None, [Fault(path, f"expected a table, got {type_name(given)}")]
+    if not isinstance(raw, dict):
+        return None, [Fault(path, f"expected a table, got {type_name(raw)}")]
     fields = {field.encode_name: field for field in msgspec.structs.fields(model)}
     tag = model.__struct_config__.tag_field
-    unexpected = [key for key in given if key not in fields and key != tag]
+    unexpected = [key for key in raw if key not in fields and key != tag]
     faults = [Fault((*path, key), unknown_name_text("key", key, fields)) for key in unexpected]
     values: dict[str, Any] = {}
     for key, field in fields.items():
-        if key in given:
-            value, value_faults = convert_value(field.type, given[key], (*path, key), validate)
+        if key in raw:
+            value, value_faults = convert_value(field.type, raw[key], (*path, key), validate)
             values[field.name] = value
             faults += value_faults
         elif field.required:
@@ -126,76 +127,76 @@
 
 
 def _cross_field_faults(instance: msgspec.Struct, path: Path) -> list[Fault]:
-    """What the model itself finds wrong with its fields together."""
+    """Returns the errors that the model's own `faults` finds."""
     check = getattr(instance, "faults", None)
     if check is None:
         return []
     return [Fault((*path, *key) if isinstance(key, tuple) else (*path, key), text) for key, text in check()]
 
 
-def convert_value(expected: Any, given: object, path: Path, validate: bool = True) -> Converted:
-    """One value of a type: structs, lists and mappings of them and tagged unions are walked into."""
+def convert_value(expected: Any, raw: object, path: Path, validate: bool = True) -> Converted:
+    """Converts one value; recurses into structs, lists and mappings of structs, and tagged unions."""
     if typing.get_origin(expected) is typing.Annotated and is_struct(typing.get_args(expected)[0]):
         expected = typing.get_args(expected)[0]
     origin = typing.get_origin(expected)
     arguments = typing.get_args(expected)
     if is_struct(expected):
-        return convert(expected, given, path, validate)
+        return convert(expected, raw, path, validate)
     if origin in (list, tuple) and holds_structs(arguments[0]):
-        return _convert_list(arguments[0], given, path, validate)
-    if origin is dict and holds_structs(arguments[1]) and isinstance(given, dict):
-        return _convert_mapping(arguments[1], given, path, validate)
+        return _convert_list(arguments[0], raw, path, validate)
+    if origin is dict and holds_structs(arguments[1]) and isinstance(raw, dict):
+        return _convert_mapping(arguments[1], raw, path, validate)
     if origin in (typing.Union, types.UnionType) and any(map(is_struct, arguments)):
-        return _convert_tagged([each for each in arguments if is_struct(each)], given, path)
+        return _convert_tagged([raw_item for raw_item in arguments if is_struct(raw_item)], raw, path)
     try:
-        return msgspec.convert(given, expected, dec_hook=_read_unit), []
+        return msgspec.convert(raw, expected, dec_hook=_read_unit), []
     except (msgspec.ValidationError, ValueError) as error:
         return None, [Fault(path, _error_text(error))]
 
 
-def _convert_list(item: Any, given: object, path: Path, validate: bool) -> Converted:
-    if not isinstance(given, list):
-        return None, [Fault(path, f"expected a list, got {type_name(given)}")]
+def _convert_list(item: Any, raw: object, path: Path, validate: bool) -> Converted:
+    if not isinstance(raw, list):
+        return None, [Fault(path, f"expected a list, got {type_name(raw)}")]
     values: list[Any] = []
     faults: list[Fault] = []
-    for position, each in enumerate(given):
-        value, value_faults = convert_value(item, each, (*path, position), validate)
+    for position, raw_item in enumerate(raw):
+        value, value_faults = convert_value(item, raw_item, (*path, position), validate)
         values.append(value)
         faults += value_faults
     return values, faults
 
 
-def _convert_mapping(item: Any, given: dict[str, Any], path: Path, validate: bool) -> Converted:
+def _convert_mapping(item: Any, raw: dict[str, Any], path: Path, validate: bool) -> Converted:
     values: dict[str, Any] = {}
     faults: list[Fault] = []
-    for key, each in given.items():
-        values[key], value_faults = convert_value(item, each, (*path, key), validate)
+    for key, raw_item in raw.items():
+        values[key], value_faults = convert_value(item, raw_item, (*path, key), validate)
         faults += value_faults
     return values, faults
 
 
-def _convert_tagged(models: list[type[msgspec.Struct]], given: object, path: Path) -> Converted:
-    """The struct of a union that the given table names by its tag."""
+def _convert_tagged(models: list[type[msgspec.Struct]], raw: object, path: Path) -> Converted:
+    """Converts a table into the struct of a union that its tag selects."""
     if len(models) == 1:
-        return convert(models[0], given, path)
+        return convert(models[0], raw, path)
     tag_field = models[0].__struct_config__.tag_field
     if tag_field is None:
-        raise TypeError(f"{models[0].__name__} is one of several and has no tag")
+        raise TypeError(f"{models[0].__name__} is part of a union but has no tag field")
     by_tag = {model.__struct_config__.tag: model for model in models}
-    if not isinstance(given, dict):
-        return None, [Fault(path, f"expected a table, got {type_name(given)}")]
-    if tag_field not in given:
+    if not isinstance(raw, dict):
+        return None, [Fault(path, f"expected a table, got {type_name(raw)}")]
+    if tag_field not in raw:
         choice = ", ".join(sorted(map(str, by_tag)))
         return None, [Fault(path, f"{tag_field} is missing: one of {choice}")]
-    if given[tag_field] not in by_tag:
+    if raw[tag_field] not in by_tag:
         return None, [
-            Fault((*path, tag_field), unknown_name_text(tag_field, given[tag_field], map(str, by_tag)))
+            Fault((*path, tag_field), unknown_name_text(tag_field, raw[tag_field], map(str, by_tag)))
         ]
-    return convert(by_tag[given[tag_field]], given, path)
+    return convert(by_tag[raw[tag_field]], raw, path)
 
 
 def _read_unit(expected: type, value: object) -> object:
-    """A value of a type of `units`, as msgspec asks for it."""
+    """The `dec_hook` of msgspec: reads a value of one of the types in `units`."""
     reader = units.READERS.get(expected)
     if reader is None:
         raise NotImplementedError(f"no reader for {expected}")
@@ -208,27 +209,27 @@
 
 
 def holds_structs(expected: object) -> bool:
-    """Whether a type is a struct or is made of some."""
+    """Whether a type is a struct or has a struct among its arguments."""
     return is_struct(expected) or any(map(is_struct, typing.get_args(expected)))
 
 
-def type_name(given: object) -> str:
-    """What a value is, in a person's words."""
-    return TYPE_NAMES.get(type(given), type(given).__name__)
+def type_name(raw: object) -> str:
+    """Names the type of a value for messages."""
+    return TYPE_NAMES.get(type(raw), type(raw).__name__)
 
 
-def unknown_name_text(what: str, given: object, known: Iterable[str] | Mapping[str, Any]) -> str:
-    """The text of a fault: a name that isn't known, with the nearest one or all that are."""
-    import difflib  # not at the top, as `tomllib`
+def unknown_name_text(what: str, raw: object, known: Iterable[str] | Mapping[str, Any]) -> str:
+    """Returns the message for an unknown name, with the most similar known name or else all of them."""
+    import difflib  # imported here, as `tomllib` above
 
-    names = list(known)
-    near = difflib.get_close_matches(str(given), names, 1, NAME_SIMILARITY)
-    if near:
-        return f"unknown {what} {given!r}; did you mean {near[0]!r}?"
-    return f"unknown {what} {given!r}; known are {', '.join(sorted(names))}"
+    known_names = list(known)
+    similar = difflib.get_close_matches(str(raw), known_names, 1, NAME_SIMILARITY)
+    if similar:
+        return f"unknown {what} {raw!r}; did you mean {similar[0]!r}?"
+    return f"unknown {what} {raw!r}; known are {', '.join(sorted(known_names))}"
 
 
 def _error_text(error: Exception) -> str:
-    """What msgspec finds wrong, without the place within the value: the path says that."""
+    """Returns the message of a conversion error, without msgspec's path, as the fault has its own."""
     text = str(error)
     return text[:1].lower() + text[1:].replace("`", "").removesuffix(" - at $")
--- a/kestrelbend/gateway/settings/toml_lines.py
+++ b/kestrelbend/gateway/settings/toml_lines.py
@@ -1,7 +1,7 @@
-"""Where a key of a TOML file stands, so that what is wrong can be said with its line.
+"""Finds the lines of the keys in a TOML file, for error messages.
 
-The parser of the standard library does not tell lines.  This reads the text a second time and looks for heads
-of tables and keys alone; a text that is no TOML is none of its business.
+The parser in the standard library does not provide line numbers.  This module scans the text a second time,
+only for table headers and keys.  It expects text that the parser has accepted.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import re
 
 Path = tuple[str | int, ...]
-"""Keys and, within arrays of tables, numbers from 0, from the file's top on."""
+"""The keys from the top of the file down; an entry of an array of tables is a number, from 0."""
 
 NAME = r"""(?:"[^"]*"|'[^']*'|[A-Za-z0-9_-]+)"""
 TABLE = re.compile(r"\s*(\[\[|\[)\s*(.+?)\s*\]\]?\s*(?:#.*)?\Z")
@@ -24,62 +24,63 @@
 
 
 def _blank_out(match: re.Match[str]) -> str:
-    """Long strings and comments as blanks; their line ends are kept."""
+    """Replaces the text of a multi-line string or a comment by underscores, except line ends."""
     return re.sub(r"[^\n]", "_", match[0]) if match["long"] else match[0]
 
 
 def _split_name(text: str) -> list[str]:
-    """The parts of a dotted name, without their quotes."""
+    """Splits a dotted name into its parts, without quotes."""
     return [next(part for part in match if part) if any(match) else "" for match in PART.findall(text)]
 
 
 def find_key_lines(text: str) -> dict[Path, int]:
-    """The line, from 1, that each key stands on.
+    """Returns the line, from 1, of each key.
 
-    Values that go over several lines do not hide the keys behind them; keys of inline tables stand on their
-    table's line.
+    Handles values that span several lines.  Keys inside inline tables are not listed; `line_of` returns the
+    line of their table.
     """
-    # What stands in strings and comments must not be taken for keys or brackets; line ends are kept.
+    # The text of strings and comments must not be mistaken for keys or brackets; line ends are kept.
     visible = STRINGS.sub(_blank_out, text)
-    found: dict[Path, int] = {(): 1}
+    lines: dict[Path, int] = {(): 1}
     table: Path = ()
-    entries: dict[Path, int] = {}
+    entry_counts: dict[Path, int] = {}
     depth = 0
     for number, line in enumerate(visible.split("\n"), 1):
-        if depth == 0 and (head := TABLE.match(line)):
-            table = _table_path(_split_name(head[2]), entries, head[1] == "[[")
-            found.setdefault(table, number)
+        if depth == 0 and (header := TABLE.match(line)):
+            table = _table_path(_split_name(header[2]), entry_counts, header[1] == "[[")
+            lines.setdefault(table, number)
             continue
-        if depth == 0 and (key := KEY.match(line)):
+        if depth == 0 and (key_match := KEY.match(line)):
             path = table
-            for part in _split_name(key[1]):
+            for part in _split_name(key_match[1]):
                 path += (part,)
-                found.setdefault(path, number)
-            line = line[key.end() :]
+                lines.setdefault(path, number)
+            line = line[key_match.end() :]
         plain = SHORT_STRINGS.sub("", line)
         opened = sum(plain.count(bracket) for bracket in "[{")
         closed = sum(plain.count(bracket) for bracket in "]}")
         depth = max(0, depth + opened - closed)
-    return found
+    return lines
 
 
-def _table_path(names: list[str], entries: dict[Path, int], is_array: bool) -> Path:
-    """The path of a table's head: each array of tables on the way stands for its latest entry.
+def _table_path(names: list[str], entry_counts: dict[Path, int], is_array: bool) -> Path:
+    """Returns the path of a table header, with the current entry's number after each array of tables.
 
-    `entries` counts the entries of each array of tables, from 0; a head of an array begins the next one.
+    `entry_counts` holds the number of the current entry of each array of tables, from 0; the header of an
+    array of tables starts the next entry.
     """
     path: Path = ()
     for position, name in enumerate(names):
         path += (name,)
         if is_array and position == len(names) - 1:
-            entries[path] = entries.get(path, -1) + 1
-        if path in entries:
-            path += (entries[path],)
+            entry_counts[path] = entry_counts.get(path, -1) + 1
+        if path in entry_counts:
+            path += (entry_counts[path],)
     return path
 
 
-def line_of(found: dict[Path, int], path: Path) -> int:
-    """The line of a path, or of the nearest thing around it that has one."""
-    while path and path not in found:
+def line_of(lines: dict[Path, int], path: Path) -> int:
+    """Returns the line of a path, or of its nearest ancestor that has one."""
+    while path and path not in lines:
         path = path[:-1]
-    return found[path]
+    return lines[path]
--- a/kestrelbend/gateway/settings/units.py
+++ b/kestrelbend/gateway/settings/units.py
@@ -1,7 +1,7 @@
-"""Quantities as people write them: times, sizes, shares and addresses.
+"""Types and parsers for the durations, sizes, fractions and addresses in settings files.
 
-Each is a type of its own, so that a model says which unit a number has; a value is parsed once, on the way
-in.
+Each quantity has a type of its own, so that a model states the unit of every number.  A value is parsed once,
+when the file is read.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
     "MiB": 1 << 20,
     "GiB": 1 << 30,
 }
-MAX_DIGITS = 15  # before the point; more lose their last ones as a float
+MAX_DIGITS = 15  # before the decimal point; a float cannot represent more exactly
 QUANTITY = re.compile(r"\s*([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)\s*\Z")
 
 
 class Microseconds(int):
-    """A time span in whole microseconds, stated as "250ms", "1.2s", "3m"."""
+    """A duration in whole microseconds, written as "250ms", "1.2s" or "3m"."""
 
 
 class ByteSize(int):
-    """A size in bytes, stated as "64MiB" or as a plain number."""
+    """A size in bytes, written as "64MiB" or as a plain number."""
 
 
 class Fraction(float):
-    """A part of a whole, 0 to 1, stated as 0.2 or as "20%"."""
+    """A fraction from 0 to 1, written as 0.2 or as "20%"."""
 
 
 class Address(str):
-    """host:port."""
+    """A network address, written as host:port."""
 
     @property
     def host_and_port(self) -> tuple[str, int]:
@@ -48,10 +48,13 @@
 
 
 def read_quantity(text: str, units: dict[str, int], example: str) -> int:
-    """A number with its unit, in the smallest unit; raises `ValueError`, which shows the `example`."""
+    """Parses a number with its unit; returns it in the smallest unit.
+
+    Raises `ValueError`, whose message contains the `example`.
+    """
     match = QUANTITY.match(text)
     if match is None or match[2] not in units:
-        raise ValueError(f"expected text as in {example}, in one of {', '.join(units)}; got {text!r}")
+        raise ValueError(f"expected a number with a unit ({', '.join(units)}), as in {example}; got {text!r}")
     integer, _, decimals = match[1].partition(".")
     if len(integer) > MAX_DIGITS:
         raise ValueError(f"too large: {text!r}")
@@ -61,7 +64,7 @@
 
 
 def read_duration(value: object) -> Microseconds:
-    """A time as text with its unit; 0 needs none.  Raises `ValueError`."""
+    """Parses a duration, text with a unit; 0 needs none.  Raises `ValueError`."""
     if isinstance(value, Microseconds):
         return value
     if isinstance(value, str):
@@ -72,7 +75,7 @@
 
 
 def read_byte_size(value: object) -> ByteSize:
-    """A size as a number of bytes or as text with its unit.  Raises `ValueError`."""
+    """Parses a size, a number of bytes or text with a unit.  Raises `ValueError`."""
     if isinstance(value, str):
         return ByteSize(read_quantity(value, SIZE_UNITS, '"64MiB"'))
     if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
@@ -81,7 +84,7 @@
 
 
 def read_fraction(value: object) -> Fraction:
-    """A part of a whole as a number or as text with a per cent sign.  Raises `ValueError`."""
+    """Parses a fraction, a number or text with a percent sign.  Raises `ValueError`."""
     if isinstance(value, str) and value.rstrip().endswith("%"):
         try:
             value = float(value.rstrip()[:-1]) / 100
@@ -95,7 +98,7 @@
 
 
 def read_address(value: object) -> Address:
-    """host:port.  Raises `ValueError`."""
+    """Parses an address, host:port.  Raises `ValueError`."""
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f'an address is host:port, as in "10.0.0.4:8081"; got {value!r}')
@@ -108,4 +111,4 @@
     Fraction: read_fraction,
     Address: read_address,
 }
-"""What reads a value of each type."""
+"""The parser for each type."""
