--- a/tests/tier/test_announced.py
+++ b/tests/tier/test_announced.py
@@ -1,4 +1,4 @@
-"""Versions that were announced to a gateway and whose bodies come by another way, or not."""
+"""Fetching of announced configuration versions whose bodies did not arrive by the stream."""
 
 import testtools
 
@@ -9,17 +9,17 @@
 )
 
 
-class AnnouncedStories(testtools.TestCase):
+class AnnouncedVersionsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.announced = AnnouncedVersions()
 
-    def test_given_the_body_comes_in_time_then_nobody_is_asked(self):
+    def test_no_fetch_if_the_body_arrives_in_time(self):
         self.announced.record("a", 5, 0.0)
         self.assertIsNone(self.announced.next_fetch_address(5, FETCH_DELAY_S))
         self.assertIsNone(self.announced.next_fetch_address(5, 10.0))
 
-    def test_given_it_does_not_come_then_announcers_are_asked_in_turn(self):
+    def test_missing_body_is_fetched_from_the_announcers_in_turn(self):
         self.announced.record("a", 5, 0.0)
         self.announced.record("b", 5, 0.01)
         self.assertIsNone(self.announced.next_fetch_address(4, FETCH_DELAY_S - 0.01))
@@ -28,7 +28,7 @@
         second = self.announced.next_fetch_address(4, FETCH_DELAY_S + FETCH_INTERVAL_S)
         self.assertEqual({"a", "b"}, {first, second})
 
-    def test_given_one_who_announced_an_older_version_then_it_is_not_asked(self):
+    def test_announcer_of_an_older_version_is_not_asked(self):
         self.announced.record("old", 4, 0.0)
         self.announced.record("new", 5, 0.0)
         asked = {
--- a/tests/tier/test_check_command.py
+++ b/tests/tier/test_check_command.py
@@ -1,4 +1,4 @@
-"""`kestrelbend check` on the tier's files: settings of a process, the operator's configuration."""
+"""`kestrelbend check` on the tier's files: process settings, operator configurations and day files."""
 
 import contextlib
 import io
@@ -15,52 +15,54 @@
 from tests.tier.test_settings import FULL
 
 
-class CheckTest(testtools.TestCase):
-    """One file at a time."""
+class CheckCommandTest(testtools.TestCase):
+    """Checks of one file."""
 
     def setUp(self):
         super().setUp()
         self.folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def check(self, name, text, *words):
-        """(exit code, lines of output)."""
+    def check(self, name, text, *arguments):
+        """Writes a file, checks it, and returns (exit code, lines of output)."""
         path = self.folder / name
         path.write_text(text)
-        said = io.StringIO()
-        with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
-            code = run(["check", str(path), *words], serve)
-        return code, said.getvalue().replace(f"{self.folder}/", "").splitlines()
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
+            code = run(["check", str(path), *arguments], serve)
+        return code, output.getvalue().replace(f"{self.folder}/", "").splitlines()
 
-    def test_given_a_day_then_its_troubles_must_say_what_happens_and_when(self):
-        usable = 'name = "cut"\nseed = 7\nfaults = [{ at = 1.5, kind = "core_cut", for_s = 20 }]\n'
-        self.assertEqual((0, ["day.toml: a usable day file"]), self.check("day.toml", usable))
-        for broken in ("kind = 3", "at = -1", 'kind = ""', "at = 1"):
-            code, lines = self.check("day.toml", f'name = "cut"\nseed = 7\nfaults = [{{ {broken} }}]\n')
+    def test_faults_of_a_day_file_need_a_kind_and_a_time(self):
+        valid_day = 'name = "cut"\nseed = 7\nfaults = [{ at = 1.5, kind = "core_cut", for_s = 20 }]\n'
+        self.assertEqual((0, ["day.toml: a usable day file"]), self.check("day.toml", valid_day))
+        for invalid_fault in ("kind = 3", "at = -1", 'kind = ""', "at = 1"):
+            code, lines = self.check(
+                "day.toml", f'name = "cut"\nseed = 7\nfaults = [{{ {invalid_fault} }}]\n'
+            )
             self.assertEqual((2, True), (code, lines[0].startswith("day.toml: ")), lines)
         self.assertEqual(2, self.check("day.toml", 'name = "cut"\nseed = "x"\nfaults = []\n')[0])
         self.assertEqual(2, self.check("day.toml", "faults = [", "--kind", "day")[0])
 
-    def test_given_usable_files_then_their_kind_is_guessed_and_told(self):
+    def test_kind_of_a_valid_file_is_detected_and_printed(self):
         self.assertEqual((0, ["boot.yaml: a usable boot file"]), self.check("boot.yaml", FULL))
         text = json.dumps(document())
         self.assertEqual((0, ["c.json: a usable document file"]), self.check("c.json", text))
         self.assertEqual(0, self.check("settings", FULL, "--kind", "boot")[0])
         self.assertEqual(0, self.check("configuration", text, "--kind=document")[0])
 
-    def test_given_settings_with_faults_then_all_are_told(self):
+    def test_all_errors_of_a_settings_file_are_printed(self):
         code, lines = self.check("boot.yml", "Ip: here\nPortRange: [9, 1]\nBounds: {AckMs: no}\n")
         self.assertEqual(2, code)
         keys = {line.split(": ")[1] for line in lines}
         self.assertEqual({"Node", "Ip", "Zone", "PortRange", "Bounds.AckMs"}, keys)
 
-    def test_given_a_configuration_with_faults_then_all_are_told_with_its_name(self):
+    def test_all_errors_of_a_configuration_are_printed_with_the_file_name(self):
         routes = [route("a", "/a/", Upstream="red"), route("b", "b", TimeoutMs=0)]
         code, lines = self.check("c.json", json.dumps(document(Routes=routes)))
         self.assertEqual((2, 3), (code, len(lines)))
         self.assertTrue(all(line.startswith("c.json: ") for line in lines))
 
-    def test_given_a_file_that_is_no_json_or_yaml_then_one_line_tells(self):
+    def test_file_that_is_not_json_or_yaml_prints_one_line(self):
         for name, text in (("c.json", '{"Routes": ['), ("boot.yaml", "a: [")):
             code, lines = self.check(name, text)
             self.assertEqual((2, 1), (code, len(lines)))
--- a/tests/tier/test_configuration_operator_api.py
+++ b/tests/tier/test_configuration_operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for the operator and for backends' heartbeats."""
+"""The HTTP API for the operator and for backends' heartbeats."""
 
 import asyncio
 import json
@@ -12,8 +12,8 @@
 from kestrelbend.tier.configuration.rejections import ANY_CALL, REJECTIONS, Proof, is_rejection
 
 
-class Port:
-    """A control node that answers what it is told to."""
+class FakePort:
+    """A control port that returns the configured outcomes and records its calls."""
 
     def __init__(self):
         self.calls = []
@@ -23,10 +23,10 @@
         self.retire_outcome = RetireOutcome.ACCEPTED
         self.state = RetireState.RUNNING
         self.url = None
-        self.told = {"Node": "front-1", "InTouch": True}
+        self.status_values = {"Node": "front-1", "InTouch": True}
 
     def status(self):
-        return self.told
+        return self.status_values
 
     async def submit_order(self, order):
         self.calls.append(order)
@@ -55,20 +55,20 @@
 
 
 class OperatorApiTest(testtools.TestCase):
-    """Calls and their answers."""
+    """Responses of the API to its calls."""
 
     def setUp(self):
         super().setUp()
-        self.port = Port()
+        self.port = FakePort()
         self.headers = {}
 
-    def call(self, method, path, *chunks, base=None, ends=True):
-        """(status, JSON) of one call; None if there was no answer."""
+    def call(self, method, path, *chunks, base=None, is_complete=True):
+        """Returns (status, JSON) of one call, None if there was no response."""
         headers = [] if base is None else [(b"X-Kestrelbend-Base-Version", base)]
         scope = {"type": "http", "method": method, "path": path, "headers": headers}
         chunks = chunks or (b"",)
         events = [{"type": "http.request", "body": chunk, "more_body": True} for chunk in chunks]
-        events[-1]["more_body"] = not ends
+        events[-1]["more_body"] = not is_complete
         events.append({"type": "http.disconnect"})
         sent = []
 
@@ -86,9 +86,9 @@
         self.assertEqual(b"application/json", self.headers[b"content-type"])
         return sent[0]["status"], json.loads(sent[1]["body"])
 
-    def test_given_a_configuration_in_pieces_then_the_port_gets_its_very_bytes(self):
-        answer = self.call("POST", "/api/Config.Put", b'{"Ver"', b": 7} ", base=b"5")
-        self.assertEqual((200, {"Ver": 7}), answer)
+    def test_chunked_configuration_reaches_the_port_byte_for_byte(self):
+        response = self.call("POST", "/api/Config.Put", b'{"Ver"', b": 7} ", base=b"5")
+        self.assertEqual((200, {"Ver": 7}), response)
         self.call("POST", "/api/Config.Patch", b"{}", base=b"0")
         expected = [
             ConfigOrder(int(OrderKind.PUT), 5, b'{"Ver": 7} '),
@@ -96,27 +96,27 @@
         ]
         self.assertEqual(expected, self.port.calls)
 
-    def test_given_a_base_version_that_is_no_whole_number_then_the_port_is_not_asked(self):
+    def test_base_version_that_is_not_an_integer_is_rejected_without_calling_the_port(self):
         for base in (None, b"", b"x", b"-1", b"1.0", b" 1", b"1" * 30, b"9" * 19, b"\xb2"):
             self.assertEqual(400, self.call("POST", "/api/Config.Put", b"{}", base=base)[0])
         self.assertEqual([], self.port.calls)
 
-    def test_given_the_outcome_of_an_order_then_it_is_the_answer(self):
+    def test_outcome_of_an_order_determines_the_response(self):
         for status, expected in ((400, 400), (412, 412), (0, 503)):
             self.port.outcome = ConfigOutcome(status, 9, "a reason")
             self.assertEqual(expected, self.call("POST", "/api/Config.Put", b"{}", base=b"1")[0])
             self.assertEqual(expected == 503, b"retry-after" in self.headers)
 
-    def test_given_any_outcome_of_an_order_then_it_is_refused_only_as_the_table_allows(self):
+    def test_outcome_outside_the_rejection_table_is_not_returned_as_a_rejection(self):
         for call in ("Put", "Patch"):
             for status in range(1, 600):
                 self.port.outcome = ConfigOutcome(status, 9, "a reason")
-                answered = self.call("POST", f"/api/Config.{call}", b"{}", base=b"1")[0]
+                returned = self.call("POST", f"/api/Config.{call}", b"{}", base=b"1")[0]
                 allowed = status in (400, 412)
                 if 400 <= status < 500:
-                    self.assertEqual(status if allowed else 503, answered, status)
+                    self.assertEqual(status if allowed else 503, returned, status)
 
-    def test_given_the_table_of_refusals_then_each_names_a_call_and_its_proof(self):
+    def test_each_rejection_of_the_table_names_a_call_and_its_proofs(self):
         calls = {*OperatorApi(self.port)._handlers, ANY_CALL}
         for rejection in REJECTIONS:
             self.assertIn(rejection.call, calls)
@@ -124,23 +124,23 @@
         by_call_alone = {r.status for r in REJECTIONS if r.proofs == (Proof.CALL,)}
         self.assertEqual({400, 404, 405, 408, 413}, by_call_alone)
 
-    def test_given_a_body_that_is_too_large_then_it_is_read_and_refused(self):
+    def test_body_that_is_too_large_is_read_and_rejected(self):
         self.patch(operator_api, "MAX_ORDER_BYTES", 10)
-        answer = self.call("POST", "/api/Config.Put", b"x" * 6, b"x" * 5, b"x" * 90, base=b"1")
-        self.assertEqual((413, []), (answer[0], self.port.calls))
+        response = self.call("POST", "/api/Config.Put", b"x" * 6, b"x" * 5, b"x" * 90, base=b"1")
+        self.assertEqual((413, []), (response[0], self.port.calls))
 
-    def test_given_a_body_that_breaks_off_then_nothing_is_done(self):
-        self.assertIsNone(self.call("POST", "/api/Config.Put", b'{"Ver":7}', base=b"1", ends=False))
+    def test_incomplete_body_has_no_effect(self):
+        self.assertIsNone(self.call("POST", "/api/Config.Put", b'{"Ver":7}', base=b"1", is_complete=False))
         self.assertEqual([], self.port.calls)
 
-    def test_given_the_newest_configuration_then_it_comes_as_it_is(self):
-        self.assertEqual((200, {"Ver": 7}), self.call("GET", "/api/Config.Get", b"unasked body"))
+    def test_get_returns_the_newest_configuration_unchanged(self):
+        self.assertEqual((200, {"Ver": 7}), self.call("GET", "/api/Config.Get", b"unexpected body"))
         self.port.reply = ReadReply(False, 0, b"")
         self.assertEqual(503, self.call("GET", "/api/Config.Get")[0])
         self.port.reply = ReadReply(True, 0, b"")
         self.assertEqual(404, self.call("GET", "/api/Config.Get")[0])
 
-    def test_given_a_heartbeat_then_it_is_handed_on_and_may_name_an_address(self):
+    def test_heartbeat_is_forwarded_and_its_response_may_contain_a_url(self):
         self.assertEqual((200, {}), self.call("POST", "/api/Instances.Heartbeat/i-1", b'{"Seq":1}'))
         self.port.url = "http://10.0.0.1:80"
         self.assertEqual(
@@ -151,18 +151,18 @@
             self.port.report_outcome = outcome
             self.assertEqual(expected, self.call("POST", "/api/Instances.Heartbeat/i-1", b"{}")[0])
 
-    def test_given_a_heartbeat_that_is_no_object_then_the_port_is_not_asked(self):
+    def test_heartbeat_that_is_not_an_object_is_rejected_without_calling_the_port(self):
         for data in (b"", b"[]", b"{", b"\xff", b"[" * 60000):
             self.assertEqual(400, self.call("POST", "/api/Instances.Heartbeat/i-1", data)[0])
         self.assertEqual(413, self.call("POST", "/api/Instances.Heartbeat/i-1", b" " * 70000)[0])
         self.assertEqual([], self.port.calls)
 
-    def test_given_a_leave_then_its_body_does_not_matter(self):
+    def test_leave_ignores_the_body(self):
         for data in (b"", b"{}", b"anything"):
             self.assertEqual((200, {}), self.call("POST", "/api/Instances.Leave/i-1", data))
         self.assertEqual(["i-1"] * 3, self.port.calls)
 
-    def test_given_a_node_to_be_emptied_then_the_answers_are_the_ports(self):
+    def test_responses_of_retirement_calls_follow_the_port(self):
         self.assertEqual(200, self.call("POST", "/api/Retire.Start/store-1", b'{"DeadlineS":10}')[0])
         self.assertEqual([("store-1", 10.0)], self.port.calls)
         for outcome, expected in (
@@ -179,12 +179,12 @@
             self.port.state = state
             self.assertEqual(expected, self.call("GET", "/api/Retire.Get/store-1")[0])
 
-    def test_given_the_question_of_status_then_it_is_what_the_port_tells(self):
-        self.assertEqual((200, self.port.told), self.call("GET", "/api/Status"))
+    def test_status_returns_the_status_of_the_port(self):
+        self.assertEqual((200, self.port.status_values), self.call("GET", "/api/Status"))
         self.assertEqual(405, self.call("POST", "/api/Status")[0])
         self.assertEqual(404, self.call("GET", "/api/Status/x")[0])
 
-    def test_given_another_path_or_method_then_it_is_refused_and_its_body_read(self):
+    def test_unknown_path_or_method_is_rejected_after_reading_the_body(self):
         unknown = (
             "/",
             "/api/Config.Put/x",
@@ -201,7 +201,7 @@
             self.assertEqual(405, self.call(method, path)[0])
             self.assertEqual(allowed, self.headers[b"allow"])
 
-    def test_given_the_start_and_end_of_the_server_then_both_are_confirmed(self):
+    def test_lifespan_startup_and_shutdown_are_confirmed(self):
         events = [{"type": "lifespan.startup"}, {"type": "lifespan.shutdown"}]
         sent = []
 
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -64,11 +64,10 @@
     "placement-number": "test_replication_placement.TestPlacementNumber"
     ".test_given_restarted_replicas_when_an_older_placement_arrives_then_the_group_does_not_change",
     "placement-order": "test_configuration_state.OrdersTest"
-    ".test_given_a_placement_in_force_then_only_the_next_number_takes_its_place",
+    ".test_placement_is_replaced_only_by_the_next_number",
     "settled": "test_replication_placement.TestStableGroup"
     ".test_given_an_uncommitted_change_then_the_previous_group_is_reported_and_it_is_not_stable",
-    "emptied": "test_configuration_state.EmptyingTest"
-    ".test_given_an_order_and_nothing_heard_then_the_state_is_running",
+    "emptied": "test_configuration_state.RetirementTest.test_retirement_without_recorded_removals_is_running",
     "emptied-identity": "test_storage_journal.DataDirectoryTest"
     ".test_emptied_disk_gets_a_new_identity_and_keeps_it",
     "reservation-first": "test_dataplane_streams.TurnBudgetTest.test_spent_budget_gives_402_without_a_send",
@@ -89,10 +88,9 @@
     ".test_a_transfer_completes_although_newer_snapshots_are_taken",
     "later-wish": "test_replication_placement.TestLeadershipTransferDuringAGroupChange"
     ".test_given_two_placements_in_any_order_then_the_one_with_the_higher_number_is_reached",
-    "emptied-stays": "test_configuration_state.EmptyingTest"
-    ".test_given_a_group_with_a_disk_of_the_node_or_an_unknown_one_then_it_proves_nothing",
-    "new-voter": "test_configuration_state.EmptyingTest"
-    ".test_given_a_node_to_be_emptied_then_no_later_placement_brings_it_back",
+    "emptied-stays": "test_configuration_state.RetirementTest"
+    ".test_removal_by_a_group_with_a_disk_of_the_node_or_an_unknown_disk_is_rejected",
+    "new-voter": "test_configuration_state.RetirementTest.test_later_placement_cannot_add_a_retiring_node",
     "emptied-by-owner": "test_control_store_facts.StoreFactsTest"
     ".test_report_by_another_replica_or_of_an_unfinished_change_records_nothing",
     "heard-all": "test_guards.TestRetirements.test_a_young_owner_refuses_no_retirement",
@@ -107,10 +105,10 @@
     "read-reply": "test_read_index.LaggingReplicaTest"
     ".test_given_replies_of_another_leader_term_or_incarnation_then_they_are_ignored",
     "other-base": "test_configuration_state.OrdersTest"
-    ".test_given_an_order_whose_base_may_become_current_then_it_is_not_refused_before_that",
+    ".test_order_whose_base_may_become_current_is_undetermined",
     "checked-base": "test_guards.TestCheckedEntries.test_one_whose_base_may_become_current_is_not_refused",
     "call-refusals": "test_configuration_operator_api.OperatorApiTest"
-    ".test_given_any_outcome_of_an_order_then_it_is_refused_only_as_the_table_allows",
+    ".test_outcome_outside_the_rejection_table_is_not_returned_as_a_rejection",
     "newest-refuses": "test_gateway_contact.GatewayContactTest"
     ".test_version_older_than_the_confirmed_one_may_not_refuse",
     "elsewhere": "test_gateway_contact.GatewayContactTest"
--- a/tests/tier/test_orders.py
+++ b/tests/tier/test_orders.py
@@ -1,6 +1,7 @@
-"""Stories of orders whose answers are lost: two operators, one base, one number, every control node.
+"""Concurrent orders whose responses are lost, and the owner's decisions on pending orders.
 
-Whatever happens between, one of the two is taken and the other is refused, at every node and for ever after.
+Two operators send different documents with the same version on the same base to all control nodes.  Whatever
+faults occur in between, every node must permanently accept one of the two orders and reject the other.
 """
 
 import asyncio
@@ -25,13 +26,13 @@
 from tests.tier.fleet_story import FleetStory
 from tests.tier.virtual_time import run
 
-CALL_S = 1.0
-TRIES = 30
-AT_ONCE = 8
+CALL_TIMEOUT_S = 1.0
+MAX_ATTEMPTS = 30
+CHAINED_ORDERS = 8
 
 
-def twins(world):
-    """Two orders of the same number on the same base with different bodies."""
+def conflicting_orders(world):
+    """Returns two orders with the same version and base, but different bodies."""
     first = world.operator.put()
     second = world.operator.put(first.base)
     while second.version != first.version:
@@ -39,20 +40,20 @@
     return first, second
 
 
-async def send_once(world, order, machine):
-    """One try at one node; the reply, or None without one."""
+async def send_order(world, order, machine):
+    """Sends an order once to one node; returns the reply or None."""
     order.sent_at = order.sent_at or world.fleet.now()
     headers = [(BASE_VERSION, str(order.base).encode())]
     address = machine.spec.control_address
     path = f"/api/Config.{order.kind}"
-    reply = await world.fleet.http.call(address, "POST", path, headers, order.body, CALL_S)
+    reply = await world.fleet.http.call(address, "POST", path, headers, order.body, CALL_TIMEOUT_S)
     return reply if isinstance(reply, Reply) else None
 
 
-async def clear_answer(world, order, machine):
-    """The first clear answer of one node, noted by the rules of answers; 0 where none came."""
-    for _ in range(TRIES):
-        reply = await send_once(world, order, machine)
+async def final_status(world, order, machine):
+    """Repeats an order at one node until its status is final; returns the status, or 0 if none was final."""
+    for _ in range(MAX_ATTEMPTS):
+        reply = await send_order(world, order, machine)
         if reply is not None and reply.status != 503:
             world.operator._answered(order, reply, machine.spec.control_address)
             return reply.status
@@ -60,53 +61,53 @@
     return 0
 
 
-async def answers_everywhere(world, orders):
-    """For each order the clear answers of all control nodes."""
-    answers = []
+async def final_statuses(world, orders):
+    """Returns for each order the final statuses of all control nodes."""
+    statuses_by_order = []
     for order in orders:
-        answers.append(
-            [await clear_answer(world, order, machine) for machine in world.fleet.control_machines()]
+        statuses_by_order.append(
+            [await final_status(world, order, machine) for machine in world.fleet.control_machines()]
         )
-    return answers
+    return statuses_by_order
 
 
-def expect_one_taken(world, answers, when):
-    """One order is taken at all nodes, the other one refused with 412 at all of them."""
-    count = len(answers[0])
-    if sorted(answers) != [[200] * count, [412] * count]:
-        world.fleet.report_violation(f"{when}: {answers}")
+def expect_one_accepted(world, statuses_by_order, when):
+    """Reports a violation unless all nodes accept one order and reject the other with 412."""
+    count = len(statuses_by_order[0])
+    if sorted(statuses_by_order) != [[200] * count, [412] * count]:
+        world.fleet.report_violation(f"{when}: {statuses_by_order}")
 
 
-async def lose_answers(world, orders, rng):
-    """Sends the orders at different nodes at once, and repeats them elsewhere; no answer is looked at."""
-    sending = []
+async def send_without_reading_replies(world, orders, rng):
+    """Sends each order to two nodes almost at once, without reading the replies."""
+    send_tasks = []
     for order in orders:
         for machine in rng.sample(world.fleet.control_machines(), 2):
-            sending.append(asyncio.create_task(send_once(world, order, machine)))
+            send_tasks.append(asyncio.create_task(send_order(world, order, machine)))
             await asyncio.sleep(rng.choice((0.0, rng.uniform(0.0, 0.01))))
-    return sending
+    return send_tasks
 
 
-class TestRaces(FleetStory):
-    def race(self, trouble):
-        async def story(world):
+class TestOrderRaces(FleetStory):
+    def race(self, inject_fault):
+        async def scenario(world):
             rng = random.Random(f"orders {world.fleet.seed}")
-            orders = twins(world)
-            sending = await lose_answers(world, orders, rng)
+            orders = conflicting_orders(world)
+            send_tasks = await send_without_reading_replies(world, orders, rng)
             await asyncio.sleep(rng.uniform(0.0, 0.008))
-            recover = await trouble(world, rng)
-            await asyncio.wait(sending)
-            expect_one_taken(world, await answers_everywhere(world, orders), "after the race")
+            recover = await inject_fault(world, rng)
+            await asyncio.wait(send_tasks)
+            expect_one_accepted(world, await final_statuses(world, orders), "after the race")
             await recover()
             for _ in range(3):
                 await world.operator.change()
-            expect_one_taken(world, await answers_everywhere(world, orders), "after other changes")
-            await self.restart_core(world)
-            expect_one_taken(world, await answers_everywhere(world, orders), "after restarts")
+            expect_one_accepted(world, await final_statuses(world, orders), "after other changes")
+            await self.restart_control_nodes(world)
+            expect_one_accepted(world, await final_statuses(world, orders), "after restarts")
 
-        return story
+        return scenario
 
-    async def restart_core(self, world):
+    async def restart_control_nodes(self, world):
         machines = world.fleet.control_machines()
         for machine in machines:
             world.fleet.lose_power(machine)
@@ -120,7 +121,7 @@
 
         return recover
 
-    async def owner_loses_power(self, world, rng):
+    async def power_off_owner(self, world, rng):
         machine = owner_machine(world)
         world.fleet.lose_power(machine)
 
@@ -131,7 +132,7 @@
         world.fleet.start(machine)
         return recover
 
-    async def owner_is_cut_off(self, world, rng):
+    async def partition_owner(self, world, rng):
         machine = owner_machine(world)
         others = [other for other in world.fleet.quorum_machines() if other is not machine]
         world.fleet.partition(machine, others, one_way=rng.random() < 0.5)
@@ -143,7 +144,7 @@
 
         return recover
 
-    async def owner_stands_still(self, world, rng):
+    async def freeze_owner(self, world, rng):
         machine = owner_machine(world)
         world.fleet.freeze(machine, silent=rng.random() < 0.5)
         await asyncio.sleep(rng.uniform(0.3, 2.0))
@@ -154,93 +155,93 @@
 
         return recover
 
-    def test_two_orders_race_in_calm(self):
+    def test_two_concurrent_orders_without_faults(self):
         self.tell(self.race(self.nothing), seeds=(1, 2))
 
-    def test_the_owner_loses_power_between_two_orders(self):
-        self.tell(self.race(self.owner_loses_power), seeds=range(1, 5))
+    def test_two_concurrent_orders_while_the_owner_loses_power(self):
+        self.tell(self.race(self.power_off_owner), seeds=range(1, 5))
 
-    def test_the_owner_is_cut_off_between_two_orders(self):
-        self.tell(self.race(self.owner_is_cut_off), seeds=range(1, 5))
+    def test_two_concurrent_orders_while_the_owner_is_partitioned(self):
+        self.tell(self.race(self.partition_owner), seeds=range(1, 5))
 
-    def test_the_owner_stands_still_between_two_orders(self):
-        self.tell(self.race(self.owner_stands_still), seeds=range(1, 4))
+    def test_two_concurrent_orders_while_the_owner_is_frozen(self):
+        self.tell(self.race(self.freeze_owner), seeds=range(1, 4))
 
-    def test_eight_orders_at_once_are_taken_in_a_row_or_refused(self):
-        async def story(world):
+    def test_eight_chained_orders_sent_at_once_are_all_accepted(self):
+        async def scenario(world):
             rng = random.Random(f"pipeline {world.fleet.seed}")
             base = world.operator.version
             orders = []
-            for _ in range(AT_ONCE):
+            for _ in range(CHAINED_ORDERS):
                 orders.append(world.operator.put(base))
                 base = orders[-1].version
-            answers = await asyncio.gather(
-                *(clear_answer(world, order, rng.choice(world.fleet.control_machines())) for order in orders)
+            statuses_by_order = await asyncio.gather(
+                *(final_status(world, order, rng.choice(world.fleet.control_machines())) for order in orders)
             )
-            if answers != [200] * AT_ONCE:
+            if statuses_by_order != [200] * CHAINED_ORDERS:
                 world.fleet.report_violation(
-                    f"orders on top of each other, sent at once, are answered {answers}"
+                    f"chained orders sent at once got the statuses {statuses_by_order}"
                 )
 
-        self.tell(story, seeds=(1, 2, 3))
+        self.tell(scenario, seeds=(1, 2, 3))
 
-    def test_a_taken_order_past_the_history_is_never_refused(self):
+    def test_accepted_order_evicted_from_the_history_gets_503(self):
         self.patch(document_orders, "MAX_HISTORY", 2)
 
-        async def story(world):
-            orders = twins(world)
-            sending = await lose_answers(world, orders, random.Random(1))
-            await asyncio.wait(sending)
-            expect_one_taken(world, await answers_everywhere(world, orders), "at first")
-            taken = next(order for order in orders if order.acknowledged_at is not None)
+        async def scenario(world):
+            orders = conflicting_orders(world)
+            send_tasks = await send_without_reading_replies(world, orders, random.Random(1))
+            await asyncio.wait(send_tasks)
+            expect_one_accepted(world, await final_statuses(world, orders), "at first")
+            accepted_order = next(order for order in orders if order.acknowledged_at is not None)
             for _ in range(4):
                 newest = await world.operator.change()
             for machine in world.fleet.control_machines():
-                reply = await send_once(world, taken, machine)
+                reply = await send_order(world, accepted_order, machine)
                 if reply is None or reply.status != 503:
-                    world.fleet.report_violation(f"a forgotten order is answered {reply}")
-                if await clear_answer(world, newest, machine) != 200:
-                    world.fleet.report_violation("the newest order is not taken again")
+                    world.fleet.report_violation(f"an order evicted from the history got {reply}")
+                if await final_status(world, newest, machine) != 200:
+                    world.fleet.report_violation("the repeated newest order was not accepted")
 
-        self.tell(story)
+        self.tell(scenario)
 
 
 class TestAcknowledgementTimes(FleetStory):
-    def test_in_calm_every_change_is_acknowledged_within_a_second_at_every_node(self):
-        async def story(world):
+    def test_changes_without_faults_are_acknowledged_within_100_ms_at_every_node(self):
+        async def scenario(world):
             slowest = 0.0
             for number in range(12):
                 machine = world.fleet.control_machines()[number % 3]
-                began = world.fleet.now()
+                started_at = world.fleet.now()
                 order = world.operator.put()
-                if await clear_answer(world, order, machine) != 200:
-                    world.fleet.report_violation(f"{order} is not taken")
-                slowest = max(slowest, world.fleet.now() - began)
+                if await final_status(world, order, machine) != 200:
+                    world.fleet.report_violation(f"{order} was not accepted")
+                slowest = max(slowest, world.fleet.now() - started_at)
             if slowest > 0.1:
-                world.fleet.report_violation(f"a change took {slowest:.3f} s in calm")
+                world.fleet.report_violation(f"a change took {slowest:.3f} s without faults")
 
-        self.tell(story)
+        self.tell(scenario)
 
-    def test_a_gateway_that_answers_nothing_holds_a_change_up_by_less_than_a_second(self):
-        async def story(world):
+    def test_unresponsive_gateway_delays_a_change_by_less_than_a_second(self):
+        async def scenario(world):
             machine = next(one for one in world.fleet.machines.values() if not one.spec.has_disk)
             world.fleet.freeze(machine)
-            began = world.fleet.now()
-            await clear_answer(world, world.operator.put(), owner_machine(world))
-            if world.fleet.now() - began > 0.6:
-                world.fleet.report_violation(f"a change took {world.fleet.now() - began:.3f} s")
+            started_at = world.fleet.now()
+            await final_status(world, world.operator.put(), owner_machine(world))
+            if world.fleet.now() - started_at > 0.6:
+                world.fleet.report_violation(f"a change took {world.fleet.now() - started_at:.3f} s")
             world.fleet.thaw(machine)
 
-        self.tell(story)
+        self.tell(scenario)
 
 
-class Host:
-    """The owner's host: entries are committed, or lost, when the test says so."""
+class FakeHost:
+    """The owner's shard host, whose pending entries the test commits or loses explicitly."""
 
     def __init__(self, machine):
         self._machine = machine
         self.pending = []
-        self.owns = True
+        self.is_owner = True
         self.is_cut_off = False
         self.is_leader = True
         self.leader = ""
@@ -252,14 +253,14 @@
         return self._machine
 
     def propose(self, shard, command, outcome, now):
-        if self.owns:
+        if self.is_owner:
             self.pending.append((command, outcome))
-        return self.owns
+        return self.is_owner
 
     def confirm_read(self, shard, outcome, now):
-        if self.owns and not self.is_cut_off:
+        if self.is_owner and not self.is_cut_off:
             asyncio.get_running_loop().call_soon(outcome, True)
-        return self.owns
+        return self.is_owner
 
     def flush(self, shard):
         assert shard == CONFIGURATION_SHARD
@@ -269,17 +270,17 @@
         for command, outcome in pending:
             outcome(self._machine.apply(command))
 
-    def lose(self):
+    def lose_ownership(self):
         pending, self.pending = self.pending, []
-        self.owns = False
+        self.is_owner = False
         for _, outcome in pending:
             outcome(None)
 
 
 class NotOpenTest(testtools.TestCase):
-    """A process whose replica of the shard has not been opened yet."""
+    """A process that has no open replica of the shard."""
 
-    def test_given_no_replica_then_the_state_and_the_replica_are_a_typed_error(self):
+    def test_state_and_replica_raise_shard_not_open_without_a_replica(self):
         class EmptyHost:
             def replica(self, shard):
                 return None
@@ -293,148 +294,148 @@
             self.assertEqual("configuration.not_open", error.code)
 
 
-class DecidingTest(testtools.TestCase):
-    """The owner's decisions while entries are under way."""
+class OwnerDecisionTest(testtools.TestCase):
+    """The owner's decisions while entries are pending."""
 
-    def play(self, story):
-        async def whole():
+    def run_scenario(self, scenario):
+        async def run_with_service():
             self.machine = ConfigurationStateMachine()
-            self.host = Host(self.machine)
-            self.accepted = []
+            self.host = FakeHost(self.machine)
+            self.ack_waits = []
             loop = asyncio.get_running_loop()
-            self.service = ConfigurationService(self.host, None, loop.time, self.accept)
-            self.began = loop.time()
-            await story()
+            self.service = ConfigurationService(self.host, None, loop.time, self.record_ack_wait)
+            self.started_at = loop.time()
+            await scenario()
 
-        run(whole())
+        run(run_with_service())
 
-    def evaluate_beside_the_loop(self, seconds):
-        async def aside(function):
+    def evaluate_off_loop(self, seconds):
+        async def run_delayed(function):
             await asyncio.sleep(seconds)
             return function()
 
         now = asyncio.get_running_loop().time
-        self.service = ConfigurationService(self.host, None, now, self.accept, aside)
+        self.service = ConfigurationService(self.host, None, now, self.record_ack_wait, run_delayed)
 
-    async def accept(self, version, within):
-        self.accepted.append((version, within))
+    async def record_ack_wait(self, version, timeout_s):
+        self.ack_waits.append((version, timeout_s))
 
-    def begin(self, *orders):
+    def start_decisions(self, *orders):
         return [asyncio.ensure_future(self.service.decide(order, 0.85)) for order in orders]
 
     async def statuses(self, tasks):
         return [outcome.status for outcome in await asyncio.gather(*tasks)]
 
-    def test_given_two_orders_under_way_then_the_second_is_refused_by_its_entry(self):
-        async def story():
-            tasks = self.begin(put(0, 3), put(0, 3, Extra=1))
+    def test_second_of_two_pending_orders_is_rejected_by_its_entry(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3), put(0, 3, Extra=1))
             await asyncio.sleep(0.01)
             self.assertEqual(2, len(self.host.pending))
             self.host.commit()
             self.assertEqual([200, 412], await self.statuses(tasks))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_the_same_order_twice_under_way_then_both_are_acknowledged(self):
-        async def story():
-            tasks = self.begin(put(0, 3), put(0, 3))
+    def test_same_order_pending_twice_is_acknowledged_twice(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3), put(0, 3))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual([200, 200], await self.statuses(tasks))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_an_ownership_lost_while_orders_are_under_way_then_none_gets_a_clear_answer(self):
-        async def story():
-            tasks = self.begin(put(0, 3), put(0, 3, Extra=1))
+    def test_pending_orders_are_undetermined_after_the_ownership_is_lost(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3), put(0, 3, Extra=1))
             await asyncio.sleep(0.01)
-            self.host.lose()
+            self.host.lose_ownership()
             self.assertEqual([UNDETERMINED, UNDETERMINED], await self.statuses(tasks))
-            late = self.begin(ConfigOrder(int(OrderKind.PUT), 0, b"{"), put(0, 3))
+            late = self.start_decisions(ConfigOrder(int(OrderKind.PUT), 0, b"{"), put(0, 3))
             self.assertEqual([UNDETERMINED, UNDETERMINED], await self.statuses(late))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_an_order_on_one_that_is_under_way_then_it_is_not_refused(self):
-        async def story():
-            tasks = self.begin(put(0, 3), put(3, 5))
+    def test_order_based_on_a_pending_order_is_not_rejected(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3), put(3, 5))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual([200, UNDETERMINED], await self.statuses(tasks))
-            again = self.begin(put(3, 5))
+            again = self.start_decisions(put(3, 5))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual([200], await self.statuses(again))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_disks_that_stall_then_the_caller_is_answered_in_time_and_the_order_counts_later(self):
-        async def story():
-            tasks = self.begin(put(0, 3))
+    def test_stalled_disks_give_undetermined_in_time_and_the_order_commits_later(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3))
             self.assertEqual([UNDETERMINED], await self.statuses(tasks))
-            self.assertAlmostEqual(0.85, asyncio.get_running_loop().time() - self.began, 3)
+            self.assertAlmostEqual(0.85, asyncio.get_running_loop().time() - self.started_at, 3)
             self.host.commit()
-            self.assertEqual([200], await self.statuses(self.begin(put(0, 3))))
+            self.assertEqual([200], await self.statuses(self.start_decisions(put(0, 3))))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_large_order_then_it_is_checked_beside_the_loop_and_others_go_on(self):
-        async def story():
-            self.evaluate_beside_the_loop(0.4)
+    def test_large_order_is_evaluated_off_the_loop_while_others_proceed(self):
+        async def scenario():
+            self.evaluate_off_loop(0.4)
             large = put(0, 5, Padding="x" * LARGE_ORDER_BYTES)
-            tasks = self.begin(large, put(0, 3))
+            tasks = self.start_decisions(large, put(0, 3))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual(200, (await tasks[1]).status)
             self.assertEqual([200, 412], await self.statuses(tasks[1:] + tasks[:1]))
-            tasks = self.begin(put(3, 5, Padding="x" * LARGE_ORDER_BYTES))
+            tasks = self.start_decisions(put(3, 5, Padding="x" * LARGE_ORDER_BYTES))
             await asyncio.sleep(0.41)
             self.host.commit()
             self.assertEqual([200], await self.statuses(tasks))
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_check_that_takes_all_the_time_then_the_order_is_refused_when_it_comes_again(self):
-        async def story():
-            self.evaluate_beside_the_loop(0.5)
+    def test_order_whose_evaluation_times_out_is_rejected_when_repeated(self):
+        async def scenario():
+            self.evaluate_off_loop(0.5)
             large = put(0, 5, Padding="x" * LARGE_ORDER_BYTES)
-            tasks = self.begin(large, put(0, 3))
+            tasks = self.start_decisions(large, put(0, 3))
             await asyncio.sleep(0.01)
             self.host.commit()
             self.assertEqual([UNDETERMINED, 200], await self.statuses(tasks))
-            began = asyncio.get_running_loop().time()
-            self.assertEqual([412], await self.statuses(self.begin(large)))
-            self.assertEqual(began, asyncio.get_running_loop().time())
+            started_at = asyncio.get_running_loop().time()
+            self.assertEqual([412], await self.statuses(self.start_decisions(large)))
+            self.assertEqual(started_at, asyncio.get_running_loop().time())
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_majority_that_is_silent_then_a_refusal_waits_no_longer_than_its_caller(self):
-        async def story():
+    def test_rejection_without_majority_ends_at_the_timeout_of_the_caller(self):
+        async def scenario():
             self.host.is_cut_off = True
             outcome = await self.service.decide(ConfigOrder(int(OrderKind.PUT), 0, b"{"), 0.2)
             self.assertEqual(UNDETERMINED, outcome.status)
-            self.assertAlmostEqual(0.2, asyncio.get_running_loop().time() - self.began, 3)
+            self.assertAlmostEqual(0.2, asyncio.get_running_loop().time() - self.started_at, 3)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_large_order_that_is_checked_then_its_entry_says_so(self):
-        async def story():
-            tasks = self.begin(put(0, 3))
+    def test_entry_of_a_checked_order_has_the_checked_kind(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3))
             await asyncio.sleep(0.01)
             self.assertEqual(OrderKind.CHECKED_PUT, decode(self.host.pending[0][0]).kind)
             self.host.commit()
             await self.statuses(tasks)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_given_a_late_commit_then_gateways_are_waited_for_only_in_the_time_that_is_left(self):
-        async def story():
-            tasks = self.begin(put(0, 3))
+    def test_wait_for_gateways_is_limited_to_the_remaining_time(self):
+        async def scenario():
+            tasks = self.start_decisions(put(0, 3))
             await asyncio.sleep(0.6)
             self.host.commit()
             self.assertEqual([200], await self.statuses(tasks))
-            [(version, within)] = self.accepted
+            [(version, timeout_s)] = self.ack_waits
             self.assertEqual(3, version)
-            self.assertAlmostEqual(0.25, within, 3)
+            self.assertAlmostEqual(0.25, timeout_s, 3)
 
-        self.play(story)
+        self.run_scenario(scenario)
--- a/tests/tier/test_settings.py
+++ b/tests/tier/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: complete settings, or every fault at once."""
+"""Parsing of the settings file: valid settings, or one error with all messages."""
 
 import os
 import pathlib
@@ -15,7 +15,7 @@
 from kestrelbend.tier.roles.settings import Bounds, Settings, SettingsError
 
 REPEATABLE = hypothesis.settings(derandomize=True, database=None, deadline=None)
-LEAST = {"Node": "front-1", "Ip": "10.1.0.38", "Zone": "hall", "PortRange": [7380, 7395]}
+MINIMAL = {"Node": "front-1", "Ip": "10.1.0.38", "Zone": "hall", "PortRange": [7380, 7395]}
 FULL = """
 Node: "front-1"
 Role: "gateway"
@@ -40,7 +40,7 @@
 
 
 def messages(values):
-    """The faults of a settings file."""
+    """Returns the error messages for a settings file."""
     try:
         Settings.parse(yaml.safe_dump(values).encode())
     except SettingsError as error:
@@ -49,18 +49,18 @@
 
 
 class StartTest(testtools.TestCase):
-    """What a role needs of its settings besides."""
+    """Settings that only some roles require."""
 
     def start(self, role, **values):
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         path = folder / "boot.yaml"
-        path.write_text(yaml.safe_dump({**LEAST, **values}))
+        path.write_text(yaml.safe_dump({**MINIMAL, **values}))
         environment = {**os.environ, "KESTRELBEND_SETTINGS": str(path)}
         command = [sys.executable, "-m", "kestrelbend", role]
         return subprocess.run(command, env=environment, capture_output=True, text=True, check=False)
 
-    def test_given_no_folder_for_data_then_a_role_with_replicas_ends_with_one_line(self):
+    def test_role_with_replicas_exits_with_one_line_without_a_data_directory(self):
         for role in ("control", "store"):
             ended = self.start(role, Seeds=["127.0.0.1:1"])
             self.assertEqual(2, ended.returncode)
@@ -69,9 +69,9 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Reading settings."""
+    """Parsing of settings."""
 
-    def test_given_a_full_file_then_every_key_is_kept(self):
+    def test_all_keys_of_a_full_file_are_read(self):
         settings = Settings.parse(FULL.encode())
         self.assertEqual(("front", "control"), settings.serves)
         self.assertEqual(("10.1.0.38:8149", ""), (settings.listen_clients, settings.listen_control))
@@ -82,17 +82,17 @@
         )
         self.assertEqual(Bounds(ack_ms=4500, pass_ms=120.5, again_s=0), settings.bounds)
 
-    def test_given_missing_or_empty_keys_then_they_have_defaults(self):
+    def test_missing_or_empty_keys_have_defaults(self):
         for section in (None, "", {}, []):
             empty = dict.fromkeys(("Listen", "Limits", "Tolerate", "Bounds", "Seeds", "DataDir"), section)
-            settings = Settings.parse(yaml.safe_dump({**LEAST, **empty}).encode())
+            settings = Settings.parse(yaml.safe_dump({**MINIMAL, **empty}).encode())
             self.assertEqual(
                 ("", (), "", Bounds()),
                 (settings.data_dir, settings.seeds, settings.listen_clients, settings.bounds),
             )
 
-    def test_given_several_faults_then_one_error_names_them_all(self):
-        values = {**LEAST, "Ip": "10.1.0", "Bounds": {"AckMs": 0, "GraceS": True}, "Seeds": ["10.0.0.1"]}
+    def test_one_error_contains_all_messages(self):
+        values = {**MINIMAL, "Ip": "10.1.0", "Bounds": {"AckMs": 0, "GraceS": True}, "Seeds": ["10.0.0.1"]}
         del values["Zone"]
         self.assertEqual(
             (
@@ -105,7 +105,7 @@
             messages(values),
         )
 
-    def test_given_wrong_values_then_each_is_a_fault(self):
+    def test_each_invalid_value_gives_one_message(self):
         for key, value in (
             ("PortRange", [7395, 7380]),
             ("PortRange", [0, 1]),
@@ -120,9 +120,9 @@
             ("HeartbeatMs", float("nan")),
             ("Limits", {"RamMb": float("inf")}),
         ):
-            self.assertEqual(1, len(messages({**LEAST, key: value})), (key, value))
+            self.assertEqual(1, len(messages({**MINIMAL, key: value})), (key, value))
 
-    def test_given_a_file_that_cannot_be_read_then_the_error_says_so(self):
+    def test_file_that_cannot_be_read_raises_unreadable(self):
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         (folder / "boot.yaml").write_text(FULL)
@@ -130,7 +130,7 @@
         missing = self.assertRaises(SettingsError, Settings.read, folder / "other.yaml")
         self.assertEqual(("unreadable", 1), (missing.code, len(missing.messages)))
 
-    def test_given_what_is_no_map_then_the_error_says_so(self):
+    def test_file_that_is_not_a_map_raises_an_error_with_its_code(self):
         for data, expected in (
             (b"", "not_a_map"),
             (b"- x", "not_a_map"),
