--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -23,11 +23,11 @@
 
     async def put(self, call: Call) -> ApiResponse:
         """Replaces the configuration by a complete one."""
-        return await self._order(OrderKind.PUT, call)
+        return await self._submit(OrderKind.PUT, call)
 
     async def patch(self, call: Call) -> ApiResponse:
         """Applies a patch to the current configuration."""
-        return await self._order(OrderKind.PATCH, call)
+        return await self._submit(OrderKind.PATCH, call)
 
     async def get(self, call: Call) -> ApiResponse:
         """Returns the newest configuration, byte for byte."""
@@ -38,7 +38,7 @@
             return error_response(NOT_FOUND, "no configuration exists yet")
         return ApiResponse(OK, bytes(reply.body))
 
-    async def _order(self, kind: OrderKind, call: Call) -> ApiResponse:
+    async def _submit(self, kind: OrderKind, call: Call) -> ApiResponse:
         base = _base_version(call.base_version_header)
         if base is None:
             return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or not an integer")
--- a/kestrelbend/tier/configuration/document_orders.py
+++ b/kestrelbend/tier/configuration/document_orders.py
@@ -148,9 +148,9 @@
         accepted = self._accepted_version(digest)
         if accepted is not None:
             return already_accepted_outcome(accepted)
-        kept = self._cached_result(digest)
-        if kept is not None:
-            return kept
+        cached = self._cached_result(digest)
+        if cached is not None:
+            return cached
         evaluation = _Evaluation(self.version, self.evaluation(order)())
         self._cache_evaluation(digest, evaluation)
         return evaluation.result
@@ -166,9 +166,9 @@
 
     def _valid_document(self, order: ConfigOrder, digest: bytes) -> Document:
         """The document that a valid order produces; the owner still has it cached from its check."""
-        kept = self._cached_result(digest)
-        if isinstance(kept, Document):
-            return kept
+        cached = self._cached_result(digest)
+        if isinstance(cached, Document):
+            return cached
         if order.kind == OrderKind.PUT:
             return read_accepted(order.body)
         if self._document is None:
@@ -186,7 +186,7 @@
         """Caches a result, and evicts the oldest ones beyond the limits."""
         self._evaluations.pop(digest, None)
         self._evaluations[digest] = evaluation
-        size = sum(kept.size for kept in self._evaluations.values())
+        size = sum(cached.size for cached in self._evaluations.values())
         while len(self._evaluations) > MAX_CACHED_EVALUATIONS or (
             size > MAX_CACHED_EVALUATION_BYTES and len(self._evaluations) > 1
         ):
--- a/kestrelbend/tier/configuration/field_checks.py
+++ b/kestrelbend/tier/configuration/field_checks.py
@@ -121,8 +121,8 @@
 
 def _field_errors(name: str, check: Any, value: Any) -> Iterator[str]:
     if hasattr(check, "validation_errors"):
-        for error in check.validation_errors(value):
-            yield f"{name}: {error}"
+        for message in check.validation_errors(value):
+            yield f"{name}: {message}"
     elif not check(value):
         yield f"{name}: {abbreviated(value)} is not allowed"
 
--- a/kestrelbend/tier/configuration/http_answers.py
+++ b/kestrelbend/tier/configuration/http_answers.py
@@ -38,4 +38,4 @@
     """Returns a response that is described by its status alone."""
     if status == UNAVAILABLE:
         return unavailable_response()
-    return json_response(status, {} if status < 300 else {"Error": "call rejected"})
+    return json_response(status, {} if status < 300 else {"Error": "refused"})
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -128,11 +128,11 @@
         return json_response(OK, self._port.status())
 
 
-def _allowed(call: str, answer: ApiResponse) -> ApiResponse:
+def _allowed(call: str, response: ApiResponse) -> ApiResponse:
     """Returns the response, or a 503 in place of a rejection that `rejections` does not allow for it."""
-    if is_rejection(answer.status) and not may_reject(call, answer.status):
+    if is_rejection(response.status) and not may_reject(call, response.status):
         return unavailable_response()
-    return answer
+    return response
 
 
 async def _read_body(receive: Receive, max_bytes: int) -> bytes | None:
@@ -162,17 +162,17 @@
     return b"".join(chunks)
 
 
-async def _send(send: Send, answer: ApiResponse) -> None:
+async def _send(send: Send, response: ApiResponse) -> None:
     headers = [
         (b"content-type", b"application/json"),
-        (b"content-length", str(len(answer.body)).encode()),
+        (b"content-length", str(len(response.body)).encode()),
     ]
-    if answer.status == UNAVAILABLE:
+    if response.status == UNAVAILABLE:
         headers.append((b"retry-after", RETRY_AFTER_S.encode()))
-    if answer.allow:
-        headers.append((b"allow", answer.allow.encode()))
-    await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-    await send({"type": "http.response.body", "body": answer.body, "more_body": False})
+    if response.allow:
+        headers.append((b"allow", response.allow.encode()))
+    await send({"type": "http.response.start", "status": response.status, "headers": headers})
+    await send({"type": "http.response.body", "body": response.body, "more_body": False})
 
 
 async def _serve_lifespan(receive: Receive, send: Send) -> None:
--- a/kestrelbend/tier/configuration/placements.py
+++ b/kestrelbend/tier/configuration/placements.py
@@ -1,7 +1,8 @@
 """Orders of kind `PLACEMENT`: they set the placement of a shard, which is the set of replicas that hold it.
 
 Invariant: the numbers of a shard's placements are consecutive, so that a delayed old order never replaces a
-newer placement.  The body omits the number 0, which stands for placements written before numbers existed.
+newer placement.  In the body the number 0 is omitted: it stands for placements written before numbers
+existed.
 """
 
 from __future__ import annotations
--- a/kestrelbend/tier/configuration/shard_service.py
+++ b/kestrelbend/tier/configuration/shard_service.py
@@ -168,13 +168,13 @@
         """
         deadline = self._now() + timeout_s
         await self._evaluate_off_loop(order)
-        rejection = self._final_outcome(order)
-        if rejection is not None:
+        final_outcome = self._final_outcome(order)
+        if final_outcome is not None:
             if not await self._confirmed(deadline - self._now()):
                 return NOT_OWNER
-            rejection = self._final_outcome(order)
-        if rejection is not None:
-            return rejection
+            final_outcome = self._final_outcome(order)
+        if final_outcome is not None:
+            return final_outcome
         outcome = await self._propose(checked_entry(order), deadline - self._now())
         if outcome.status == OK and order.kind in OPERATOR_KINDS:
             await self._wait_for_acks(outcome.version, deadline - self._now())
--- a/kestrelbend/tier/configuration/state.py
+++ b/kestrelbend/tier/configuration/state.py
@@ -94,9 +94,9 @@
         """Applies or rejects an order; deterministic."""
         if order.kind in (OrderKind.CHECKED_PUT, OrderKind.CHECKED_PATCH):
             return self._documents.apply_checked(order)
-        answer = self.check(order)
-        if answer is not None:
-            return answer
+        outcome = self.check(order)
+        if outcome is not None:
+            return outcome
         match order.kind:
             case OrderKind.PLACEMENT:
                 placement = _require_record(decode_placement(order.body))
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -71,15 +71,15 @@
     return DiskRecord(node, replica, serves)
 
 
-def encode_shard_removal(removal: ShardRemoval) -> bytes:
+def encode_shard_removal(record: ShardRemoval) -> bytes:
     """Encodes the body of an order of kind SHARD_REMOVAL."""
     return encode_json(
         {
-            _NODE: removal.node,
-            _SHARD: removal.shard,
-            _EPOCH: removal.epoch,
-            _GROUP: list(removal.group),
-            _NUMBER: removal.number,
+            _NODE: record.node,
+            _SHARD: record.shard,
+            _EPOCH: record.epoch,
+            _GROUP: list(record.group),
+            _NUMBER: record.number,
         }
     )
 
