--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -63,7 +63,7 @@
         self.units = requested.units
         self.spread = requested.spread
         self.retry = requested.retry
-        self.wait = wait
+        self.timeout_s = wait
         self.front = front
         self.id = request_id
         self.delivery: Delivery | None = None
@@ -130,7 +130,7 @@
         check = PendingCheck(self, requested, self.clock(), wait_s, request_id)
         self.queue.put_nowait(RequestTaken(check))
         try:
-            return await check.answer
+            return await check.response
         except asyncio.CancelledError:
             counters["checks_left"] += 1
             self.queue.put_nowait(ClientLeft(check))
@@ -157,10 +157,10 @@
 
     def answer(self, check: PendingCheck, response: Any, outcome: str) -> bool:
         """Answers a check; False where nobody waits for it any more.  `outcome` ends a counter's name."""
-        if check.answer.done():
+        if check.response.done():
             return False
         counters["checks_" + outcome] += 1
-        check.answer.set_result(response)
+        check.response.set_result(response)
         return True
 
     def deliver(self, delivery: Delivery, check: PendingCheck) -> None:
--- a/kestrelbend/gateway/net/__init__.py
+++ b/kestrelbend/gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: HTTP/1.1 to clients, backends and discovery, RESP2 to the counter service."""
+"""The gateway's network layer: HTTP/1.1 to clients, backends and discovery, RESP2 to the counter service."""
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -16,12 +16,12 @@
 from yarl import URL
 
 from ..interface import Result
-from .answers import SENDING
+from .answers import CURRENT_ATTEMPT
 from .connection_pool import ConnectionPool
 from .connection_reuse import REUSE_DELAY_S, ReuseHistory
-from .connections import LONGEST_BODY
+from .connections import MAX_BODY_BYTES
 from .events import BackendProbed, DeliveryEnded
-from .headers import PASSED_BACK, load_report, passed_on, reported_number
+from .headers import RETURNED_HEADERS, forwarded_headers, load_report, reported_number
 from .metrics import DescriptorLimits, counters
 from .sending import ReuseDelayPending, SendAttempt, SendNotAllowed, StaleConnection
 
@@ -173,7 +173,7 @@
         result = Result.CANCELLED
         try:
             remaining_s = (delivery.deadline - self.clock()) / MICROSECONDS_PER_SECOND
-            forwarded = passed_on(request.headers)  # type: ignore[arg-type]  # multidict's type is a Mapping
+            forwarded = forwarded_headers(request.headers)  # type: ignore[arg-type]  # multidict's type is a Mapping
             headers = [*forwarded, ("X-Timeout", f"{max(0.0, remaining_s):.3f}")]
             status, body, response_headers = await self._exchange(
                 attempt,
@@ -185,7 +185,7 @@
             )
             client_response = (
                 body,
-                {name: response_headers[name] for name in PASSED_BACK if name in response_headers},
+                {name: response_headers[name] for name in RETURNED_HEADERS if name in response_headers},
             )
             result = self._result_of_response(status, response_headers)
             load = load_report(response_headers.get("X-Server-Load"))
@@ -231,7 +231,7 @@
             raise SendNotAllowed
         pool.users += 1
         attempt.pool = pool
-        SENDING.set(attempt)
+        CURRENT_ATTEMPT.set(attempt)
         try:
             async with asyncio.timeout(timeout_s):
                 while True:
@@ -266,17 +266,17 @@
             length = response.content_length
             if length is None and response.headers.get("Transfer-Encoding") != "chunked":
                 raise aiohttp.ClientPayloadError("the response has neither a length nor chunked encoding")
-            if (length or 0) > LONGEST_BODY:
+            if (length or 0) > MAX_BODY_BYTES:
                 raise aiohttp.ClientPayloadError("the response is longer than the protocol allows")
             body = bytearray()
             async for chunk in response.content.iter_any():
                 body += chunk
-                if len(body) > LONGEST_BODY:  # an endless response would exhaust the memory
+                if len(body) > MAX_BODY_BYTES:  # an endless response would exhaust the memory
                     raise aiohttp.ClientPayloadError("the response is longer than the protocol allows")
         now = attempt.backend_client.clock()
         attempt.completed_at = now
         pool.last_response_at = now
-        await attempt.response_reader.proven()
+        await attempt.response_reader.wait_until_confirmed()
         return response.status, bytes(body), response.headers
 
     @staticmethod
--- a/kestrelbend/gateway/net/clients.py
+++ b/kestrelbend/gateway/net/clients.py
@@ -1,7 +1,8 @@
-"""Clients: takes their requests in on aiohttp's low-level server and writes the answers.
+"""Receives clients' requests on aiohttp's low-level server and writes the responses.
 
-Invariants: a request gets one answer, by `settle`; a connection is accepted only while a descriptor is left
-for it, and closed by this side only as RFC 9112, section 9.6 allows (`connections`).
+Invariants: each request gets exactly one response, by `respond`. A connection is accepted only while a
+descriptor is available for it, and the gateway closes it only as RFC 9112, section 9.6 allows
+(`connections`).
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from .accept_queue import HeldConnection, age
-from .connections import LONGEST_BODY, SETTLE, Connection, Server
+from .accept_queue import HeldConnection, microseconds_since_last_data
+from .connections import MAX_BODY_BYTES, SETTLE_S, Connection, Server
 from .events import ClientLeft, RequestTaken
 from .metrics import DescriptorLimits, check_invariant, counters
 from .requests import Request
@@ -32,31 +33,32 @@
 HEALTH_PATH: Final = "/_health"
 MEMBERS_PATH: Final = "/_members"
 LOOPBACK_PREFIX: Final = "127."
-INSPECTION_INTERVAL_S: Final = 0.2  # between looks for connections that end
-LAST_ACCEPT_TIMEOUT_S: Final = 0.3  # to take in what waits to be accepted when it shuts
+INSPECTION_INTERVAL_S: Final = 0.2  # between checks for connections to close
+LAST_ACCEPT_TIMEOUT_S: Final = 0.3  # to accept the waiting connections before the listener is closed
 BACKLOG: Final = 1024
-NANOSECONDS_OF_MICROSECOND: Final = 1000
-MICROSECONDS_OF_SECOND: Final = 1_000_000
-ACCEPT_RETRY_S: Final = 10 * SETTLE
-RESERVED_PART: Final = 16  # of the descriptors, that are free before a connection is accepted
-CLOSING_STATUSES: Final = (400, 408, 409, 413)  # after these the connection may hold what nobody reads
+NANOSECONDS_PER_MICROSECOND: Final = 1000
+MICROSECONDS_PER_SECOND: Final = 1_000_000
+ACCEPT_RETRY_S: Final = 10 * SETTLE_S
+RESERVED_PART: Final = 16  # a sixteenth of the descriptors is kept free when connections are accepted
+CLOSING_STATUSES: Final = (400, 408, 409, 413)  # after these, unread data may be left on the connection
 
 
 class Clients:
-    """The clients' listener and all their open requests.
-
-    `queue`: the owner's events. `clock`: now, in microseconds. `sockets`: how many descriptors may be held.
-    `free_connections`: gives up the connections kept to backends. `longest`: seconds that an invocation may
-    take. `ids`: open requests by their ids. `draining`: connections end with their next answer. `shut`: no
-    connection is accepted any more but those that wait. `waiting`: done once a connection waits. `behind`:
-    monotonic nanoseconds; what waits to be accepted came after; None: nothing waits. `view`: the members as
-    this gateway knows them; None where there is no membership.
+    """The clients' listener and all open requests.
+
+    `queue`: the owner's events. `clock`: returns the current time in microseconds. `sockets`: the limits on
+    descriptors. `free_connections`: closes the idle connections to backends. `max_duration_s`: maximum
+    duration of an invocation. `open_requests`: by request id. `draining`: connections are closed after their
+    next response. `accepts_only_waiting`: only connections that already wait are accepted.
+    `connection_ready`: a future, done once a connection waits. `backlog_since`: when the listen queue was
+    last empty during the startup, in monotonic nanoseconds; None once the connections that arrived since then
+    are accepted. `member_view`: returns the members as this gateway knows them; None without a membership.
     """
 
     server: Server
     listener: socket.socket
     accepting: asyncio.Task[None]
-    looking: asyncio.Task[NoReturn]
+    inspecting: asyncio.Task[NoReturn]
 
     def __init__(
         self,
@@ -65,28 +67,28 @@
         settings: Mapping[str, Any],
         sockets: DescriptorLimits,
         free_connections: Callable[[], object],
-        longest: float,
+        max_duration_s: float,
     ) -> None:
         self.queue = queue
         self.clock = clock
         self.sockets = sockets
         self.free_connections = free_connections
         self.settings = settings
-        self.ids: dict[str, Request] = {}
+        self.open_requests: dict[str, Request] = {}
         self.operations = {operation.name for operation in settings["operations"]}
         self.plans = {plan.name for plan in settings["plans"]}
-        self.longest = longest
+        self.max_duration_s = max_duration_s
         self.draining = False
-        self.shut = False
-        self.waiting: asyncio.Future[None] | None = None
-        self.behind: int | None = None
-        self.view: Callable[[], Any] | None = None
+        self.accepts_only_waiting = False
+        self.connection_ready: asyncio.Future[None] | None = None
+        self.backlog_since: int | None = None
+        self.member_view: Callable[[], Any] | None = None
 
     async def start(self, listen: tuple[str, int], accept_queue: AcceptQueue | None = None) -> None:
-        """Accept connections at `listen` from now on, and those that `accept_queue` holds first.
+        """Accept connections at `listen`, starting with those that `accept_queue` holds.
 
-        Raises `OSError` where the address cannot be had. This gateway's former process may still hold it for
-        as long as it drains: that is waited for.
+        Waits while the address is in use, as this gateway's previous process may still be draining. Raises
+        `OSError` if the address is not available after that.
         """
         self.server = Server(self.handle, self.sockets)
         if accept_queue is None:
@@ -95,11 +97,11 @@
             await self._take_over(accept_queue)
         self.listener.setblocking(False)
         self.accepting = asyncio.create_task(self._accept())
-        self.looking = asyncio.create_task(self._inspect())
+        self.inspecting = asyncio.create_task(self._inspect())
 
     async def _listen(self, listen: tuple[str, int]) -> socket.socket:
         loop = asyncio.get_running_loop()
-        end = loop.time() + self.longest
+        end = loop.time() + self.max_duration_s
         while True:
             try:
                 return socket.create_server(listen, backlog=BACKLOG)
@@ -110,15 +112,15 @@
 
     async def _take_over(self, accept_queue: AcceptQueue) -> None:
         self.listener, held = accept_queue.hand_over()
-        self.behind = accept_queue.empty
-        counters["refused_while_loading"] += accept_queue.refused
+        self.backlog_since = accept_queue.last_empty_at
+        counters["refused_while_loading"] += accept_queue.rejected_count
         for each in held:
-            await self.adopt(each.socket, each)
+            await self.serve_connection(each.socket, each)
 
-    async def adopt(self, connection: socket.socket, held: HeldConnection | None = None) -> None:
-        """Serve an accepted connection; it is closed where that cannot be.
+    async def serve_connection(self, connection: socket.socket, held: HeldConnection | None = None) -> None:
+        """Serve an accepted connection, or close it if that fails.
 
-        `held`: what the accept queue at the start has read of it so far, and since when.
+        `held`: the connection as the accept queue held it, with the bytes read so far and their time.
         """
         if held is not None:
             counters["connections_taken_while_loading"] += 1
@@ -128,22 +130,22 @@
             connection.close()
 
     async def _inspect(self) -> NoReturn:
-        """End connections that are silent, or too many, again and again."""
+        """Periodically close connections that are inactive or beyond the limit."""
         while True:
             await asyncio.sleep(INSPECTION_INTERVAL_S)
             try:
-                self.server.end_silent()
-                for _ in range(self.sockets.excess_clients()):  # the limit was lowered meanwhile
+                self.server.close_inactive()
+                for _ in range(self.sockets.excess_clients()):  # a reload may have lowered the limit
                     self.server.make_room()
-            except Exception:  # noqa: BLE001  a fault of the program: it must not be the last look
-                self._fault("look")
+            except Exception:  # noqa: BLE001  a bug must not end the checks
+                self._log_fault("look")
 
     async def _accept(self) -> None:
-        """Accept connections one at a time, so that no burst passes the limit on descriptors.
+        """Accept connections one at a time, so that a burst cannot exceed the limit on descriptors.
 
-        Room is made before it is needed: a connection that waits here may be that of a usual client behind
-        hundreds that say nothing. Where none can be made, the connections kept to backends are given up;
-        others wait in the kernel's queue.
+        Descriptors are freed before the limit is reached: otherwise a client with a request could wait behind
+        hundreds of connections that send nothing. If no client connection can be closed, the idle
+        connections to backends are closed. Further connections wait in the kernel's listen queue.
         """
         while True:
             try:
@@ -152,10 +154,10 @@
                     pending=self.sockets.max_descriptors // RESERVED_PART
                 ):
                     await self._make_room()
-                await self.adopt(connection, held)
+                await self.serve_connection(connection, held)
             except BlockingIOError:
-                self.behind = None
-                if self.shut:
+                self.backlog_since = None
+                if self.accepts_only_waiting:
                     return
                 await self._connection_waits()
             except OSError as error:
@@ -164,74 +166,75 @@
                 if error.errno in (errno.EMFILE, errno.ENFILE):
                     self.server.make_room()
                 await asyncio.sleep(ACCEPT_RETRY_S)
-            except Exception:  # noqa: BLE001  a fault of the program: it must not be the last one accepted
-                self._fault("accept")
+            except Exception:  # noqa: BLE001  a bug must not stop the accepting
+                self._log_fault("accept")
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     @staticmethod
-    def _fault(where: str) -> None:
+    def _log_fault(where: str) -> None:
         counters["faults"] += 1
         log.exception("fault", extra={"on": where})
 
     async def _make_room(self) -> None:
-        """Until one more client may be accepted."""
+        """Free descriptors until one more client may be accepted."""
         made = self.server.make_room()
         while not self.sockets.has_room_for_client():
             if not made:
                 self.free_connections()
-            await asyncio.sleep(SETTLE / 5 if made else 2 * SETTLE)
+            await asyncio.sleep(SETTLE_S / 5 if made else 2 * SETTLE_S)
             made = self.sockets.has_room_for_client() or self.server.make_room()
 
     async def _connection_waits(self) -> None:
-        """Until a connection waits or no more are taken.
+        """Wait until a connection can be accepted or the listener is to be closed.
 
-        Accepting is left to the caller, who awaits nothing before it: a call cancelled as it ends would drop
-        the connection it had taken.
+        The caller accepts the connection without awaiting anything before: an awaited accept that is
+        cancelled as it completes would lose its connection.
         """
         loop = asyncio.get_running_loop()
-        self.waiting = loop.create_future()
+        self.connection_ready = loop.create_future()
         loop.add_reader(self.listener, self._wake)
         try:
-            await self.waiting
+            await self.connection_ready
         finally:
             loop.remove_reader(self.listener)
 
     def _wake(self) -> None:
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(None)
+        if self.connection_ready is not None and not self.connection_ready.done():
+            self.connection_ready.set_result(None)
 
     def _next_connection(self) -> tuple[socket.socket, HeldConnection | None]:
-        """A connection, and what it has said if it waited: that came while the gateway was loading.
+        """Accept a connection; return it and, if it has waited since the startup, the bytes it sent.
 
-        (Seen: 0.4 s before it looked at it; it thought it had as much longer than its client, and one request
-        in some 100,000 got no answer.) Raises `BlockingIOError` where none waits.
+        Those bytes may have arrived up to 0.4 s before they are read. A gateway that did not count this time
+        responded after the client's timeout to about one request in 100,000. Raises `BlockingIOError` if no
+        connection waits.
         """
         connection, _ = self.listener.accept()
         connection.setblocking(False)
-        if self.behind is None:
+        if self.backlog_since is None:
             return connection, None
         held = HeldConnection(connection)
-        held.read(self.behind)  # one whose client left is noticed as any other
+        held.read(self.backlog_since)  # a disconnected client is detected later, as on any connection
         return connection, held
 
     async def handle(self, message: web.BaseRequest) -> web.StreamResponse:
-        """The answer to one HTTP request; aiohttp's server calls it and writes what it returns."""
+        """Return the response to an HTTP request; aiohttp's server calls this and writes the response."""
         connection = cast(Connection, message.protocol)
         if message.method == "GET" and message.path == HEALTH_PATH:
             response = web.Response(status=503 if self.draining else 200)
-            self.server.answered(connection)
-        elif self.view is not None and self._asks_for_members(message):
-            response = web.json_response(self.view())
-            self.server.answered(connection)
+            self.server.request_finished(connection)
+        elif self.member_view is not None and self._asks_for_members(message):
+            response = web.json_response(self.member_view())
+            self.server.request_finished(connection)
         else:
             response = await self._invocation(message, connection)
-        if self.draining or connection.ending or response.status in CLOSING_STATUSES:
+        if self.draining or connection.ends_with_response or response.status in CLOSING_STATUSES:
             response.force_close()
         return response
 
     @staticmethod
     def _asks_for_members(message: web.BaseRequest) -> bool:
-        """Whether it is `kestrelbend members`, by staff on this machine."""
+        """Whether a request comes from the command `kestrelbend members` on this machine."""
         return (
             message.path == MEMBERS_PATH
             and message.method == "GET"
@@ -239,10 +242,10 @@
         )
 
     async def _invocation(self, message: web.BaseRequest, connection: Connection) -> web.Response:
-        """The answer to a request for a backend, by the owner; 400 or 413 where it cannot be one.
+        """Return the owner's response to a request for a backend; 400 or 413 if it is malformed.
 
-        It is taken with its last byte; until then the connection counts as idle and may be closed: `_inspect`
-        ends those that never get there.
+        The connection is busy only once the request is complete. Until then it counts as idle, and `_inspect`
+        closes it if the request is not completed in time.
         """
         try:
             request = await self._read(message, connection)
@@ -254,112 +257,115 @@
             return web.Response(status=error.status)
         counters["taken"] += 1
         request.connection = connection
-        self.ids[request.id] = request
-        self.server.asks(connection)
+        self.open_requests[request.id] = request
+        self.server.request_started(connection)
         self.queue.put_nowait(RequestTaken(request))
         try:
-            answer: web.Response = await request.answer
+            answer: web.Response = await request.response
             return answer
         except asyncio.CancelledError:
             counters["clients_left"] += 1
             self.queue.put_nowait(ClientLeft(request))
             raise
         finally:
-            self.ids.pop(request.id, None)
-            self.server.answered(connection)
+            self.open_requests.pop(request.id, None)
+            self.server.request_finished(connection)
 
     async def _read(self, message: web.BaseRequest, connection: Connection) -> Request:
-        """Read a request to its end.
+        """Read a complete request.
 
-        Raises `ValueError` (as `MalformedRequest`) where it is not in the protocol's form, aiohttp's
-        `RequestPayloadError` where its body is broken, `HTTPRequestEntityTooLarge` where it is too long. A
-        client that waits to send its body is told to go on (RFC 9110, section 10.1.1).
+        Raises `ValueError` (such as `MalformedRequest`) if it violates the protocol, aiohttp's
+        `RequestPayloadError` if its body is malformed, `HTTPRequestEntityTooLarge` if its body is too long. A
+        client that expects a 100 before it sends its body gets one (RFC 9110, section 10.1.1).
         """
-        if (message.content_length or 0) > LONGEST_BODY:
-            raise web.HTTPRequestEntityTooLarge(LONGEST_BODY, message.content_length or 0)
+        if (message.content_length or 0) > MAX_BODY_BYTES:
+            raise web.HTTPRequestEntityTooLarge(MAX_BODY_BYTES, message.content_length or 0)
         if message.headers.get("Expect", "").lower() == "100-continue":
-            writer: Any = message.writer  # aiohttp's own; its interface has no size
+            writer: Any = message.writer  # its declared type lacks `output_size`
             await writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            writer.output_size = 0  # the answer itself has not begun
+            writer.output_size = 0  # the final response has not started
         body = await message.read() if message.body_exists else b""
-        came = self.clock() - self._waited(message, connection)
+        came = self.clock() - self._microseconds_since_received(message, connection)
         request = Request(message.method, message.raw_path, message.headers, body, came, self.settings)
         if request.operation not in self.operations or request.plan not in self.plans:
             raise ValueError("no such operation or plan")
-        if request.id in self.ids:
+        if request.id in self.open_requests:
             raise ValueError("its id is that of an open request")
         return request
 
     @staticmethod
-    def _waited(message: web.BaseRequest, connection: Connection) -> int:
-        """Microseconds since the request came."""
-        came = connection.came
-        connection.came = None
+    def _microseconds_since_received(message: web.BaseRequest, connection: Connection) -> int:
+        """Return the microseconds since a request was received."""
+        came = connection.received_at
+        connection.received_at = None
         if came is None:
-            return age(message.transport and message.transport.get_extra_info("socket"))
-        return (time.monotonic_ns() - came) // NANOSECONDS_OF_MICROSECOND
+            return microseconds_since_last_data(
+                message.transport and message.transport.get_extra_info("socket")
+            )
+        return (time.monotonic_ns() - came) // NANOSECONDS_PER_MICROSECOND
 
     @staticmethod
-    def settle(request: Request, outcome: str, **response: Any) -> None:
-        """The one place where a request gets its answer; a client that left gets none.
+    def respond(request: Request, outcome: str, **response: Any) -> None:
+        """Respond to a request, unless its client has disconnected; all responses go through this function.
 
-        `outcome`: the name of its counter. `response`: what `web.Response` is made of.
+        `outcome`: the name of the counter. `response`: the arguments of `web.Response`.
         """
-        if request.answer.cancelled():
+        if request.response.cancelled():
             return
-        if check_invariant(not request.answer.done(), "one_answer"):
+        if check_invariant(not request.response.done(), "one_answer"):
             counters[outcome] += 1
-            request.answer.set_result(web.Response(**response))
+            request.response.set_result(web.Response(**response))
 
     def succeeded(self, request: Request, body: bytes, headers: Mapping[str, str]) -> None:
-        """Answer a request by its backend's answer."""
-        self.settle(request, "succeeded", body=body, headers=headers)
+        """Respond with the backend's response."""
+        self.respond(request, "succeeded", body=body, headers=headers)
 
     def throttled(self, request: Request, retry_after: int) -> None:
-        """Answer a request: rejected, to come back after so many microseconds (0: no advice).
+        """Respond with a rejection; `retry_after`: microseconds until a retry is advised, 0 for no advice.
 
-        RFC 9110, section 10.2.3 knows whole seconds only; the clients' protocol knows parts of them.
+        Retry-After has fractions of a second by the clients' protocol; RFC 9110, section 10.2.3 allows only
+        whole seconds.
         """
-        headers = {"Retry-After": f"{retry_after / MICROSECONDS_OF_SECOND:.3f}"} if retry_after > 0 else None
-        self.settle(request, "throttled", status=429, headers=headers)
+        headers = {"Retry-After": f"{retry_after / MICROSECONDS_PER_SECOND:.3f}"} if retry_after > 0 else None
+        self.respond(request, "throttled", status=429, headers=headers)
 
     def denied(self, request: Request, verdict: Verdict) -> None:
-        """Answer a request by an authoriser's denial, or by its silence where that means one."""
+        """Respond with an authoriser's denial, or with one for an authoriser that did not respond."""
         headers = CIMultiDict(verdict.headers)
         if verdict.why and verdict.status == 503:
             headers["Retry-After"] = "1"
-        self.settle(request, "denied", status=verdict.status, headers=headers, body=verdict.body)
+        self.respond(request, "denied", status=verdict.status, headers=headers, body=verdict.body)
 
     def errored(self, request: Request, status: int = 502) -> None:
-        """Answer a request: errored, which promises nothing (RFC 9110, section 15.6.3)."""
-        self.settle(request, "errored", status=status)
+        """Respond with an error; the request may have been executed or not (RFC 9110, section 15.6.3)."""
+        self.respond(request, "errored", status=status)
 
     async def drain(self, accept_for: float) -> None:
-        """After SIGTERM: each connection ends with its next answer; new ones are served for `accept_for` s.
+        """Drain after SIGTERM: connections are closed after their next response.
 
-        What stands in the listener's queue by then is still taken: closing it would reset those. Then those
-        that stand idle are closed, which clients must bear (RFC 9112, section 9.5), and what came is
-        answered.
+        New connections are accepted for `accept_for` seconds, and then those still in the kernel's listen
+        queue, as closing the listener would reset them. Idle connections are then closed, which clients must
+        handle (RFC 9112, section 9.5), and the received requests are responded to.
         """
         self.draining = True
         await asyncio.sleep(accept_for)
-        self.shut = True
+        self.accepts_only_waiting = True
         self._wake()
         await asyncio.wait({self.accepting}, timeout=LAST_ACCEPT_TIMEOUT_S)
         self.accepting.cancel()
         await asyncio.wait({self.accepting})
         self.listener.close()
         await self._end_connections()
-        for request in [request for request in self.ids.values() if not request.answer.done()]:
-            self.errored(request)  # nobody is left without an answer, whatever holds it up
+        for request in [request for request in self.open_requests.values() if not request.response.done()]:
+            self.errored(request)  # each client gets a response, whatever delays its request
             self.queue.put_nowait(ClientLeft(request))
-        await asyncio.sleep(4 * SETTLE)
+        await asyncio.sleep(4 * SETTLE_S)
 
     async def _end_connections(self) -> None:
-        """Until all connections have ended, or the longest invocation's time is over."""
+        """Close connections until none is left, for at most the maximum duration of an invocation."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + self.longest
-        while self.server.open and loop.time() < end:
-            for handler in list(self.server.open):
-                self.server.hang_up(handler)
-            await asyncio.sleep(4 * SETTLE)
+        end = loop.time() + self.max_duration_s
+        while self.server.all_connections and loop.time() < end:
+            for handler in list(self.server.all_connections):
+                self.server.close_gracefully(handler)
+            await asyncio.sleep(4 * SETTLE_S)
--- a/kestrelbend/gateway/net/closing.py
+++ b/kestrelbend/gateway/net/closing.py
@@ -1,8 +1,8 @@
-"""How a client's connection ends: the one place that closes one.
+"""Closes clients' connections.
 
-A close over bytes that nobody read makes the machine reset the connection (RFC 9112, section 9.6), and what
-of an answer it still holds is lost with it. So only the writing side is shut down; what comes meanwhile is
-read and dropped, never served, until the client has closed its own side or a short bound is over.
+Closing a socket with unread data makes the system reset the connection (RFC 9112, section 9.6), and any part
+of a response still in its send buffer is lost. So only the sending side is shut down. Data that arrives
+afterwards is read and dropped, never served, until the client closes its side or `CLOSE_TIMEOUT_S` is over.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from .metrics import DescriptorLimits
 
-CLOSE_TIMEOUT_S: Final = 0.5  # after the last byte is handed to the machine; the rest is the client's loss
+CLOSE_TIMEOUT_S: Final = 0.5  # after the last byte is in the system's send buffer
 
 
 def readable(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether bytes, an end or a reset wait to be read there; False where that cannot be told."""
+    """Whether data, an end of file or a reset waits to be read; False if the transport has no open socket."""
     connection = transport.get_extra_info("socket") if transport is not None else None
     if connection is None or connection.fileno() < 0:
         return False
@@ -27,10 +27,10 @@
 
 
 class HalfClosingTransport:
-    """A client's transport; its `close` shuts down the writing side first.
+    """A client's transport whose `close` shuts down the sending side first.
 
-    Everything else is the wrapped `transport`'s. `ending`: its writing side is shut down, and its client's
-    end is awaited; `sockets.half_closed_clients` counts those.
+    All other attributes are those of the wrapped `transport`. `half_closed`: the sending side is shut down,
+    and the client has not closed its side yet. `sockets.half_closed_clients` counts these connections.
     """
 
     def __init__(
@@ -40,23 +40,23 @@
         self.loop = loop
         self.sockets = sockets
         self.timer: asyncio.TimerHandle | None = None
-        self.ending = False
+        self.half_closed = False
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.transport, name)
 
     def is_closing(self) -> bool:
-        """Whether nothing more is written on it."""
-        return self.ending or self.transport.is_closing()
+        """Whether no more data can be written."""
+        return self.half_closed or self.transport.is_closing()
 
     def close(self) -> None:
-        """Shut down the writing side; only the first call counts."""
+        """Shut down the sending side; only the first call has an effect."""
         if self.is_closing():
             return
-        self.ending = True
+        self.half_closed = True
         self.sockets.half_closed_clients += 1
         try:
-            self.transport.resume_reading()  # its client's end is seen by reading alone
+            self.transport.resume_reading()  # the client's close is detected only by reading
             self.transport.write_eof()
         except (OSError, RuntimeError):
             self.transport.close()
@@ -64,15 +64,15 @@
         self.timer = self.loop.call_later(CLOSE_TIMEOUT_S, self._close_overdue)
 
     def _close_overdue(self) -> None:
-        """Close it, unless an answer is still being written: its client is slow, but reads."""
+        """Close the connection, unless a slow client is still reading a response."""
         if self.transport.get_write_buffer_size():
             self.timer = self.loop.call_later(CLOSE_TIMEOUT_S, self._close_overdue)
         else:
             self.transport.close()
 
-    def lost(self) -> None:
-        """The connection has ended: its handler says so."""
-        self.sockets.half_closed_clients -= self.ending
-        self.ending = False
+    def connection_lost(self) -> None:
+        """Stop counting the connection as half closed; called by its handler."""
+        self.sockets.half_closed_clients -= self.half_closed
+        self.half_closed = False
         if self.timer is not None:
             self.timer.cancel()
--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -1,7 +1,7 @@
-"""What a gateway is given at its start, checked once.
+"""A gateway's configuration, read and checked at startup.
 
-The platform states it by environment variables and a JSON file that one of them names; an installation of its
-own by a TOML file (`settings.installation`).
+The platform provides environment variables and a JSON file that one of them names. A standalone installation
+provides a TOML file (`settings.installation`).
 """
 
 from __future__ import annotations
@@ -20,22 +20,23 @@
 Address = tuple[str, int]
 """Host and port."""
 
-PORTS: Final = 65536  # they are below, and above 0
-DEFAULT_SOCKETS: Final = 1024
+PORT_LIMIT: Final = 65536  # exclusive
+DEFAULT_MAX_DESCRIPTORS: Final = 1024
 HEXADECIMAL: Final = 16
 
 
 @dataclass(slots=True)
 class GatewayConfiguration:
-    """All that one gateway is given.
-
-    `discovery`: host:port of the discovery service. `counter`: the counter service, None where there is none.
-    `seed`: chance is drawn from it. `sockets`: descriptors that the process may hold. `known`: the endpoint
-    list as this gateway last had it, in discovery's form. `settings`: the names and values that the decisions
-    pick from. `again`: reads anew what may have been replaced since; raises `Malformed`. `logs`: form and
-    level of the log. `members`: set where gateways may speak; `news`: where they announce use to each other.
-    `checks` (`external_authorization.attributes.CheckSettings`) and `authorisers`
-    (`authoriser.AuthoriserSettings` there): external authorisation, both ways.
+    """The configuration of one gateway.
+
+    `discovery`: host:port of the discovery service. `counter`: address of the counter service, None without
+    one. `seed`: seed of the random generators. `max_descriptors`: descriptors that the process may hold.
+    `known_endpoints`: the last endpoint list of this gateway, in discovery's format. `settings`: the settings
+    of the decisions, by name. `reread`: reads the configuration again after a change; raises `Malformed`.
+    `logs`: format and level of the log. `members`: settings of the membership, None without one. `news`: the
+    addresses of the usage exchange, None without one. `checks`
+    (`external_authorization.attributes.CheckSettings`): settings for answering a proxy's checks.
+    `authorisers` (`external_authorization.authoriser.AuthoriserSettings`): authorisers that the gateway asks.
     """
 
     name: str
@@ -43,10 +44,10 @@
     discovery: str
     counter: Address | None
     seed: int
-    sockets: int
-    known: dict[str, Any] | None
+    max_descriptors: int
+    known_endpoints: dict[str, Any] | None
     settings: dict[str, Any]
-    again: Callable[[], GatewayConfiguration] | None = None
+    reread: Callable[[], GatewayConfiguration] | None = None
     logs: tuple[str, str] = ("key-value", "info")
     members: MembershipSettings | None = None
     news: UsageExchangeAddresses | None = None
@@ -56,37 +57,37 @@
 
 @dataclass(slots=True)
 class UsageExchangeAddresses:
-    """Where the platform's gateways announce use to each other.
+    """The addresses at which the platform's gateways exchange usage.
 
-    `peers`: by the gateways' numbers. `all`: one address that reaches all of them. `most_in`: datagrams that
-    a gateway takes a second.
+    `peers`: addresses by gateway number. `broadcast`: one address that reaches all gateways.
+    `max_datagrams_per_s`: datagrams per second that a gateway accepts.
     """
 
     listen: Address
     peers: list[Address]
-    all: Address
-    most_in: float
+    broadcast: Address
+    max_datagrams_per_s: float
 
 
 def address(text: object, what: str) -> Address:
-    """Host and port of `host:port`; raises `Malformed`, which names `what` the text is."""
+    """Parse `host:port`; raises `Malformed`, whose text starts with `what`, the name of the setting."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < PORTS:
+    if not host or not port.isdecimal() or not 0 < int(port) < PORT_LIMIT:
         raise Malformed(f"{what}: not an address: {text!r}")
     return host, int(port)
 
 
 def format_address(pair: tuple[Any, int]) -> str:
-    """`host:port` of a host and a port."""
+    """Format a host and a port as `host:port`."""
     host, port = pair
     return f"{host}:{port}"
 
 
-def read(env: Mapping[str, str], anew: bool = False) -> GatewayConfiguration:
-    """What the platform gives, by its environment variables and the file that `ROUTER_CONFIG` names.
+def read(env: Mapping[str, str], prefer_file: bool = False) -> GatewayConfiguration:
+    """Read the platform's environment variables and the file that `ROUTER_CONFIG` names.
 
-    Raises `Malformed`, which says what is wrong where. `anew`: the file was replaced since the start, and
-    what it states goes before the environment.
+    Raises `Malformed`, which names the invalid setting. `prefer_file`: the file was replaced after the start,
+    so its values take precedence over the environment.
     """
     path = env.get("ROUTER_CONFIG")
     if not path:
@@ -94,14 +95,14 @@
     given = _read_json(path)
 
     def need(variable: str, key: str) -> Any:
-        value = given.get(key) or env.get(variable) if anew else env.get(variable) or given.get(key)
+        value = given.get(key) or env.get(variable) if prefer_file else env.get(variable) or given.get(key)
         if not value:
             raise Malformed(f"neither {variable} nor {key!r} in {path} is given")
         return value
 
     try:
         seed = int(str(given.get("seed", "0")), HEXADECIMAL)
-        sockets = int(given.get("limits", {}).get("sockets", DEFAULT_SOCKETS))
+        max_descriptors = int(given.get("limits", {}).get("sockets", DEFAULT_MAX_DESCRIPTORS))
     except (ValueError, AttributeError, TypeError) as error:
         raise Malformed(f"{path}: {error}") from None
     discovery = need("ROUTER_DISCOVERY", "discovery")
@@ -111,13 +112,13 @@
         listen=address(need("ROUTER_LISTEN", "listen"), "listen"),
         discovery=discovery,
         seed=seed,
-        sockets=sockets,
-        known=given.get("known"),
+        max_descriptors=max_descriptors,
+        known_endpoints=given.get("known"),
         counter=address(given["counter"], "counter") if given.get("counter") else None,
         settings=settings(dict(flatten(given["settings"]))),
-        again=lambda: read(os.environ, anew=True),
-        members=platform_members(env, given),
-        news=platform_news(env, given),
+        reread=lambda: read(os.environ, prefer_file=True),
+        members=read_platform_membership(env, given),
+        news=read_platform_usage_exchange(env, given),
     )
 
 
@@ -132,37 +133,39 @@
     return given
 
 
-def platform_news(env: Mapping[str, str], given: Mapping[str, Any]) -> UsageExchangeAddresses | None:
-    """Announcements of use on the platform; None where there are none.
+def read_platform_usage_exchange(
+    env: Mapping[str, str], given: Mapping[str, Any]
+) -> UsageExchangeAddresses | None:
+    """Read the addresses of the platform's usage exchange; None if it is off.
 
-    They are sent where the settings allow messages between gateways, and none other than these are sent.
+    It is on if the settings allow messages between gateways and no membership uses those messages.
     """
     stated = given["settings"]
     limits = stated.get("policyLimits", {})
-    most_in = stated.get("familyInfo", {}).get("peerInPerS", 0)
+    max_datagrams_per_s = stated.get("familyInfo", {}).get("peerInPerS", 0)
     is_off = env.get("KESTRELBEND_MEMBERS") or env.get("KESTRELBEND_NEWS") == "off"
     has_addresses = all(given.get(name) for name in ("peer_listen", "peers", "peers_all"))
-    if is_off or not limits.get("peers") or not most_in or not has_addresses:
+    if is_off or not limits.get("peers") or not max_datagrams_per_s or not has_addresses:
         return None
     return UsageExchangeAddresses(
         listen=address(given["peer_listen"], "peer_listen"),
-        most_in=float(most_in),
+        max_datagrams_per_s=float(max_datagrams_per_s),
         peers=[address(peer, "peers") for peer in given["peers"]],
-        all=address(given["peers_all"], "peers_all"),
+        broadcast=address(given["peers_all"], "peers_all"),
     )
 
 
-def platform_members(env: Mapping[str, str], given: Mapping[str, Any]) -> MembershipSettings | None:
-    """Membership on the platform; None where there is none, raises `Malformed`.
+def read_platform_membership(env: Mapping[str, str], given: Mapping[str, Any]) -> MembershipSettings | None:
+    """Read the settings of the platform's membership; None if it is off. Raises `Malformed`.
 
-    There is one where KESTRELBEND_MEMBERS names a file with the keys, and the settings allow messages. The
-    peers are the platform's; the one with this gateway's number is its own.
+    It is on if KESTRELBEND_MEMBERS names a file with the keys and the settings allow messages between
+    gateways. The platform provides the peers' addresses, among which this gateway's is at its own number.
     """
     path = env.get("KESTRELBEND_MEMBERS")
     limits = given["settings"].get("policyLimits", {})
     if not path or not limits.get("peers") or not given.get("peer_listen") or not given.get("peers"):
         return None
-    # Loaded only where it is needed: a start is short of CPU.
+    # Imported only if needed, as CPU time is scarce at startup.
     import tomllib
 
     from ..settings.installation import Members
@@ -182,12 +185,12 @@
             raise InvalidFile(path, faults)
     except (OSError, ValueError, IndexError, InvalidFile) as error:
         raise Malformed(f"KESTRELBEND_MEMBERS: {error}") from None
-    assert members is not None  # without faults there is an instance
+    assert members is not None  # `convert` returns an instance if there are no faults
     return members.to_membership_settings(env.get("ROUTER_NAME") or given["name"])
 
 
 def read_file(path: str) -> GatewayConfiguration:
-    """An installation's own file (TOML); raises `Malformed` with all that is wrong with it."""
+    """Read a standalone installation's TOML file; raises `Malformed`, which lists all errors in it."""
     from ..settings.installation import Installation
     from ..settings.toml_files import InvalidFile, read_toml
 
@@ -201,10 +204,10 @@
         discovery=str(stated.discovery),
         counter=stated.counter_at.host_and_port if stated.counter_at else None,
         seed=int(stated.seed, HEXADECIMAL),
-        sockets=stated.limits.sockets,
-        known=None,
+        max_descriptors=stated.limits.sockets,
+        known_endpoints=None,
         settings=stated.settings(),
-        again=lambda: read_file(path),
+        reread=lambda: read_file(path),
         logs=(stated.logs.form, stated.logs.level),
         members=stated.members.to_membership_settings(stated.name) if stated.members else None,
         checks=stated.checks,
--- a/kestrelbend/gateway/net/connection_pool.py
+++ b/kestrelbend/gateway/net/connection_pool.py
@@ -17,7 +17,7 @@
 from aiohttp.client_proto import ResponseHandler
 from aiohttp.client_reqrep import ConnectionKey
 
-from .answers import Answers
+from .answers import ResponseReader
 from .connection_reuse import REUSE_DELAY_S, ReuseHistory
 from .counter import LOOP_ITERATION_S, MICROSECONDS_PER_SECOND
 from .metrics import check_invariant
@@ -39,10 +39,10 @@
         self.delayed_count = 0
 
     def _release(self, key: ConnectionKey, protocol: Any, *, should_close: bool = False) -> None:
-        """Return a connection to the pool; overrides aiohttp's method. `protocol` is an `Answers`."""
-        needs_delay = self.reuse_history.remaining_delays or protocol.proof is not None
+        """Return a connection to the pool; overrides aiohttp's method. `protocol` is a `ResponseReader`."""
+        needs_delay = self.reuse_history.remaining_delays or protocol.confirmed is not None
         if should_close or protocol.should_close or not needs_delay:
-            protocol.released()
+            protocol.on_released()
             super()._release(key, protocol, should_close=should_close)
         else:
             self.delayed_count += 1
@@ -56,15 +56,15 @@
         After a stall of this process the timer fires before pending input is read. That input is read first,
         within up to `iterations` iterations of the loop.
         """
-        if iterations and protocol.is_connected() and protocol.unread():
+        if iterations and protocol.is_connected() and protocol.has_unread_data():
             self._loop.call_later(LOOP_ITERATION_S, self._end_reuse_delay, key, protocol, iterations - 1)
             return
         self.delayed_count -= 1
-        was_quiet = protocol.is_connected() and not protocol.should_close and not protocol.unread()
+        was_quiet = protocol.is_connected() and not protocol.should_close and not protocol.has_unread_data()
         if was_quiet:
             self.reuse_history.record_quiet_delay()
         super()._release(key, protocol)
-        protocol.prove(was_quiet)
+        protocol.confirm(was_quiet)
 
 
 class ConnectionPool:
@@ -85,7 +85,7 @@
             reuse_history, limit=0, keepalive_timeout=max(0.0, idle_timeout), happy_eyeballs_delay=None
         )
         check_invariant(hasattr(self.connector, "_factory"), "client_reads_one_answer_a_request")
-        factory = partial(Answers, asyncio.get_running_loop(), connect_timeout, reuse_history)
+        factory = partial(ResponseReader, asyncio.get_running_loop(), connect_timeout, reuse_history)
         self.connector._factory = cast("partial[ResponseHandler]", factory)
         self.session = aiohttp.ClientSession(
             connector=self.connector,
--- a/kestrelbend/gateway/net/events.py
+++ b/kestrelbend/gateway/net/events.py
@@ -1,16 +1,16 @@
-"""The events of the owner's queue: what its peers and timers report to the one task that decides.
+"""The events of the owner's queue, by which other components and timers report to the owner's task.
 
-Each event is one object of a class of its own, by which `owner.Owner` finds its handler. Times are whole
-microseconds of the gateway's clock.
+`owner.Owner` selects an event's handler by the event's class. Times are whole microseconds of the gateway's
+clock.
 
-Who puts which: `Clients` and `Checks` the requests and their clients' leaving; `BackendClient` the ends of
-deliveries and probes, `Checks` those of what it has let in; `Authorisers` whether a delivery may go on;
-`CounterCall` a counter call's end; `EndpointDiscovery` lists and its silence; `Owner.set_timer` timers;
-`DatagramReceiver` datagrams; `UsageExchangePeer` and `GatewayMembership` their timers; `gateway.start` the
-first look for shared probes, and `Owner` each next one.
+These put the events on the queue: `Clients` and `Checks` requests and clients' disconnections;
+`BackendClient` the outcomes of deliveries and probes, and `Checks` those of admitted requests; `Authorisers`
+whether a delivery may be sent; `CounterCall` the outcome of a counter call; `EndpointDiscovery` endpoint
+lists and its failure; `Owner.set_timer` timers; `DatagramReceiver` datagrams; `UsageExchangePeer` and
+`GatewayMembership` their timers; `gateway.start` the first `SharedProbesDue`, and `Owner` each later one.
 
-Hazard: events are worked on in the order of the queue. Whoever puts two must put them in the order in which
-they happened.
+Hazard: events are handled in the order of the queue. A component that puts two events on it must do so in the
+order in which they happened.
 """
 
 from __future__ import annotations
@@ -28,75 +28,76 @@
 
 
 class Event:
-    """What all events have in common.
+    """Base class of all events.
 
-    `label`: what the log calls the event where handling it fails; operators see it, it does not change.
+    `label`: the name of the event in log lines about a failed handler. Operators see it, so it must not
+    change.
     """
 
     __slots__ = ()
     label: ClassVar[str]
 
     def invocation(self) -> Invocation | None:
-        """The invocation that the event concerns; it is given up where handling the event fails."""
+        """Return the invocation that the event concerns; it ends as errored if the event's handler fails."""
         return None
 
 
 @dataclass(slots=True)
 class RequestTaken(Event):
-    """A request came, completely and in the protocol's form; put by the front that it came by."""
+    """A complete and valid request was received; reported by the front that received it."""
 
     label: ClassVar[str] = "taken"
     request: IncomingRequest
 
     def invocation(self) -> Invocation | None:
-        """The request's, once the decisions have begun with it."""
+        """Return the request's invocation, None before the decisions have started it."""
         return self.request.inv
 
 
 @dataclass(slots=True)
 class ClientLeft(Event):
-    """The client of a request waits no longer; put by the front that it came by."""
+    """The client of a request has disconnected; reported by the front that received the request."""
 
     label: ClassVar[str] = "left"
     request: IncomingRequest
 
     def invocation(self) -> Invocation | None:
-        """The request's, once the decisions have begun with it."""
+        """Return the request's invocation, None before the decisions have started it."""
         return self.request.inv
 
 
 @dataclass(slots=True)
 class DeliveryEnded(Event):
-    """The one end of a delivery that was handed to its backend, or to the proxy that carries it.
+    """A delivery to a backend, or to the proxy that carries it, has ended; reported once for each delivery.
 
-    `took`: microseconds. `answer`: body and headers for the client, None where there is none. `load`: the
-    backend's load report. `actual`: the units that the answer charges, 0 where it tells none. `used`: the
-    fraction of its quota that the customer has used, None where the answer tells none.
+    `duration`: microseconds. `response`: body and headers for the client, None if there is none. `load`: the
+    backend's load report. `charged_units`: units that the response charges, 0 if it states none.
+    `used_fraction`: fraction of its quota that the customer has used, None if the response states none.
     """
 
     label: ClassVar[str] = "ended"
     delivery: Delivery
     result: Result
-    took: int
-    answer: tuple[bytes, dict[str, str]] | None = None
+    duration: int
+    response: tuple[bytes, dict[str, str]] | None = None
     load: dict[str, float] | None = None
-    actual: float = 0
-    used: float | None = None
+    charged_units: float = 0
+    used_fraction: float | None = None
 
     def invocation(self) -> Invocation | None:
-        """The delivery's."""
+        """Return the delivery's invocation."""
         return self.delivery.inv
 
 
 @dataclass(slots=True)
 class DeliveryAuthorised(Event):
-    """All authorisers of a delivery allow it: it may go to its backend."""
+    """All authorisers allow a delivery, so it may be sent to its backend."""
 
     label: ClassVar[str] = "authorised"
     delivery: Delivery
 
     def invocation(self) -> Invocation | None:
-        """The delivery's."""
+        """Return the delivery's invocation."""
         return self.delivery.inv
 
 
@@ -104,7 +105,7 @@
 class DeliveryNotSent(Event):
     """A delivery that waited for its authorisers is not sent.
 
-    `denial`: their verdict (`external_authorization.asking.Verdict`); None: it was given up as it waited.
+    `denial`: their verdict (`external_authorization.authoriser.Verdict`), None if the delivery was cancelled.
     """
 
     label: ClassVar[str] = "refused"
@@ -113,30 +114,30 @@
     denial: Any
 
     def invocation(self) -> Invocation | None:
-        """The delivery's."""
+        """Return the delivery's invocation."""
         return self.delivery.inv
 
 
 @dataclass(slots=True)
-class AlarmDue(Event):
-    """The time at which a paused task wanted to be resumed has come.
+class TimerDue(Event):
+    """The time at which a suspended task is to be resumed has come.
 
-    `timer`: what puts the event on the queue; cancelled where something else resumes the task.
+    `handle`: the loop's timer that puts the event on the queue; cancelled if the task is resumed earlier.
     """
 
     label: ClassVar[str] = "alarm"
     task: Task
-    until: int
-    timer: asyncio.TimerHandle | None = None
+    due_at: int
+    handle: asyncio.TimerHandle | None = None
 
     def invocation(self) -> Invocation | None:
-        """The task's; None for a background task."""
+        """Return the task's invocation, None for a background task."""
         return self.task.inv
 
 
 @dataclass(slots=True)
 class CounterReplied(Event):
-    """A call to the counter service ended; `total`: the counter's value after it, 0 where it is not known."""
+    """A call to the counter service ended; `total`: the counter's value after it, 0 if unknown."""
 
     label: ClassVar[str] = "counted"
     name: Any
@@ -146,18 +147,18 @@
 
 @dataclass(slots=True)
 class BackendProbed(Event):
-    """A health check ended after `took` microseconds; `load`: its report, None where it has none."""
+    """A health check ended after `duration` microseconds; `load`: its load report, None without one."""
 
     label: ClassVar[str] = "probed"
     backend: BackendState
     result: Result
-    took: int
+    duration: int
     load: dict[str, float] | None
 
 
 @dataclass(slots=True)
 class DatagramReceived(Event):
-    """Another gateway, or whoever it is at `source` (host and port), sent a datagram."""
+    """A datagram was received from `source` (host and port), which may not be a gateway."""
 
     label: ClassVar[str] = "datagram"
     source: tuple[str | Any, int]
@@ -166,7 +167,7 @@
 
 @dataclass(slots=True)
 class UsagePeriodDue(Event):
-    """The present period of the usage exchange is over."""
+    """The current period of the usage exchange has ended."""
 
     label: ClassVar[str] = "news_due"
 
@@ -180,14 +181,14 @@
 
 @dataclass(slots=True)
 class SharedProbesDue(Event):
-    """It is time to look which backends this gateway has to probe for all gateways."""
+    """It is time to check which backends this gateway has to probe for all gateways."""
 
     label: ClassVar[str] = "probes_due"
 
 
 @dataclass(slots=True)
 class EndpointsReceived(Event):
-    """Discovery's answer has news of the backends."""
+    """Discovery sent a list with changes to the backends."""
 
     label: ClassVar[str] = "listing"
     endpoints: EndpointList
@@ -195,6 +196,6 @@
 
 @dataclass(slots=True)
 class DiscoveryFailed(Event):
-    """Discovery has stopped answering."""
+    """Discovery no longer responds."""
 
     label: ClassVar[str] = "unlisted"
--- a/kestrelbend/gateway/net/headers.py
+++ b/kestrelbend/gateway/net/headers.py
@@ -1,4 +1,4 @@
-"""Headers between clients and backends: those passed on, and what a backend reports in its own."""
+"""HTTP headers: selects those forwarded between clients and backends, and parses backends' reports."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from ..settings.platform import LOAD_FIELD_NAMES
 from .metrics import counters
-from .requests import bounded
+from .requests import parse_bounded
 
-# They belong to one connection (RFC 9110, section 7.6.1), or are written anew for the next.
-NOT_PASSED: Final = {
+# Headers of a single connection (RFC 9110, section 7.6.1), and headers that the gateway writes itself.
+NOT_FORWARDED: Final = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -24,25 +24,29 @@
     "expect",
     "x-timeout",
 }
-PASSED_BACK: Final = ("Content-Type", "Content-Encoding")
+RETURNED_HEADERS: Final = ("Content-Type", "Content-Encoding")
 
 
-def passed_on(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """All but what belongs to the client's connection, in order, each as often as it came."""
-    named = headers.get("Connection")
-    left_out = NOT_PASSED.union(part.strip().lower() for part in named.split(",")) if named else NOT_PASSED
-    return [(name, value) for name, value in headers.items() if name.lower() not in left_out]
+def forwarded_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
+    """Return the headers to forward, in their order and with repetitions; connection headers are left out."""
+    connection_options = headers.get("Connection")
+    excluded = (
+        NOT_FORWARDED.union(part.strip().lower() for part in connection_options.split(","))
+        if connection_options
+        else NOT_FORWARDED
+    )
+    return [(name, value) for name, value in headers.items() if name.lower() not in excluded]
 
 
 def load_report(text: str | bytes | None) -> dict[str, float] | None:
-    """The numbers of a backend's report by the names that the decisions have for them.
+    """Parse a backend's load report; the result uses the metric names of the decisions.
 
-    None: there is none, or it cannot be read, which is counted.
+    Returns None if there is no report, or if it cannot be parsed; the latter is counted.
     """
     try:
         report = json.loads(text) if text else {}
         numbers = {
-            LOAD_FIELD_NAMES.get(key, key): bounded(float, value, 0, math.inf)
+            LOAD_FIELD_NAMES.get(key, key): parse_bounded(float, value, 0, math.inf)
             for key, value in report.items()
         }
         return numbers or None
@@ -51,14 +55,14 @@
         return None
 
 
-def reported_number(text: str | None, most: float) -> float | None:
-    """A number from an answer's header, from 0 to `most`; None: there is none, or it cannot be one.
+def reported_number(text: str | None, maximum: float) -> float | None:
+    """Parse a number from 0 to `maximum` in a response header; None if it is missing or invalid.
 
-    It is the units that take the place of the estimate, or the customer's use by all gateways in percent of
-    its rate.
+    The header holds the units that replace the estimate, or the customer's usage at all gateways in percent
+    of its rate.
     """
     try:
-        return None if text is None else bounded(float, text, 0, most)
+        return None if text is None else parse_bounded(float, text, 0, maximum)
     except ValueError:
         counters["unreadable_charges"] += 1
         return None
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -1,7 +1,7 @@
-"""The one task that owns the decisions: events come in by its queue, effects go out to its peers.
+"""The single task that runs the decisions: it takes events from a queue and applies the resulting effects.
 
-Invariant: only `Owner.serve` handles events, one at a time and in the order of the queue, and the decisions'
-clock is set before each. Whatever runs in a task of its own puts an event on the queue instead.
+Invariant: only `Owner.serve` handles events, one at a time and in the order of the queue, and sets the
+decisions' clock before each. Other tasks put events on the queue instead of calling the decisions.
 """
 
 from __future__ import annotations
@@ -29,55 +29,55 @@
 
 log = logging.getLogger(__name__)
 MAX_LOGGED_FAULTS: Final = 20
-SHARED_PROBES_INTERVAL_S: Final = 0.1  # between looks at which backends this gateway has to probe
-MICROSECONDS_OF_SECOND: Final = 1e6
-LATENESS_DECAY: Final = 32  # each alarm takes this part off the lateness that is known
-MAX_LATENESS_PART: Final = 4  # of a request's time, that is taken off at most for late alarms
+SHARED_PROBES_INTERVAL_S: Final = 0.1  # between checks of which backends this gateway has to probe
+MICROSECONDS_PER_SECOND: Final = 1e6
+LATENESS_DECAY: Final = 32  # each timer event reduces the known lateness by 1/32
+MAX_LATENESS_DIVISOR: Final = 4  # late timers shorten a request's timeout by a quarter at most
 
 
 class RequestFront(Protocol):
-    """Another way than the clients' listener by which requests come (`IncomingRequest.front`)."""
+    """A source of requests other than the clients' listener (`IncomingRequest.front`)."""
 
     def deliver(self, delivery: Delivery, request: Any, /) -> None:
-        """A delivery was decided: the request is let in."""
+        """Admit a request, as a delivery was decided for it."""
 
     def cancel(self, delivery: Delivery, /) -> None:
-        """Nobody waits for this delivery any more."""
+        """Cancel a delivery that nobody waits for any more."""
 
     def throttled(self, request: Any, retry_after: int, /) -> None:
-        """Answer a request: rejected, to come back after so many microseconds (0: no advice)."""
+        """Respond with a rejection; `retry_after`: microseconds until a retry is advised, 0 for no advice."""
 
     def errored(self, request: Any, /) -> None:
-        """Answer a request: errored."""
+        """Respond with an error."""
 
 
 class AuthoriserChain(Protocol):
-    """External authorisers, who stand before a request's first delivery."""
+    """External authorisers, which must allow a request before its first delivery."""
 
     def deliver(self, delivery: Delivery, request: Any, /) -> bool:
-        """Whether the delivery waits for them; `DeliveryAuthorised` or `DeliveryNotSent` follows."""
+        """Ask the authorisers if needed; return whether `DeliveryAuthorised` or `DeliveryNotSent` follows."""
 
     def cancel(self, delivery: Delivery, /) -> bool:
-        """Whether the delivery waited for them; `DeliveryNotSent` follows."""
+        """Cancel a delivery that waits for authorisers; return whether it did: `DeliveryNotSent` follows."""
 
     async def end(self) -> None:
-        """Close the connections to them."""
+        """Close the connections to the authorisers."""
 
 
 class CheckFront(RequestFront, Protocol):
-    """The front that answers a proxy's external authorisation checks."""
+    """The front that responds to a proxy's external authorisation checks."""
 
     async def drain(self, seconds: float, /) -> None:
-        """End after the open checks, in so many seconds at most."""
+        """Stop after the open checks have ended, or after `seconds`."""
 
 
 class Owner(Host):
-    """The host of one gateway in service.
+    """The host of the decisions in a running gateway.
 
-    `clock`: now, in microseconds, never going back. `requests`: the open ones by their invocations.
-    `departed_at`: backends off the list, and since when. `alarm_lateness`: microseconds by which alarms came
-    late recently; the gateway is short of CPU. The peers are set before `serve` runs; those that may be None
-    are optional.
+    `clock`: returns the current time in microseconds and never steps back. `requests`: open requests by
+    invocation. `departed_at`: when each backend that is no longer listed was removed. `timer_lateness`:
+    microseconds by which timers were recently late, as the gateway was short of CPU. The other components
+    are set before `serve` runs; those that may be None are optional.
     """
 
     clients: Clients
@@ -95,9 +95,9 @@
         super().__init__(settings, seed, clock())
         self.clock = clock
         self.queue = queue
-        self.requests: dict[Invocation, Any] = {}  # an `IncomingRequest`, whose kind its front knows
+        self.requests: dict[Invocation, Any] = {}  # `IncomingRequest`s; the subclass depends on the front
         self.departed_at: dict[Any, int] = {}
-        self.alarm_lateness = 0
+        self.timer_lateness = 0
         self.membership: GatewayMembership | None = None
         self.usage_exchange: UsageExchangePeer | None = None
         self.checks: CheckFront | None = None
@@ -105,14 +105,14 @@
         self.handlers = self._handlers()
 
     def _handlers(self) -> dict[type[events.Event], Callable[[Any], None]]:
-        """What handles an event, by the event's class."""
+        """Return the handlers of events by the events' class."""
         return {
             events.RequestTaken: self.on_request_taken,
             events.ClientLeft: self.on_client_left,
             events.DeliveryEnded: self.on_delivery_ended,
             events.DeliveryAuthorised: self.on_delivery_authorised,
             events.DeliveryNotSent: self.on_delivery_not_sent,
-            events.AlarmDue: self.on_alarm_due,
+            events.TimerDue: self.on_timer_due,
             events.CounterReplied: self.on_counter_replied,
             events.BackendProbed: self.on_backend_probed,
             events.DatagramReceived: self.on_datagram_received,
@@ -124,7 +124,7 @@
         }
 
     async def serve(self) -> None:
-        """Handle events for ever; a fault ends none but the invocation that the event concerns."""
+        """Handle events forever; an exception ends only the invocation that the event concerns."""
         self.gateway.now = self.clock()
         self.start()
         while True:
@@ -132,20 +132,21 @@
             self.gateway.now = self.clock()
             try:
                 self.handlers[type(event)](event)
-            except Exception:  # noqa: BLE001  a fault of the program, which must not end the service
+            except Exception:  # noqa: BLE001  a bug must not end the service
                 self.fault(event.label, event.invocation())
 
     def run(self, task: Task, value: Any = None) -> None:
-        """Resume a task; a fault stays in its own task, whichever event led there."""
+        """Resume a task; an exception affects only this task, not the event whose handler resumed it."""
         try:
             super().run(task, value)
-        except Exception:  # noqa: BLE001  a fault of the program, which must not end the service
+        except Exception:  # noqa: BLE001  a bug must not end the service
             self.fault("run", task.inv)
 
     def fault(self, where: str, inv: Invocation | None) -> None:
-        """Log a fault of the program, and leave nobody waiting.
+        """Log an unexpected exception and end the invocation that it concerns.
 
-        The invocation errors at once, which promises nothing. `where`: the label of the event.
+        The client gets an error, which does not say whether the request was executed. `where`: the label of
+        the event.
         """
         counters["faults"] += 1
         if counters["faults"] <= MAX_LOGGED_FAULTS:
@@ -159,105 +160,118 @@
         self.release_if_complete(inv)
 
     def front_of(self, inv: Invocation) -> RequestFront | Clients:
-        """The front that an invocation came by; it answers it."""
+        """Return the front that received an invocation's request and responds to it."""
         front: RequestFront | None = self.requests[inv].front
         return front or self.clients
 
     # Events of requests and deliveries.
 
     def on_request_taken(self, event: events.RequestTaken) -> None:
-        """Begin an invocation.
+        """Start an invocation.
 
-        It ends earlier than its client's time where alarms come late: its last alarm will be late, too.
+        If timers were late recently, its deadline is earlier than the client's, as its last timer may be late
+        as well.
         """
         request = event.request
         operation = self.operations[request.operation]
         customer = self.customer_state(request.plan, request.customer, request.spread)
-        wait = operation.timeout if request.wait is None else round(request.wait * MICROSECONDS_OF_SECOND)
-        until = request.came + wait - min(self.alarm_lateness, wait // MAX_LATENESS_PART)
-        inv = Invocation(operation, customer, request.came, until, request.units, request.retry)
+        wait = (
+            operation.timeout
+            if request.timeout_s is None
+            else round(request.timeout_s * MICROSECONDS_PER_SECOND)
+        )
+        until = request.received_at + wait - min(self.timer_lateness, wait // MAX_LATENESS_DIVISOR)
+        inv = Invocation(operation, customer, request.received_at, until, request.units, request.retry)
         request.inv = inv
         self.requests[inv] = request
-        if request.answer.cancelled():
+        if request.response.cancelled():
             inv.done = True
         self.start_invocation(inv)
 
     def on_client_left(self, event: events.ClientLeft) -> None:
-        """Nobody waits for the answer any more."""
+        """Tell the decisions that a client has disconnected."""
         if event.request.inv is not None:
             self.client_disconnected(event.request.inv)
 
     def on_delivery_ended(self, event: events.DeliveryEnded) -> None:
-        """Answer the client by the delivery if it succeeded first, and tell the decisions."""
+        """Respond to the client if this is its first successful delivery, and tell the decisions."""
         delivery = event.delivery
         inv = delivery.inv
         request = self.requests.get(inv)
         if request is not None and request.front is not None:
-            inv.done = True  # its answer was that it was let in
+            inv.done = True  # the front has responded by admitting it
         final = event.result is Result.SUCCEEDED and not inv.done
         if final:
-            assert event.answer is not None  # by its result
-            self.clients.succeeded(self.requests[inv], *event.answer)
-        self.delivery_ended(delivery, event.result, event.took, final, event.load, event.actual, event.used)
+            assert event.response is not None  # because the delivery succeeded
+            self.clients.succeeded(self.requests[inv], *event.response)
+        self.delivery_ended(
+            delivery,
+            event.result,
+            event.duration,
+            final,
+            event.load,
+            event.charged_units,
+            event.used_fraction,
+        )
 
     def on_delivery_authorised(self, event: events.DeliveryAuthorised) -> None:
-        """Send a delivery that its authorisers allow; whatever happened meanwhile goes before."""
+        """Send a delivery that its authorisers allow, unless its invocation has ended meanwhile."""
         delivery = event.delivery
         if delivery.inv.done or delivery.inv not in self.requests:
             self.delivery_ended(delivery, Result.VOID, 0, False, None, 0)
         else:
-            delivery.sent_at = self.gateway.now  # their time is not the backend's
+            delivery.sent_at = self.gateway.now  # the authorisers' time must not count as the backend's
             self.backend_client.deliver(delivery, self.requests[delivery.inv])
 
     def on_delivery_not_sent(self, event: events.DeliveryNotSent) -> None:
-        """End a delivery that its authorisers deny, or that was given up while it waited for them."""
+        """End a delivery that its authorisers deny, or that was cancelled while it waited for them."""
         delivery = event.delivery
         if event.denial is not None and not delivery.inv.done:
             delivery.inv.done = True
             self.clients.denied(self.requests[delivery.inv], event.denial)
         self.delivery_ended(delivery, event.result, 0, False, None, 0)
 
-    def on_alarm_due(self, event: events.AlarmDue) -> None:
-        """Resume the task, unless something else has resumed it since."""
-        decayed = self.alarm_lateness - self.alarm_lateness // LATENESS_DECAY
-        self.alarm_lateness = max(self.gateway.now - event.until, decayed)
-        alarm: events.AlarmDue | None = event.task.timer
-        if alarm is not None and alarm.until == event.until:
+    def on_timer_due(self, event: events.TimerDue) -> None:
+        """Resume the task, unless it was resumed otherwise since the timer was set."""
+        decayed = self.timer_lateness - self.timer_lateness // LATENESS_DECAY
+        self.timer_lateness = max(self.gateway.now - event.due_at, decayed)
+        timer: events.TimerDue | None = event.task.timer
+        if timer is not None and timer.due_at == event.due_at:
             self.run(event.task)
 
     def on_counter_replied(self, event: events.CounterReplied) -> None:
-        """Tell the decisions of a counter call's end."""
+        """Tell the decisions the outcome of a counter call."""
         self.counter_replied(event.name, event.result, event.total)
 
     def on_backend_probed(self, event: events.BackendProbed) -> None:
-        """Tell the decisions of a probe's end, and the other gateways where it was made for all."""
-        self.probed(event.backend, event.result, event.took, event.load)
+        """Tell the decisions the outcome of a probe, and the other gateways if the probe was made for all."""
+        self.probed(event.backend, event.result, event.duration, event.load)
         if self.membership is not None and self.membership.probing is not None:
-            # Probed as a singleton task: no generator of the decisions waits for it.
+            # The probe was a singleton task, so no task of the decisions waits for it.
             self.gateway.background.load_reported(event.backend, event.load)
             self.membership.publish_probe(event.backend, event.load)
 
     # Events between gateways.
 
     def on_datagram_received(self, event: events.DatagramReceived) -> None:
-        """Hand a datagram to the one peer that has a UDP socket."""
+        """Pass a datagram to the usage exchange or the membership, whichever has a UDP socket."""
         receiver = self.usage_exchange or self.membership
-        assert receiver is not None  # who else could have received it
+        assert receiver is not None  # one of them has received the datagram
         receiver.receive_datagram(event.source, event.data)
 
     def on_usage_period_due(self, _: events.UsagePeriodDue) -> None:
-        """Close the period of the usage exchange."""
-        assert self.usage_exchange is not None  # its timer made the event
+        """End the current period of the usage exchange."""
+        assert self.usage_exchange is not None  # its timer put the event on the queue
         self.usage_exchange.close_period()
 
     def on_membership_due(self, _: events.MembershipDue) -> None:
-        """Let the membership take its next step."""
-        assert self.membership is not None  # its timer made the event
+        """Run the next step of the membership."""
+        assert self.membership is not None  # its timer put the event on the queue
         self.membership.on_timer()
 
     def on_shared_probes_due(self, _: events.SharedProbesDue) -> None:
-        """Probe the backends that are this gateway's singleton tasks, and look again soon."""
-        assert self.membership is not None  # the event is made only with it
+        """Probe the backends that this gateway probes for all, and schedule the next check."""
+        assert self.membership is not None  # the event occurs only with a membership
         for backend in self.membership.backends_to_probe():
             self.backend_client.probe(backend)
         loop = asyncio.get_running_loop()
@@ -266,9 +280,10 @@
     # Events of discovery.
 
     def list_received(self, received: EndpointList) -> None:
-        """Bar the backends that a list takes off or moves, while the list stands in the queue.
+        """Block the backends that a received list removes or moves until its event is handled.
 
-        From now on they get no first byte any more. Called by discovery, before the list's event.
+        No request to them is started from now on. Discovery calls this before it puts the list's event on the
+        queue.
         """
         client = self.backend_client
         ready = {row.uid for row in received.rows if row.state is EndpointState.READY}
@@ -280,7 +295,7 @@
                 client.blocked[backend] = received
 
     def on_endpoints_received(self, event: events.EndpointsReceived) -> None:
-        """Take a list in: the backends' addresses and states hold from now on."""
+        """Apply the addresses and states of a received endpoint list."""
         received = event.endpoints
         listed_before = set(self.listed)
         self._lift_bars(received)
@@ -294,15 +309,15 @@
         self._forget_departed()
 
     def _lift_bars(self, received: EndpointList) -> None:
-        """What this list barred is decided by the list itself now."""
+        """Unblock the backends that this list blocked, as it is being applied now."""
         barred = self.backend_client.blocked
         for backend in [backend for backend, barred_by in barred.items() if barred_by is received]:
             del barred[backend]
 
     def _forget_departed(self) -> None:
-        """Forget backends that departed long ago.
+        """Remove the state of backends that departed long ago.
 
-        What is known of one counts while it could come back warming up; later it would only fill the memory.
+        The state matters if a backend returns while it is still warming up; kept longer, it only uses memory.
         """
         for uid, since in list(self.departed_at.items()):
             if uid not in self.listed and self.gateway.now - since <= self.settings["cold"]:
@@ -313,13 +328,13 @@
                 del self.backend_ids[self.backends.pop(uid)]
 
     def on_discovery_failed(self, _: events.DiscoveryFailed) -> None:
-        """Tell the decisions that the list may be old."""
+        """Tell the decisions that the endpoint list may be out of date."""
         self.discovery_failed()
 
     # Effects.
 
     def deliver(self, delivery: Delivery) -> None:
-        """Send a delivery, by its front, its authorisers or at once."""
+        """Send a delivery through its front, after its authorisers' verdict, or at once."""
         check_invariant(not delivery.inv.done, "nothing_sent_after_the_answer")
         request = self.requests[delivery.inv]
         if request.front is not None:
@@ -328,7 +343,7 @@
             self.backend_client.deliver(delivery, request)
 
     def cancel(self, delivery: Delivery) -> None:
-        """Stop waiting for a delivery, wherever it is; its end follows as an event."""
+        """Cancel a delivery at its front, authorisers or backend; an event reports its end."""
         request: IncomingRequest | None = self.requests.get(delivery.inv)
         if request is not None and request.front is not None:
             request.front.cancel(delivery)
@@ -336,24 +351,24 @@
             self.backend_client.cancel(delivery)
 
     def throttle(self, inv: Invocation, retry_after: int) -> None:
-        """Reject a request; it may come back after so many microseconds (0: no advice)."""
+        """Reject a request; `retry_after`: microseconds until a retry is advised, 0 for no advice."""
         self.front_of(inv).throttled(self.requests[inv], retry_after)
 
     def fail(self, inv: Invocation) -> None:
-        """Answer a request: errored."""
+        """Respond to a request with an error."""
         self.front_of(inv).errored(self.requests[inv])
 
-    def set_timer(self, task: Task, until: int) -> events.AlarmDue:
-        """Put an alarm of this task on the queue at `until`; the handle is the event itself."""
-        remaining_s = max(0, until - self.gateway.now) / MICROSECONDS_OF_SECOND
-        alarm = events.AlarmDue(task, until)
-        alarm.timer = asyncio.get_running_loop().call_later(remaining_s, self.queue.put_nowait, alarm)
-        return alarm
+    def set_timer(self, task: Task, until: int) -> events.TimerDue:
+        """Set a timer that resumes the task at `until`; return the event that it will put on the queue."""
+        remaining_s = max(0, until - self.gateway.now) / MICROSECONDS_PER_SECOND
+        timer = events.TimerDue(task, until)
+        timer.handle = asyncio.get_running_loop().call_later(remaining_s, self.queue.put_nowait, timer)
+        return timer
 
-    def cancel_timer(self, alarm: events.AlarmDue) -> None:
-        """Stop an alarm's timer; the event may stand in the queue already, and says nothing then."""
-        assert alarm.timer is not None  # by `set_timer`
-        alarm.timer.cancel()
+    def cancel_timer(self, timer: events.TimerDue) -> None:
+        """Cancel a timer; if its event is in the queue already, `on_timer_due` ignores it."""
+        assert timer.handle is not None  # set by `set_timer`
+        timer.handle.cancel()
 
     def count(self, name: int, amount: float, lifetime: int) -> None:
         """Call the counter service; `CounterReplied` follows."""
@@ -364,13 +379,13 @@
         self.backend_client.probe(backend)
 
     def subscribe(self) -> None:
-        """Follow discovery, if that is not done already."""
+        """Start to follow discovery, unless it is followed already."""
         self.discovery.watch()
 
     def log(self, text: str, about: Any) -> None:
-        """A line for staff, about whatever the decisions name."""
+        """Log a line of the decisions, with its subject if there is one."""
         log.info(text, extra={"about": about} if about != "" else None)
 
     def released(self, inv: Invocation) -> None:
-        """Forget the request of an invocation of which nothing more can come."""
+        """Remove the request of an invocation for which no further event can occur."""
         self.requests.pop(inv, None)
--- a/kestrelbend/gateway/net/requests.py
+++ b/kestrelbend/gateway/net/requests.py
@@ -1,7 +1,7 @@
-"""A client's request and its form by the clients' protocol: `METHOD /operation/customer`, with headers.
+"""Parses a client's request by the clients' protocol: `METHOD /operation/customer`, with headers.
 
-What is not in the protocol's form is not guessed at: under a customer's name it would spoil what is known of
-it.
+Malformed requests are rejected rather than guessed at, as they would distort the usage state of the customer
+that they name.
 """
 
 from __future__ import annotations
@@ -18,49 +18,49 @@
 if TYPE_CHECKING:
     from ..interface import Invocation
 
-MAX_CUSTOMERS: Final = 1 << 33  # their numbers stay below, by the protocol
+MAX_CUSTOMERS: Final = 1 << 33  # the protocol's upper bound, exclusive, of customer numbers
 CUSTOMER_FORM: Final = re.compile("[0-9A-Fa-f]{16}")
 REQUEST_ID_FORM: Final = re.compile("[!-~]{1,128}")
-MIN_PATH_PARTS: Final = 3  # of "/operation/customer" split at "/"
-MIN_WAIT_S: Final = 1e-6
-MAX_WAIT_S: Final = 1e6
+MIN_PATH_PARTS: Final = 3  # "/operation/customer" split at "/"
+MIN_TIMEOUT_S: Final = 1e-6
+MAX_TIMEOUT_S: Final = 1e6
 MIN_UNITS: Final = 1e-6
-MAX_UNITS: Final = 1e9  # where the settings state no limit
+MAX_UNITS: Final = 1e9  # if the settings have no limit
 Number = TypeVar("Number", int, float)
 
 
 class MalformedRequest(GatewayError, ValueError):
-    """A request, or a number in a header, is not in the protocol's form; its sender gets status 400."""
+    """A request or a number in a header violates the protocol; the client gets status 400."""
 
     code = "net.malformed_request"
 
 
 class Headers(Protocol):
-    """What is read of a request's headers: multidict's views of them."""
+    """The interface to a request's headers, which multidict implements."""
 
-    def getall(self, name: str, otherwise: Any) -> Any:
-        """All values of a header; `otherwise` where there is none."""
+    def getall(self, name: str, default: Any) -> Any:
+        """Return all values of a header, or `default` if there is none."""
 
 
 class ClientConnection(Protocol):
-    """The connection that a request came on."""
+    """The connection on which a request was received."""
 
     @property
     def transport(self) -> Any:
-        """The connection's transport; None once it is lost."""
+        """The connection's transport; None once the connection is lost."""
 
-    def gone(self) -> bool:
-        """Whether its client has closed it, as far as the loop has read."""
+    def is_disconnected(self) -> bool:
+        """Whether the client has closed the connection, as far as the loop has read."""
 
 
 class IncomingRequest:
-    """What the owner needs to know of one request, whichever way it came.
+    """The fields of a request that the owner needs, for HTTP requests and external authorisation checks.
 
-    `id`, `operation`, `plan`, `customer`: what it asks for, in whose name. `wait`: seconds that it may take,
-    None where it does not say. `units`: its size. `spread`: gateways that the customer's requests go to.
-    `retry`: whether it is one. `came`: when it came, in microseconds of the gateway's clock. `answer` is
-    settled once; `inv` is the invocation that the decisions make of it. `front`: what answers it
-    (`owner.RequestFront`), None where the clients' listener does.
+    `timeout_s`: the client's timeout, None if it states none. `units`: the request's size. `spread`: number
+    of gateways that receive the customer's requests. `retry`: whether the client marked it as a retry.
+    `received_at`: microseconds of the gateway's clock. `response`: a future, completed exactly once. `inv`:
+    the invocation that the decisions make of it. `front`: the `owner.RequestFront` that responds to it, None
+    if the clients' listener does.
     """
 
     __slots__ = (
@@ -68,12 +68,12 @@
         "operation",
         "plan",
         "customer",
-        "wait",
+        "timeout_s",
         "units",
         "spread",
         "retry",
-        "came",
-        "answer",
+        "received_at",
+        "response",
         "inv",
     )
 
@@ -81,26 +81,26 @@
     operation: str
     plan: str
     customer: str
-    wait: float | None
+    timeout_s: float | None
     units: float
     spread: int
     retry: bool
     front: Any
 
-    def __init__(self, came: int) -> None:
-        self.came = came
+    def __init__(self, received_at: int) -> None:
+        self.received_at = received_at
         self.inv: Invocation | None = None
-        self.answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+        self.response: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
 
 class Request(IncomingRequest):
-    """One HTTP request as it came, and the fields that decisions need; raises `MalformedRequest`.
+    """An HTTP request as received, with the fields that decisions need; raises `MalformedRequest`.
 
-    `settings`: the gateway's; `gateways` and `most_units` are read.
+    `settings`: the gateway's settings, of which `gateways` and `most_units` are used.
     """
 
     __slots__ = ("method", "target", "headers", "body", "connection")
-    front: Any = None  # by another way than this listener
+    front: Any = None  # the clients' listener responds
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
         target: str,
         headers: Headers,
         body: Any,
-        came: int,
+        received_at: int,
         settings: Mapping[str, Any],
     ) -> None:
         self.method = method
@@ -116,20 +116,24 @@
         self.headers = headers
         self.body = body
         self._read_path()
-        self.id = single(headers, "X-Request-ID", "")
-        self.plan = single(headers, "Api-Plan", "")
+        self.id = single_value(headers, "X-Request-ID", "")
+        self.plan = single_value(headers, "Api-Plan", "")
         if not REQUEST_ID_FORM.fullmatch(self.id):
             raise MalformedRequest("no request id")
-        wait = single(headers, "X-Timeout")
-        self.wait = None if wait is None else bounded(float, wait, MIN_WAIT_S, MAX_WAIT_S)
-        terms = dict(part.strip().partition("=")[::2] for part in single(headers, "Api-Terms", "").split(","))
+        timeout_s = single_value(headers, "X-Timeout")
+        self.timeout_s = (
+            None if timeout_s is None else parse_bounded(float, timeout_s, MIN_TIMEOUT_S, MAX_TIMEOUT_S)
+        )
+        terms = dict(
+            part.strip().partition("=")[::2] for part in single_value(headers, "Api-Terms", "").split(",")
+        )
         gateways = settings["gateways"]
         max_units = settings["most_units"] or MAX_UNITS
-        self.units = bounded(float, terms.get("units", 1), MIN_UNITS, max_units)
-        self.spread = bounded(int, terms.get("spread", gateways), 1, gateways)
-        bounded(int, terms.get("first", 0), 0, gateways - 1)
-        self.retry = single(headers, "X-Retried") == "1"
-        super().__init__(came)
+        self.units = parse_bounded(float, terms.get("units", 1), MIN_UNITS, max_units)
+        self.spread = parse_bounded(int, terms.get("spread", gateways), 1, gateways)
+        parse_bounded(int, terms.get("first", 0), 0, gateways - 1)
+        self.retry = single_value(headers, "X-Retried") == "1"
+        super().__init__(received_at)
         self.connection: ClientConnection | None = None
 
     def _read_path(self) -> None:
@@ -140,33 +144,33 @@
         self.customer = path[-1]
         if (
             int(self.customer, 16) >= MAX_CUSTOMERS
-            or single(self.headers, "X-Priority-Class", self.operation) != self.operation
+            or single_value(self.headers, "X-Priority-Class", self.operation) != self.operation
         ):
             raise MalformedRequest("no such customer or operation")
 
-    def left(self) -> bool:
-        """Whether its client has gone, as far as the loop has read."""
-        return self.answer.cancelled() or self.connection is not None and self.connection.gone()
+    def client_left(self) -> bool:
+        """Whether the client has disconnected, as far as the loop has read."""
+        return self.response.cancelled() or self.connection is not None and self.connection.is_disconnected()
 
-    def unread(self) -> bool:
-        """Whether something of its client, perhaps its end, waits to be read."""
+    def has_unread_data(self) -> bool:
+        """Whether data or an end of file from the client waits to be read."""
         return self.connection is not None and readable(self.connection.transport)
 
 
-def single(headers: Headers, name: str, otherwise: str | None = None) -> Any:
-    """The one value of a header, `otherwise` where there is none; raises `MalformedRequest` for more."""
-    values = headers.getall(name, (otherwise,))
+def single_value(headers: Headers, name: str, default: str | None = None) -> Any:
+    """Return the value of a header, or `default` without one; raises `MalformedRequest` if it is repeated."""
+    values = headers.getall(name, (default,))
     if len(values) > 1:
         raise MalformedRequest(f"more than one {name}")
     return values[0]
 
 
-def bounded(kind: Callable[[Any], Number], text: Any, least: float, most: float) -> Number:
-    """The finite number that `text` is, from `least` to `most`.
+def parse_bounded(parse: Callable[[Any], Number], text: Any, minimum: float, maximum: float) -> Number:
+    """Parse a finite number from `minimum` to `maximum`.
 
-    Raises `MalformedRequest` out of these bounds, and what `kind` raises where it is no number.
+    Raises `MalformedRequest` if it is out of these bounds, and the error of `parse` if it is not a number.
     """
-    value = kind(text)
-    if not (math.isfinite(value) and least <= value <= most):
+    value = parse(text)
+    if not (math.isfinite(value) and minimum <= value <= maximum):
         raise MalformedRequest(f"out of range: {text!r}")
     return value
--- a/kestrelbend/gateway/net/sending.py
+++ b/kestrelbend/gateway/net/sending.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from ..decisions.state import BackendState
     from ..interface import Delivery
-    from .answers import Answers
+    from .answers import ResponseReader
     from .connection_pool import ConnectionPool
     from .requests import Request
 
@@ -98,7 +98,7 @@
     )
 
     pool: ConnectionPool
-    response_reader: Answers
+    response_reader: ResponseReader
 
     def __init__(
         self,
@@ -122,10 +122,14 @@
 
     def has_unread_data(self) -> bool:
         """Whether data, an end or a reset from the client or the backend is waiting to be read."""
-        return self.response_reader.unread() or self.request is not None and self.request.unread()
+        return (
+            self.response_reader.has_unread_data()
+            or self.request is not None
+            and self.request.has_unread_data()
+        )
 
     def requires_settled_connection(self) -> bool:
-        """Whether the request may only be written once the connection has settled (see `Answers`).
+        """Whether the request may only be written once the connection has settled (see `ResponseReader`).
 
         For a slow backend, an early response could not be told from a second one to the previous request; a
         non-idempotent request would fail if its response were ambiguous.
@@ -155,7 +159,9 @@
             return True
         assert self.request is not None  # each delivery has its request
         return not (
-            self.delivery.inv.done or self.request.left() or backend_client.clock() >= self.delivery.begin_by
+            self.delivery.inv.done
+            or self.request.client_left()
+            or backend_client.clock() >= self.delivery.begin_by
         )
 
     def finished_at(self) -> int:
@@ -173,7 +179,7 @@
     """
     attempt: SendAttempt = context.trace_request_ctx
     if attempt.requires_settled_connection():
-        await attempt.response_reader.settle()
+        await attempt.response_reader.wait_until_settled()
     for _ in range(MAX_LOOP_ITERATIONS):
         if not attempt.has_unread_data():
             break
@@ -181,7 +187,7 @@
     if not attempt.may_start():
         counters["first_bytes_not_wanted"] += 1
         raise SendNotAllowed
-    if not attempt.response_reader.ask():
+    if not attempt.response_reader.begin_request():
         counters["kept_connections_stale"] += 1
         raise StaleConnection
     attempt.write_started = True
--- a/kestrelbend/gateway/net/signals.py
+++ b/kestrelbend/gateway/net/signals.py
@@ -1,7 +1,7 @@
-"""Signals that come while the program is still being loaded.
+"""Records signals that arrive while the program is still being imported.
 
-By default they would end it, and what the accept queue holds would be lost. This module is imported before
-anything that takes time: it imports nothing else.
+Their default action would end the process and drop the connections that the accept queue holds. This module
+is imported before any slow import, so it must import only what loads quickly.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 
 class EarlySignals:
-    """Notes SIGTERM, SIGINT (`stopped`) and SIGHUP (`replaced`) until the gateway handles them itself.
+    """Records SIGTERM and SIGINT (`stop_requested`) and SIGHUP (`reload_requested`) until the gateway runs.
 
-    `began`: when the program began, in monotonic nanoseconds.
+    `started_at`: when the process started, in monotonic nanoseconds.
     """
 
     def __init__(self) -> None:
-        self.began = time.monotonic_ns()
-        self.stopped = False
-        self.replaced = False
+        self.started_at = time.monotonic_ns()
+        self.stop_requested = False
+        self.reload_requested = False
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._stop)
-        signal.signal(signal.SIGHUP, self._replace)
+        signal.signal(signal.SIGHUP, self._reload)
 
     def _stop(self, _number: int, _frame: FrameType | None) -> None:
-        self.stopped = True
+        self.stop_requested = True
 
-    def _replace(self, _number: int, _frame: FrameType | None) -> None:
-        self.replaced = True
+    def _reload(self, _number: int, _frame: FrameType | None) -> None:
+        self.reload_requested = True
--- a/kestrelbend/gateway/net/usage_exchange.py
+++ b/kestrelbend/gateway/net/usage_exchange.py
@@ -40,7 +40,11 @@
             peer_address: number for number, peer_address in enumerate(addresses.peers)
         }
         self.core = gateway.context.usage = MeteredUsageExchange(
-            settings["gateways"], settings["gateway"], settings["plans"], addresses.most_in, gateway.now
+            settings["gateways"],
+            settings["gateway"],
+            settings["plans"],
+            addresses.max_datagrams_per_s,
+            gateway.now,
         )
 
     async def start(self, fraction: float) -> None:
@@ -65,7 +69,7 @@
         meter_before = self.core.meter
         for receiver, data in self.core.close_period(self.owner.gateway.now):
             counters["news_sent"] += 1
-            address = self.addresses.all if receiver is None else self.addresses.peers[receiver]
+            address = self.addresses.broadcast if receiver is None else self.addresses.peers[receiver]
             assert self.datagrams.transport is not None  # opened by `start`
             self.datagrams.transport.sendto(data, address)
         if meter_before is None and self.core.meter is not None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -400,7 +400,7 @@
             256,
             None,
             terms.settings({k: str(v) for k, v in self.pairs.items()}),
-            again=lambda: configuration.read(os.environ, anew=True),
+            reread=lambda: configuration.read(os.environ, prefer_file=True),
         )
         self.owner, self.serving = await start(self.told)
         await self.until(lambda: len(self.owner.listed) == len(self.rows))
@@ -413,7 +413,7 @@
     @staticmethod
     async def end(owner, serving):
         """End a gateway that was started in this process."""
-        for task in (serving, owner.discovery.watch_task, owner.clients.accepting, owner.clients.looking):
+        for task in (serving, owner.discovery.watch_task, owner.clients.accepting, owner.clients.inspecting):
             task.cancel()
         owner.clients.listener.close()
         await owner.discovery.session.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 
 from kestrelbend.gateway.interface import Delivery, Invocation, Result, EndpointState
 from kestrelbend.gateway.net import endpoint_discovery, sending
-from kestrelbend.gateway.net.answers import Answers
+from kestrelbend.gateway.net.answers import ResponseReader
 from kestrelbend.gateway.net.gateway import start
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
 from kestrelbend.gateway.net.events import DeliveryEnded
@@ -340,7 +340,9 @@
             discovery = await ScriptedDiscovery(world.rows[0] | {"state": "draining"}).open()
             discovery.slow = 0.1
             told = replace(
-                world.told, discovery=discovery.address, known={"rev": 1, "all": True, "targets": world.rows}
+                world.told,
+                discovery=discovery.address,
+                known_endpoints={"rev": 1, "all": True, "targets": world.rows},
             )
             owner, serving = await start(told, waits)
             assert b" 429 " in await asyncio.get_running_loop().sock_recv(client, 999)
@@ -356,7 +358,7 @@
     async def test():
         async with World() as world:
             told = world.told
-            told.known = {"rev": 1, "all": True, "targets": world.rows}
+            told.known_endpoints = {"rev": 1, "all": True, "targets": world.rows}
             world.discovery.silent = True
             waits = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
             client = plain(waits.listener.getsockname())
@@ -438,10 +440,10 @@
             assert (await world.ask())[0] == 200  # a kept connection waits
             await asyncio.sleep(0.05)
             client = plain(world.listen)
-            await world.until(lambda: world.owner.clients.server.fresh)
+            await world.until(lambda: world.owner.clients.server.unused)
             client.send(request(1))
             client.close()
-            await world.until(lambda: not world.owner.clients.server.open)
+            await world.until(lambda: not world.owner.clients.server.all_connections)
             await asyncio.sleep(0.05)
             assert len(world.backends[0].seen) == 1
 
@@ -471,14 +473,14 @@
     said, effect, monkeypatch
 ):
     """Nothing was written, so the delivery goes on another connection: what may not be repeated, too."""
-    chosen, acts = Answers.set_response_params, []
+    chosen, acts = ResponseReader.set_response_params, []
 
     def choose(answers, **more):
         chosen(answers, **more)
         while acts:
             acts.pop()()
 
-    monkeypatch.setattr(Answers, "set_response_params", choose)
+    monkeypatch.setattr(ResponseReader, "set_response_params", choose)
 
     async def test():
         async with World(classes__0__effect=effect) as world:
@@ -494,7 +496,7 @@
             target = owner.backends["s0"]
             owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
             ended = await sent.get()
-            assert ended.result is Result.SUCCEEDED and ended.answer[0] == b"fine"
+            assert ended.result is Result.SUCCEEDED and ended.response[0] == b"fine"
             assert len(backend.seen) == 2 and counters["kept_connections_stale"] > stale
 
     run(test())
@@ -634,9 +636,11 @@
             owner.backend_client.queue = sent
             owner.backend_client.deliver(delivery(owner, owner.backends["s0"]), asked_for(owner, "c1"))
             ended = await sent.get()
-            assert ended.result is Result.SUCCEEDED and ended.answer[0] == b"fine"
+            assert ended.result is Result.SUCCEEDED and ended.response[0] == b"fine"
             assert counters["answers_early"] == early + 1 and counters["answers_doubtful"] == doubtful
-            assert ended.took < REUSE_DELAY_S * 1e6 / 2  # the time told is the backend's, without the doubt
+            assert (
+                ended.duration < REUSE_DELAY_S * 1e6 / 2
+            )  # the time told is the backend's, without the doubt
 
     run(test())
 
@@ -785,12 +789,12 @@
             waits = socket.create_server(("127.0.0.1", 0))
             ends = [plain(waits.getsockname()), await connect(*world.listen)]
             spoken_for = plain(world.listen)
-            await world.owner.clients.adopt(waits.accept()[0], HeldConnection(spoken_for))
+            await world.owner.clients.serve_connection(waits.accept()[0], HeldConnection(spoken_for))
             assert (await world.ask(on=ends[1]))[0] == 200
-            for handler in world.owner.clients.server.open:
+            for handler in world.owner.clients.server.all_connections:
                 connection = handler.transport.get_extra_info("socket")
                 assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-            assert len(world.owner.clients.server.open) >= 2
+            assert len(world.owner.clients.server.all_connections) >= 2
             for end in (waits, ends[0], spoken_for):
                 end.close()
 
@@ -811,7 +815,7 @@
             client.send(request(1))
             # Idle again: it is so before its request is read, too.
             await world.until(lambda: world.backends[0].seen and server.idle)
-            server.hang_up(next(iter(server.open)))
+            server.close_gracefully(next(iter(server.all_connections)))
             client.send(request(2))  # crosses it
             await asyncio.sleep(0.1)
             said = await answer(client)
@@ -850,35 +854,35 @@
     async def test():
         async with World() as world:
             client, clients_, server = plain(world.listen), world.owner.clients, world.owner.clients.server
-            await world.until(lambda: server.open)
-            server.hang_up(next(iter(server.open)))
+            await world.until(lambda: server.all_connections)
+            server.close_gracefully(next(iter(server.all_connections)))
             assert clients_.sockets.half_closed_clients == 1
-            await world.until(lambda: not server.open, 2)
+            await world.until(lambda: not server.all_connections, 2)
             assert clients_.sockets.half_closed_clients == clients_.sockets.client_connections == 0
             client.close()
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["make_room", "end_silent", "hang_up"])
+@pytest.mark.parametrize("how", ["make_room", "close_inactive", "close_gracefully"])
 def test_a_connection_whose_request_lies_unread_is_not_the_one_that_ends(how, monkeypatch):
     async def test():
         async with World() as world:
             server = world.owner.clients.server
             ones = [plain(world.listen) for _ in range(2)]
-            await world.until(lambda: len(server.fresh) == 2)
-            for handler in server.fresh:
-                handler.since -= 60
-            asks = next(c for c in ones if c.getsockname() == next(iter(server.fresh)).peername)
+            await world.until(lambda: len(server.unused) == 2)
+            for handler in server.unused:
+                handler.inactive_since -= 60
+            asks = next(c for c in ones if c.getsockname() == next(iter(server.unused)).peername)
             asks.send(request(1))
-            if how == "hang_up":
-                server.hang_up(next(iter(server.fresh)))
+            if how == "close_gracefully":
+                server.close_gracefully(next(iter(server.unused)))
             else:
                 getattr(server, how)()
             said = await asyncio.get_running_loop().sock_recv(asks, 999)
             assert b" 200 " in said and len(world.backends[0].seen) == 1
             other = next(c for c in ones if c is not asks)
-            if how != "hang_up":
+            if how != "close_gracefully":
                 assert await answer(other) == b""
             for each in ones:
                 each.close()
@@ -886,7 +890,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["make_room", "end_silent", "hang_up"])
+@pytest.mark.parametrize("how", ["make_room", "close_inactive", "close_gracefully"])
 def test_a_connection_whose_request_was_read_and_has_no_handler_yet_is_not_the_one_that_ends(how):
     async def test():
         async with World() as world:
@@ -894,8 +898,12 @@
             made = server.request_factory
 
             def make(message, payload, handler, *more):
-                handler.since -= 60
-                act = partial(server.hang_up, handler) if how == "hang_up" else getattr(server, how)
+                handler.inactive_since -= 60
+                act = (
+                    partial(server.close_gracefully, handler)
+                    if how == "close_gracefully"
+                    else getattr(server, how)
+                )
                 asyncio.get_running_loop().call_soon(act)  # before its handler's first turn
                 return made(message, payload, handler, *more)
 
@@ -919,11 +927,11 @@
             await world.until(lambda: server.busy)
             handler = next(iter(server.busy))
             for _ in range(5):
-                server.hang_up(handler)
+                server.close_gracefully(handler)
                 await asyncio.sleep(0.02)
-            server.answered(handler)  # it is idle for a moment, and asks again
-            server.hang_up(handler) if not handler.asked() else None
-            server.asks(handler)
+            server.request_finished(handler)  # it is idle for a moment, and asks again
+            server.close_gracefully(handler) if not handler.has_open_request() else None
+            server.request_started(handler)
             world.backends[0].writers and at_once(
                 next(iter(world.backends[0].writers)), lambda c: c.shutdown(socket.SHUT_RDWR)
             )
@@ -947,7 +955,7 @@
             await asyncio.sleep(0.02)
             held.read(time.monotonic_ns())
             client.send(whole[40:] if part is None else whole[len(part) :])
-            await world.owner.clients.adopt(held.socket, held)
+            await world.owner.clients.serve_connection(held.socket, held)
             assert b" 200 " in await asyncio.get_running_loop().sock_recv(client, 999)
             client.close()
             waits.close()
@@ -961,7 +969,7 @@
         client, loop = plain(waits.listener.getsockname()), asyncio.get_running_loop()
         client.send(request(1, wait="0.2"))
         async with asyncio.timeout(2):
-            while not waits.refused:
+            while not waits.rejected_count:
                 await asyncio.sleep(0.005)
         for _ in range(4):
             await loop.sock_sendall(client, bytes(1 << 14))
@@ -969,7 +977,7 @@
         assert (await answer(client)).startswith(b"HTTP/1.1 503 ")
         client.close()
         async with asyncio.timeout(2):
-            while waits.ending:
+            while waits.closing:
                 await asyncio.sleep(0.005)
         listener, held = waits.hand_over()
         listener.close()
@@ -1004,7 +1012,7 @@
     async def test():
         async with World() as world:
             server, rests = world.owner.clients.server, plain(world.listen)
-            await world.until(lambda: server.open)
+            await world.until(lambda: server.all_connections)
             drained = asyncio.create_task(world.owner.clients.drain(0))
             await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
             rests.send(request(1))
@@ -1020,7 +1028,7 @@
 
     async def test():
         async with World() as world:
-            world.owner.clients.longest = 0.2
+            world.owner.clients.max_duration_s = 0.2
             world.backends[0].play = ["hang"]
             client = plain(world.listen)
             client.send(request(1, wait="60"))
@@ -1047,7 +1055,7 @@
             client.send(request(1, wait="1"))
             await world.until(lambda: server.busy)
             sockets.max_descriptors = 8  # as SIGHUP sets it
-            await world.until(lambda: len(server.open) <= 4, 4)
+            await world.until(lambda: len(server.all_connections) <= 4, 4)
             assert server.busy
             client.close()
             for on in idle:
@@ -1245,7 +1253,7 @@
                 world.told,
                 listen=(world.listen[0], 0),
                 seed=n,
-                sockets=1 << 16,
+                max_descriptors=1 << 16,
                 settings={**world.told.settings, "gateway": n},
             )
             for n in range(1, number)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,7 +27,7 @@
 from kestrelbend.gateway.net.requests import Request
 from kestrelbend.gateway.net.gateway import reload, start
 from kestrelbend.gateway.net.accept_queue import AcceptQueue, HeldConnection
-from kestrelbend.gateway.net.events import AlarmDue, CounterReplied, RequestTaken
+from kestrelbend.gateway.net.events import TimerDue, CounterReplied, RequestTaken
 from kestrelbend.gateway.net.endpoint_discovery import parse_endpoint_list
 from kestrelbend.gateway.net.metrics import counters
 
@@ -245,8 +245,8 @@
             stalled = world.owner.clock()
             await world.until(lambda: len(world.owner.requests) == 2)
             assert max(inv.arrived_at for inv in world.owner.requests) < stalled - 150_000
-            world.owner.alarm_lateness, world.owner.gateway.now = 0, world.owner.clock()
-            world.owner.on_alarm_due(AlarmDue(Task(None), world.owner.gateway.now - 80_000))
+            world.owner.timer_lateness, world.owner.gateway.now = 0, world.owner.clock()
+            world.owner.on_timer_due(TimerDue(Task(None), world.owner.gateway.now - 80_000))
             request = asked_for(world.owner, "c3")
             world.owner.on_request_taken(RequestTaken(request))
             assert request.inv.deadline - request.inv.arrived_at == 920_000
@@ -355,7 +355,9 @@
                 }
             )
             listen = reserve_address()
-            owner, serving = await start(replace(told, listen=listen, known=known, settings=settings))
+            owner, serving = await start(
+                replace(told, listen=listen, known_endpoints=known, settings=settings)
+            )
             owner.gateway.context.started_at = (
                 owner.clock() + 100_000
             )  # its start took a while; none was dealt since
@@ -476,7 +478,7 @@
 
 
 def test_connections_that_never_ask_or_never_finish_end_soon(monkeypatch):
-    monkeypatch.setattr(connections, "QUIET_S", 0.2)
+    monkeypatch.setattr(connections, "IDLE_TIMEOUT_S", 0.2)
 
     async def test():
         async with World() as world:
@@ -500,7 +502,7 @@
             ):
                 writer.write(part)
                 await asyncio.sleep(0.02)
-                world.owner.clients.server.end_silent()
+                world.owner.clients.server.close_inactive()
             assert b" 200 " in await asyncio.wait_for(reader.readuntil(b"fine"), 1)
             kept[1].write(b"GET ")
             assert b" 408 " in await asyncio.wait_for(kept[0].read(), 1)
@@ -633,13 +635,15 @@
         async with World() as world:
             on, server = await connect(*world.listen), world.owner.clients.server
             assert (await world.ask(on=on))[0] == 200
-            server.hang_up(next(iter(server.open)))
+            server.close_gracefully(next(iter(server.all_connections)))
             with pytest.raises(asyncio.IncompleteReadError) as seen:
                 await world.ask(on=on)
             assert seen.value.partial == b"" and len(world.backends[0].seen) == 1
             assert counters["bytes_after_the_shutdown"]
             on[1].close()
-            await world.until(lambda: not server.open and not world.owner.clients.sockets.half_closed_clients)
+            await world.until(
+                lambda: not server.all_connections and not world.owner.clients.sockets.half_closed_clients
+            )
 
     run(test())
 
@@ -649,7 +653,7 @@
         async with World() as world:
             peer, target = world.owner.backend_client, world.owner.backends["s0"]
             on = await connect(*world.listen)
-            await world.until(lambda: world.owner.clients.server.open)
+            await world.until(lambda: world.owner.clients.server.all_connections)
             allowed, peer.descriptor_limits.max_descriptors = peer.descriptor_limits.max_descriptors, 40
             held, peer.descriptor_limits.open_descriptors = (
                 peer.descriptor_limits.open_descriptors,
@@ -767,7 +771,7 @@
         held = HeldConnection(server.accept()[0])
         client.sendall(b"GET /")
         time.sleep(0.2)
-        assert held.read(time.monotonic_ns()) and 0.15e9 < time.monotonic_ns() - held.came < 2e9
+        assert held.read(time.monotonic_ns()) and 0.15e9 < time.monotonic_ns() - held.received_at < 2e9
         held.socket.close()
 
 
@@ -791,9 +795,9 @@
         await asyncio.sleep(0.1)
         listener, held = accept_queue.hand_over()
         left, _ = listener.accept()
-        assert len(held) == 64 and accept_queue.refused == 1
+        assert len(held) == 64 and accept_queue.rejected_count == 1
         assert [bytes(h.data[:5]) for h in held[:4]] == [b"GET /"] * 3 + [b"aaaaa"]
-        assert all(h.came < before for h in held[:4]) and len(held[3].data) <= 2 << 14
+        assert all(h.received_at < before for h in held[:4]) and len(held[3].data) <= 2 << 14
         for each in (*on, *more, refused):
             each[1].close()
         for each in (left, listener, *(connection.socket for connection in held)):
@@ -806,8 +810,8 @@
 def test_what_waited_while_the_gateway_was_loading_counts_from_then(most, monkeypatch):
     """Seen on the whole fleet's herd day: the accept queue's thread got no turn while others loaded, requests
     waited unread for 0.4 s, the machine told no age, and an end as much later left one without its answer."""
-    monkeypatch.setattr(accept_queue, "age", lambda _: 0)
-    monkeypatch.setattr(clients, "age", lambda _: 0)
+    monkeypatch.setattr(accept_queue, "microseconds_since_last_data", lambda _: 0)
+    monkeypatch.setattr(clients, "microseconds_since_last_data", lambda _: 0)
     monkeypatch.setattr(accept_queue, "MAX_HELD", most)
     # It gets no turn.
     monkeypatch.setattr(AcceptQueue, "serve", lambda self: select.select([self.wake_read], [], []))
@@ -835,15 +839,15 @@
             )
             await server.start(None, waits)
             taken = [(await queue.get()).request for _ in on]
-            assert all(request.came <= before + 100_000 for request in taken)
+            assert all(request.received_at <= before + 100_000 for request in taken)
             for n, connection in ((7, None), (8, silent)):
                 after = world.owner.clock()
                 await ask(n, connection)
-                assert (await queue.get()).request.came >= after
+                assert (await queue.get()).request.received_at >= after
             for each in on:
                 each[1].close()
             server.accepting.cancel()
-            server.looking.cancel()
+            server.inspecting.cancel()
             server.listener.close()
 
     run(test())
@@ -894,11 +898,11 @@
         async with World() as world:
             told = replace(world.told)
             others = {"listen": ("127.0.0.1", 9), "logs": ("json", "debug"), "authorisers": ("another",)}
-            told.again = lambda: replace(world.told, **others)
+            told.reread = lambda: replace(world.told, **others)
             with caplog.at_level(logging.WARNING):
                 reload(told, world.owner)
                 named = [record.key for record in caplog.records]
-                told.again = lambda: world.told
+                told.reread = lambda: world.told
                 reload(told, world.owner)
             assert named == [record.key for record in caplog.records] == ["listen", "logs", "authorisers"]
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from kestrelbend.gateway.interface import Result, EndpointState
-from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, platform_news
+from kestrelbend.gateway.net.configuration import UsageExchangeAddresses, read_platform_usage_exchange
 from kestrelbend.gateway.net.events import UsagePeriodDue
 from kestrelbend.gateway.net.usage_exchange import UsageExchangePeer
 from kestrelbend.gateway.usage_sharing import messages
@@ -242,10 +242,10 @@
         "peers": ["10.3.0.1:7946"],
         "peers_all": "10.3.255.1:7946",
     }
-    assert platform_news({}, given_).peers == [("10.3.0.1", 7946)]
-    assert platform_news({"KESTRELBEND_NEWS": "off"}, given_) is None
+    assert read_platform_usage_exchange({}, given_).peers == [("10.3.0.1", 7946)]
+    assert read_platform_usage_exchange({"KESTRELBEND_NEWS": "off"}, given_) is None
     given_["settings"]["policyLimits"]["peers"] = False
-    assert platform_news({}, given_) is None
+    assert read_platform_usage_exchange({}, given_) is None
 
 
 def test_an_announcement_that_comes_late_does_not_replace_a_later_one():
