--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -88,12 +88,12 @@
 
 def _valid_sections(values: dict[str, Any]) -> dict[str, Any]:
     """Returns the sections to check against each other, without routes that have schema errors."""
-    parts = {section: items for section, items in values.items() if isinstance(items, list)}
-    routes = parts.get("Routes", [])
-    parts["Routes"] = [route for route in routes if not any(schemas.ROUTE.validation_errors(route))]
-    if "Services" not in parts:
-        parts.update(Routes=[], Services=[])
-    return parts
+    sections = {section: items for section, items in values.items() if isinstance(items, list)}
+    routes = sections.get("Routes", [])
+    sections["Routes"] = [route for route in routes if not any(schemas.ROUTE.validation_errors(route))]
+    if "Services" not in sections:
+        sections.update(Routes=[], Services=[])
+    return sections
 
 
 def _cross_reference_errors(values: dict[str, Any]) -> Iterator[DocumentRejection]:
@@ -122,16 +122,16 @@
 
 def _route_errors(routes: list[dict[str, Any]], services: set[str | None]) -> Iterator[DocumentRejection]:
     """Yields rejections for routes with the same host and prefix, and for routes with invalid targets."""
-    claimed: set[tuple[str, str]] = set()
+    used: set[tuple[str, str]] = set()
     for route in routes:
         host_and_prefix = (normalize_host(route["Hostname"]), route["PathPrefix"])
-        if host_and_prefix in claimed:
+        if host_and_prefix in used:
             name = abbreviated(route["Name"])
             yield DocumentRejection(
                 RejectionCode.SAME_HOST_AND_PREFIX,
                 f"route {name}: another route has the same host and prefix",
             )
-        claimed.add(host_and_prefix)
+        used.add(host_and_prefix)
         yield from _target_errors(route, services)
 
 
@@ -140,17 +140,17 @@
     name = abbreviated(route["Name"])
     split = route.get("Split")
     upstream = route.get("Upstream")
-    named = [target["Upstream"] for target in split or ()]
+    service_names = [target["Upstream"] for target in split or ()]
     if upstream is not None:
-        named.append(upstream)
-    for service in named:
+        service_names.append(upstream)
+    for service in service_names:
         if service not in services:
             yield DocumentRejection(
                 RejectionCode.UNKNOWN_SERVICE, f"route {name}: service {abbreviated(service)} is unknown"
             )
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
         yield DocumentRejection(RejectionCode.NO_WEIGHT, f"route {name}: its weights add up to 0")
-    if not named:
+    if not service_names:
         yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: has no service")
 
 
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -37,7 +37,7 @@
 
 MAX_ORDER_BYTES = 8 * 1024 * 1024
 MAX_REPORT_BYTES = 64 * 1024
-MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # read and discarded of a body that is too large; the rest is not read
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024  # of a body that is too large; beyond this limit, reading stops
 MAX_NAME = 256  # characters
 BODY_TIMEOUT_S = 20.0
 RETRY_AFTER_S = "0.2"
--- a/kestrelbend/tier/configuration/rejections.py
+++ b/kestrelbend/tier/configuration/rejections.py
@@ -26,7 +26,7 @@
     """The information that a rejection is based on, which determines the nodes that may return it."""
 
     CALL = "the call's own bytes: any node may return it, with or without contact to the owner"
-    OWNER = "the state of an owner that a majority confirmed after the call was received"
+    OWNER = "the applied state of an owner that a majority confirmed after the call was received"
     ENTRY = "the committed log entry of the order, as every replica applies it"
 
 
@@ -55,7 +55,10 @@
         Rejection(call, INVALID, _CALL, "the base version is missing or not an integer")
         for call in _ORDER_CALLS
     ),
-    *(Rejection(call, INVALID, _OWNER_OR_ENTRY, "invalid on every version") for call in _ORDER_CALLS),
+    *(
+        Rejection(call, INVALID, _OWNER_OR_ENTRY, "the order is invalid, so it cannot produce a version")
+        for call in _ORDER_CALLS
+    ),
     *(
         Rejection(
             call,
--- a/kestrelbend/tier/configuration/stores.py
+++ b/kestrelbend/tier/configuration/stores.py
@@ -50,7 +50,7 @@
     shard: str
     epoch: int  # of the owner that reported it
     group: tuple[str, ...]  # the replicas that are voters of the group
-    number: int  # of the placement that the group was moved to by its owner
+    number: int  # of the placement that the owner moved the group to
 
 
 def encode_disk(disk: DiskRecord) -> bytes:
