--- a/benchmarks/behaviour_digest.py
+++ b/benchmarks/behaviour_digest.py
@@ -177,8 +177,8 @@
     def add_turns() -> None:
         for turn in turns:
             values = [getattr(turn, field.name) for field in attrs.fields(programs.Turn)]
-            outcome = [value for value in values if _is_plain(value)]
-            digest.add_at_end("turn", *outcome)
+            turn_values = [value for value in values if _is_plain(value)]
+            digest.add_at_end("turn", *turn_values)
 
     programs.Turn.__init__ = recorded_init
     return add_turns
@@ -244,14 +244,14 @@
 def compare(lines: Iterable[str], recorded: Iterable[str]) -> list[str]:
     """Returns the lines that differ from the recorded ones or have no recorded one."""
     expected = {_key(line): line for line in recorded if line.strip()}
-    differences = []
+    mismatches = []
     for line in lines:
         recorded_line = expected.get(_key(line))
         if recorded_line is None:
-            differences.append(f"not recorded: {line}")
+            mismatches.append(f"not recorded: {line}")
         elif recorded_line != line:
-            differences.append(f"recorded: {recorded_line}\n  played: {line}")
-    return differences
+            mismatches.append(f"recorded: {recorded_line}\n  played: {line}")
+    return mismatches
 
 
 def _key(line: str) -> tuple[str, ...]:
--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -1,8 +1,9 @@
-"""External authorisation, measured side by side on one machine, real processes on loopback.
+"""Benchmarks of external authorisation, with real processes on the loopback interface of one machine.
 
-python benchmarks/checks.py answering      checks a second of CPU, latency; beside one that allows all
-python benchmarks/checks.py open           memory and descriptors with 1, 100 and 5,000 calls open
-python benchmarks/checks.py frozen         an authoriser frozen for 10 s, with and without its breaker
+python benchmarks/checks.py answering      checks per second of CPU and latency, of the gateway and of a
+                                           service that allows all
+python benchmarks/checks.py open           memory and descriptors with 1, 100 and 5,000 open calls
+python benchmarks/checks.py frozen         an authoriser that hangs for 10 s, with and without circuit breaker
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 from kestrelbend.lab.grpc_stands import StandAuthoriser, StandProxy  # noqa: E402
 
-GATEWAY = """
+GATEWAY_SETTINGS = """
 name = "bench"
 listen = "127.0.0.1:{http}"
 discovery = "127.0.0.1:{discovery}"
@@ -43,7 +44,7 @@
 rate = 100000
 burst = 100000
 """
-CHECKS = """
+CHECK_SETTINGS = """
 [checks]
 listen = "127.0.0.1:{checks}"
 upstream = true
@@ -55,18 +56,18 @@
 """
 
 
-def free_port():
+def find_free_port():
     import socket
 
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        return free.getsockname()[1]
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return sock.getsockname()[1]
 
 
 class Gateway:
-    def __init__(self, more="", timeout="3s", **ports):
-        self.ports = {"http": free_port(), "checks": free_port(), "discovery": 1, **ports}
-        text = (GATEWAY + more).format(timeout=timeout, **self.ports)
+    def __init__(self, extra_settings="", timeout="3s", **ports):
+        self.ports = {"http": find_free_port(), "checks": find_free_port(), "discovery": 1, **ports}
+        text = (GATEWAY_SETTINGS + extra_settings).format(timeout=timeout, **self.ports)
         self.file = Path(tempfile.mkdtemp()) / "gateway.toml"
         self.file.write_text(text)
 
@@ -82,21 +83,21 @@
         self.process.kill()
         self.process.wait()
 
-    def status(self, name):
+    def memory_mb(self, name):
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith(name):
                 return int(line.split()[1]) / 1024
         return 0.0
 
-    def cpu(self):
+    def cpu_seconds(self):
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def descriptors(self):
+    def descriptor_count(self):
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
-async def ready(proxy):
+async def wait_until_ready(proxy):
     for _ in range(200):
         try:
             return await proxy.ask("/op", x_customer="first", timeout=1.0)
@@ -105,22 +106,22 @@
     raise TimeoutError
 
 
-async def drive(proxy, seconds, workers):
-    """(answers, latencies) of so many callers one call after the other."""
-    latencies, end, count = HdrHistogram(1, 60_000_000, 3), time.monotonic() + seconds, [0]
+async def run_callers(proxy, seconds, callers):
+    """Runs concurrent callers, each with one call at a time; returns (count of responses, latencies)."""
+    latencies, deadline, count = HdrHistogram(1, 60_000_000, 3), time.monotonic() + seconds, [0]
 
     async def caller(n):
-        while time.monotonic() < end:
-            began = time.monotonic_ns()
+        while time.monotonic() < deadline:
+            started_at = time.monotonic_ns()
             await proxy.ask("/op", x_customer=f"{n}-{count[0]}", timeout=10.0)
-            latencies.record_value(max(1, (time.monotonic_ns() - began) // 1000))
+            latencies.record_value(max(1, (time.monotonic_ns() - started_at) // 1000))
             count[0] += 1
 
-    await asyncio.gather(*(caller(n) for n in range(workers)))
+    await asyncio.gather(*(caller(n) for n in range(callers)))
     return count[0], latencies
 
 
-ALLOWS_ALL = """
+ALLOW_ALL_SERVICE = """
 import asyncio, sys
 sys.path.insert(0, {root!r})
 import grpc, uvloop
@@ -138,62 +139,74 @@
 """
 
 
-def answering(seconds: float = 8.0, workers: int = 32):
-    async def measure(name, port, cpu):
+def measure_throughput(seconds: float = 8.0, max_callers: int = 32):
+    async def measure(name, port, cpu_seconds):
         proxy = StandProxy(port)
-        await ready(proxy)
-        for callers in (1, workers):
-            began = cpu()
-            count, latencies = await drive(proxy, seconds, callers)
-            spent = cpu() - began
-            median, high = (latencies.get_value_at_percentile(q) / 1000 for q in (50, 99))
+        await wait_until_ready(proxy)
+        for callers in (1, max_callers):
+            cpu_before = cpu_seconds()
+            count, latencies = await run_callers(proxy, seconds, callers)
+            cpu_used = cpu_seconds() - cpu_before
+            median, percentile_99 = (latencies.get_value_at_percentile(q) / 1000 for q in (50, 99))
             print(
-                f"{name}, {callers} callers: {count / seconds:.0f} checks a second, "
-                f"{count / spent:.0f} a second of CPU, median {median:.2f} ms, 99th {high:.2f} ms"
+                f"{name}, {callers} callers: {count / seconds:.0f} checks per second, "
+                f"{count / cpu_used:.0f} per CPU second, median {median:.2f} ms, 99th {percentile_99:.2f} ms"
             )
         await proxy.close()
 
-    with Gateway(CHECKS, settle=0.02) as gateway:
-        uvloop.run(measure("gateway", gateway.ports["checks"], gateway.cpu))
-    port = free_port()
+    with Gateway(CHECK_SETTINGS, settle=0.02) as gateway:
+        uvloop.run(measure("gateway", gateway.ports["checks"], gateway.cpu_seconds))
+    port = find_free_port()
     plain = Gateway()
     plain.process = subprocess.Popen(
-        [sys.executable, "-O", "-c", ALLOWS_ALL.format(root=str(Path(__file__).parent.parent), port=port)]
+        [
+            sys.executable,
+            "-O",
+            "-c",
+            ALLOW_ALL_SERVICE.format(root=str(Path(__file__).parent.parent), port=port),
+        ]
     )
     try:
-        uvloop.run(measure("allows all", port, plain.cpu))
+        uvloop.run(measure("allows all", port, plain.cpu_seconds))
     finally:
         plain.process.kill()
         plain.process.wait()
 
 
-def opened():
-    """Checks that wait: the gateway has no room for them."""
+def measure_open_calls():
+    """Measures the gateway with more open checks than it may admit, so that they wait."""
 
     async def measure(gateway):
         proxy = StandProxy(gateway.ports["checks"])
-        await ready(proxy)
+        await wait_until_ready(proxy)
         for count in (1, 100, 5000):
-            # What was let in is out until its time; those after it wait for a place as long as they may.
+            # An admitted call holds its place until `settle` has passed; later calls wait for a place
+            # until their timeout.
             calls = [proxy.ask("/op", x_customer=f"{n}", timeout=20.0) for n in range(count)]
-            most, held = 0.0, 0
+            max_memory, max_descriptors = 0.0, 0
             tasks = asyncio.gather(*calls)
             while not tasks.done():
-                most, held = max(most, gateway.status("VmRSS")), max(held, gateway.descriptors())
+                max_memory, max_descriptors = (
+                    max(max_memory, gateway.memory_mb("VmRSS")),
+                    max(max_descriptors, gateway.descriptor_count()),
+                )
                 await asyncio.sleep(0.02)
-            answers = [r.denied_response.status.code or 200 for r in await tasks]
-            print(f"{count} calls open: {most:.1f} MB, {held} descriptors, {answers.count(200)} let in")
+            statuses = [r.denied_response.status.code or 200 for r in await tasks]
+            print(
+                f"{count} calls open: {max_memory:.1f} MB, {max_descriptors} descriptors, "
+                f"{statuses.count(200)} admitted"
+            )
         await proxy.close()
 
-    with Gateway(CHECKS, settle=0.5) as gateway:
+    with Gateway(CHECK_SETTINGS, settle=0.5) as gateway:
         uvloop.run(measure(gateway))
     with Gateway() as gateway:
         time.sleep(1.5)
-        print(f"front off: {gateway.status('VmRSS'):.1f} MB, {gateway.descriptors()} descriptors")
+        print(f"checks off: {gateway.memory_mb('VmRSS'):.1f} MB, {gateway.descriptor_count()} descriptors")
 
 
-def frozen(rate: float = 100.0):
-    """Thirty seconds of clients at a gateway whose authoriser stands still from 10 s to 20 s."""
+def measure_frozen_authoriser(rate: float = 100.0):
+    """Sends requests for 30 s through a gateway whose authoriser hangs from 10 s to 20 s."""
     from aiohttp import ClientSession, web
 
     from kestrelbend.gateway.external_authorization import authoriser
@@ -235,12 +248,14 @@
         from kestrelbend.gateway.net.configuration import GatewayConfiguration
         from kestrelbend.gateway.net.gateway import start
 
-        http = free_port()
-        stated = parse_toml(GATEWAY.format(http=http, discovery=port, timeout="3s"), Installation)
-        told = GatewayConfiguration(
-            "bench", ("127.0.0.1", http), f"127.0.0.1:{port}", None, 7, 4000, None, stated.settings()
+        http = find_free_port()
+        installation = parse_toml(
+            GATEWAY_SETTINGS.format(http=http, discovery=port, timeout="3s"), Installation
+        )
+        configuration = GatewayConfiguration(
+            "bench", ("127.0.0.1", http), f"127.0.0.1:{port}", None, 7, 4000, None, installation.settings()
         )
-        owner, serving = await start(told)
+        owner, serving = await start(configuration)
         owner.authorisers = Authorisers(
             [
                 authoriser.AuthoriserSettings(
@@ -251,33 +266,33 @@
             owner.clock,
         )
         await asyncio.sleep(0.5)
-        good, late, other, began = [0] * 3, [0] * 3, [0] * 3, time.monotonic()
-        took = [HdrHistogram(1, 60_000_000, 3) for _ in range(3)]
+        in_time, late, refused, started_at = [0] * 3, [0] * 3, [0] * 3, time.monotonic()
+        latencies = [HdrHistogram(1, 60_000_000, 3) for _ in range(3)]
         async with ClientSession() as session:
 
-            async def one(n):
-                third, sent = min(2, int((time.monotonic() - began) / 10)), time.monotonic()
+            async def send_request(n):
+                phase, sent_at = min(2, int((time.monotonic() - started_at) / 10)), time.monotonic()
                 async with session.get(
                     f"http://127.0.0.1:{http}/op/{n % 500:016x}",
                     headers={"X-Request-ID": str(n), "Api-Plan": "plan", "X-Timeout": "3"},
-                ) as answer:
-                    await answer.read()
-                spent = time.monotonic() - sent
-                took[third].record_value(max(1, int(spent * 1e6)))
-                (other if answer.status != 200 else late if spent > 1 else good)[third] += 1
+                ) as response:
+                    await response.read()
+                duration = time.monotonic() - sent_at
+                latencies[phase].record_value(max(1, int(duration * 1e6)))
+                (refused if response.status != 200 else late if duration > 1 else in_time)[phase] += 1
 
             tasks = []
             for n in range(int(30 * rate)):
-                await asyncio.sleep(max(0.0, began + n / rate - time.monotonic()))
-                stand.usual = "stall" if 10 <= time.monotonic() - began < 20 else "allow"
-                tasks.append(asyncio.create_task(one(n)))
+                await asyncio.sleep(max(0.0, started_at + n / rate - time.monotonic()))
+                stand.usual = "stall" if 10 <= time.monotonic() - started_at < 20 else "allow"
+                tasks.append(asyncio.create_task(send_request(n)))
             await asyncio.gather(*tasks)
-        for third, text in enumerate(("before", "frozen", "after")):
-            whole = good[third] + late[third] + other[third]
-            median, high = (took[third].get_value_at_percentile(q) / 1000 for q in (50, 99))
+        for phase, phase_name in enumerate(("before", "frozen", "after")):
+            total = in_time[phase] + late[phase] + refused[phase]
+            median, percentile_99 = (latencies[phase].get_value_at_percentile(q) / 1000 for q in (50, 99))
             print(
-                f"{name}, {text}: served in time {good[third] / whole:.3f}, "
-                f"refused {other[third] / whole:.3f}, median {median:.1f} ms, 99th {high:.1f} ms"
+                f"{name}, {phase_name}: served in time {in_time[phase] / total:.3f}, "
+                f"refused {refused[phase] / total:.3f}, median {median:.1f} ms, 99th {percentile_99:.1f} ms"
             )
         serving.cancel()
         await owner.discovery.session.close()
@@ -288,13 +303,17 @@
         await stand.stop()
         await runner.cleanup()
 
-    uvloop.run(measure("with its breaker"))
+    uvloop.run(measure("with its circuit breaker"))
     authoriser.EVIDENCE_LIMIT = 1e9
-    uvloop.run(measure("without"))
+    uvloop.run(measure("without circuit breaker"))
 
 
 if __name__ == "__main__":
-    verbs = {"answering": answering, "open": opened, "frozen": frozen}
-    if len(sys.argv) != 2 or sys.argv[1] not in verbs:
+    commands = {
+        "answering": measure_throughput,
+        "open": measure_open_calls,
+        "frozen": measure_frozen_authoriser,
+    }
+    if len(sys.argv) != 2 or sys.argv[1] not in commands:
         sys.exit(__doc__)
-    verbs[sys.argv[1]]()
+    commands[sys.argv[1]]()
--- a/benchmarks/tier_stream.py
+++ b/benchmarks/tier_stream.py
@@ -1,7 +1,7 @@
-"""Processor time of one streamed request through the data plane: 4 KB in, nine events out.
+"""Measures the processor time of a streamed request through the data plane: 4 KB in, nine events out.
 
-A stand-in backend and a client run in processes of their own on the loopback; only the gateway's processor
-time is counted.  Prints milliseconds a request.
+A simulated backend and the clients run in separate processes on the loopback interface, so only the processor
+time of the gateway is counted.  Prints milliseconds per request.
 
     python -m benchmarks.tier_stream [REQUESTS] [CLIENTS] [--profile FILE]
 """
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen
-class Fixed:
+class StaticEnvironment:
     """Routing and backends that never change."""
 
     backends: tuple[Backend, ...]
@@ -91,8 +91,8 @@
         raise AssertionError(identity)
 
 
-class Admitting:
-    """A budget that admits everything."""
+class UnlimitedBudget:
+    """A budget that admits every request."""
 
     def reservation_name(self, request_id) -> str:
         return request_id
@@ -148,8 +148,8 @@
             f"Session: 77d20b\r\nFinish-Ms: 5200\r\nBudget: 2304\r\nContent-Length: {len(BODY)}\r\n\r\n"
         )
         writer.write(head.encode() + BODY)
-        answer = await reader.readuntil(b"0\r\n\r\n")
-        assert answer.startswith(b"HTTP/1.1 200") and answer.count(b"\nid: ") == EVENTS, answer
+        response = await reader.readuntil(b"0\r\n\r\n")
+        assert response.startswith(b"HTTP/1.1 200") and response.count(b"\nid: ") == EVENTS, response
     writer.close()
 
 
@@ -168,17 +168,19 @@
 
 async def _serve(port: int, backend_port: int, clients: multiprocessing.Process) -> None:
     backend = Backend("i-1", "models", f"127.0.0.1:{backend_port}", "a", "v1", 64, 0, 0, 1)
-    fixed = Fixed((backend,))
+    environment = StaticEnvironment((backend,))
     lifecycle = Lifecycle()
     lifecycle.set_ready(True)
-    plane = build_data_plane(Dependencies(fixed, fixed, Admitting(), TcpNetwork(), "a"), lifecycle)
+    plane = build_data_plane(
+        Dependencies(environment, environment, UnlimitedBudget(), TcpNetwork(), "a"), lifecycle
+    )
 
-    async def done() -> None:
+    async def run_load() -> None:
         await asyncio.sleep(0.3)
         clients.start()
         await asyncio.to_thread(clients.join)
 
-    await serve_all([Listener(plane, f"127.0.0.1:{port}", done)])
+    await serve_all([Listener(plane, f"127.0.0.1:{port}", run_load)])
 
 
 def main() -> None:
@@ -190,18 +192,18 @@
     backend.start()
     load = multiprocessing.Process(target=_run_clients, args=(port, clients, requests), daemon=True)
     profile = cProfile.Profile() if "--profile" in sys.argv else None
-    begun = time.process_time()
+    started_at = time.process_time()
     if profile:
         profile.enable()
     asyncio.run(_serve(port, backend_port, load))
     if profile:
         profile.disable()
         profile.dump_stats(arguments[2])
-    used = time.process_time() - begun
+    cpu_seconds = time.process_time() - started_at
     backend.kill()
     if load.exitcode != 0:
-        raise SystemExit("the clients failed")
-    print(f"{used / requests * 1000:.3f} ms of processor time a request ({requests} requests)")
+        raise SystemExit("the client process failed")
+    print(f"{cpu_seconds / requests * 1000:.3f} ms of processor time per request ({requests} requests)")
 
 
 if __name__ == "__main__":
--- a/tools/prove_packages.py
+++ b/tools/prove_packages.py
@@ -41,16 +41,16 @@
 
 def is_installed(package: str) -> bool:
     """Returns whether dpkg lists the package as installed."""
-    command = ["dpkg-query", "-W", "-f=${db:Status-Status}", package]
-    return subprocess.run(command, capture_output=True, text=True, check=False).stdout == "installed"
+    query = ["dpkg-query", "-W", "-f=${db:Status-Status}", package]
+    return subprocess.run(query, capture_output=True, text=True, check=False).stdout == "installed"
 
 
 def dependencies_of(package: str) -> list[str]:
     """Returns the direct dependencies of a package; of alternatives, the first that is installed."""
-    command = ["dpkg-query", "-W", "-f=${Pre-Depends}, ${Depends}", package]
-    output = subprocess.run(command, capture_output=True, text=True, check=True).stdout
+    query = ["dpkg-query", "-W", "-f=${Pre-Depends}, ${Depends}", package]
+    declared = subprocess.run(query, capture_output=True, text=True, check=True).stdout
     found = []
-    for clause in filter(None, (part.strip() for part in output.split(","))):
+    for clause in filter(None, (part.strip() for part in declared.split(","))):
         names = [alternative.split("(")[0].split(":")[0].strip() for alternative in clause.split("|")]
         found += [name for name in names if is_installed(name)][:1]
     return found
@@ -85,10 +85,10 @@
                 link(libraries / path.name, path)
 
 
-def link(path: Path, target: Path) -> None:
+def link(link_path: Path, target: Path) -> None:
     """Creates a link, unless an earlier package already provided a file of that name."""
-    if not path.is_symlink():
-        path.symlink_to(target)
+    if not link_path.is_symlink():
+        link_path.symlink_to(target)
 
 
 def environment_of(folder: Path, **extra: str) -> dict[str, str]:
