--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The one model of what a gateway is told, from a TOML file and from the platform's words; the log lines."""
+"""Tests of a gateway's settings, from a TOML file and from the platform's JSON, and of its log lines."""
 
 import asyncio
 import json
@@ -24,15 +24,15 @@
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "gateway.toml"
 
 
-def faults(text):
+def fault_messages(text):
     with pytest.raises(toml_files.InvalidFile) as caught:
         toml_files.parse_toml(text, Installation, "gateway.toml")
     return str(caught.value).splitlines()
 
 
-def test_the_example_says_the_same_as_the_platforms_words():
-    stated = toml_files.read_toml(str(EXAMPLE), Installation)
-    given = {
+def test_example_file_gives_the_same_settings_as_the_platform_json():
+    file_settings = toml_files.read_toml(str(EXAMPLE), Installation)
+    platform_json = {
         "instances": 3,
         "index": 0,
         "myZone": "a",
@@ -75,20 +75,20 @@
         },
         "rules": {"cold": 10000, "coldFrom": 0.25, "drainGrace": 1000, "fall": 2000, "fallMultiple": 2.5},
     }
-    assert repr(platform.settings(dict(platform.flatten(given)))) == repr(stated.settings())
+    assert repr(platform.settings(dict(platform.flatten(platform_json)))) == repr(file_settings.settings())
 
 
-def test_what_cannot_be_used_is_a_typed_error_with_a_code():
-    for error, made, code in (
+def test_invalid_settings_raise_gateway_errors_with_codes():
+    for error, fail, code in (
         (toml_files.InvalidFile, lambda: toml_files.parse_toml("x", Installation), "settings.invalid_file"),
         (platform.Malformed, lambda: platform.settings({"tick": "soon"}), "settings.malformed"),
     ):
         with pytest.raises(error) as caught:
-            made()
+            fail()
         assert isinstance(caught.value, GatewayError) and caught.value.code == code
 
 
-def test_every_fault_is_said_at_once_with_its_line_and_the_nearest_name():
+def test_all_errors_of_a_file_are_reported_with_line_and_suggestion():
     text = EXAMPLE.read_text()
     for old, new in (
         ("most_open = 20000", "most_opne = 20000"),
@@ -101,8 +101,8 @@
     ):
         assert old in text
         text = text.replace(old, new, 1)
-    said, lines = faults(text), text.splitlines()
-    assert len(said) == 7
+    messages, lines = fault_messages(text), text.splitlines()
+    assert len(messages) == 7
     for key, part in (
         ("backends.most_opne", "did you mean 'most_open'"),
         ("counter.timeout", "its unit"),
@@ -112,14 +112,14 @@
         ("listen", "host:port"),
         ("fleet.gateways", "int"),
     ):
-        fault = next(line for line in said if f" {key}: " in line)
+        fault = next(line for line in messages if f" {key}: " in line)
         assert part in fault
         number = int(fault.split("line ")[1].split(":")[0])
         assert key.split(".")[-1] in lines[number - 1]
 
 
 @pytest.mark.parametrize(
-    "old, new, part",
+    "old, new, message_part",
     [
         ("number = 0 ", "number = 3 ", "numbered from 0"),
         ('name = "transfer"', 'name = "lookup"', "named twice"),
@@ -132,15 +132,15 @@
         ("[limits]", "[limits", "line 11"),
     ],
 )
-def test_what_does_not_fit_together_is_said(old, new, part):
+def test_contradictory_settings_are_reported(old, new, message_part):
     text = EXAMPLE.read_text()
     assert old in text
-    said = faults(text.replace(old, new, 1))
-    assert len(said) == 1 and part in said[0]
+    messages = fault_messages(text.replace(old, new, 1))
+    assert len(messages) == 1 and message_part in messages[0]
 
 
 @given(st.integers(0, 10**12), st.sampled_from(list(units.TIME_UNITS)))
-def test_a_time_is_read_as_written(number, unit):
+def test_durations_are_read_in_their_units(number, unit):
     assert units.read_duration(f"{number}{unit}") == number * units.TIME_UNITS[unit]
 
 
@@ -154,14 +154,14 @@
         max_leaves=12,
     )
 )
-def test_whatever_is_given_either_is_taken_or_its_faults_are_said(given):
-    made, wrong = toml_files.convert(Installation, given)
-    assert (made is None) or not wrong
-    assert made is not None or all(fault.text for fault in wrong)
+def test_arbitrary_input_is_either_converted_or_reported_with_faults(raw):
+    instance, errors = toml_files.convert(Installation, raw)
+    assert (instance is None) or not errors
+    assert instance is not None or all(fault.text for fault in errors)
 
 
-def test_a_gateway_serves_by_a_file_reloads_it_and_writes_json_lines(tmp_path):
-    """In a process of its own: `kestrelbend serve FILE`."""
+def test_gateway_process_serves_reloads_its_file_and_logs_json_lines(tmp_path):
+    """Runs `kestrelbend serve FILE` in a separate process."""
     path = tmp_path / "gateway.toml"
 
     async def test():
@@ -208,7 +208,7 @@
     run(test())
 
 
-def test_a_wrong_file_ends_the_start_with_all_its_faults(tmp_path):
+def test_invalid_file_prevents_the_start_and_names_its_errors(tmp_path):
     path = tmp_path / "gateway.toml"
     path.write_text('name = "x"\nlisten = "127.0.0.1:1"\ndiscovery = "d"\n')
     with pytest.raises(platform.Malformed) as caught:
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, plain",
+    "path, value, expected_message",
     [
         ("policyLimits.retryAfter", "maybe", "neither true nor false"),
         ("classes.0.worth", "dear", "could not convert"),
@@ -226,38 +226,52 @@
         ("familyInfo.metering", "nan", "not a finite number"),
     ],
 )
-def test_what_the_module_newly_reads_is_checked_under_its_own_name(path, value, plain):
+def test_invalid_platform_values_are_reported_with_the_platform_path(path, value, expected_message):
     pairs = {"classes.count": "1", "classes.0.name": "op", path: value}
     with pytest.raises(platform.Malformed) as caught:
         platform.settings(pairs)
-    assert path in str(caught.value) and plain in str(caught.value) and "\n" not in str(caught.value)
+    assert (
+        path in str(caught.value) and expected_message in str(caught.value) and "\n" not in str(caught.value)
+    )
 
 
-def test_what_the_module_newly_reads_leaves_a_gateway_as_it_was_where_it_is_not_told():
-    told = platform.settings({"classes.count": "1", "classes.0.name": "op"})
-    assert told["may_advise"] is True and told["operations"][0].value == 1.0 and told["meter_period"] == 0
+def test_optional_settings_default_to_the_earlier_behaviour():
+    platform_settings = platform.settings({"classes.count": "1", "classes.0.name": "op"})
+    assert (
+        platform_settings["may_advise"] is True
+        and platform_settings["operations"][0].value == 1.0
+        and platform_settings["meter_period"] == 0
+    )
     text = EXAMPLE.read_text()
     new = text.replace("[use]", '[use]\nretry_after = false\nmetering = "2s"', 1)
-    there = toml_files.parse_toml(new, Installation)
-    assert there.settings()["may_advise"] is False and there.settings()["meter_period"] == 2_000_000
-    assert any("retry_after" in fault for fault in faults(text.replace("[use]", "[use]\nretry_after = 3", 1)))
+    installation = toml_files.parse_toml(new, Installation)
+    assert (
+        installation.settings()["may_advise"] is False
+        and installation.settings()["meter_period"] == 2_000_000
+    )
+    assert any(
+        "retry_after" in fault for fault in fault_messages(text.replace("[use]", "[use]\nretry_after = 3", 1))
+    )
 
 
 def test_no_name_of_a_deployment_stands_in_the_program():
-    """Classes, plans, zones and kinds come from settings alone.  `state` is a field of discovery's, too."""
+    """The code names no class, plan, zone or kind of a deployment: they come only from settings.
+
+    `state` is excluded because it is also a field of the discovery protocol.
+    """
     root = Path(__file__).parent.parent
-    sites, names = (root / "deploy" / "sites").glob("*.toml"), set()
-    told = [tomllib.loads(path.read_text()) for path in sites]
-    for site in told:
-        names |= {site["name"], *site["net"]["zones"]}
+    site_paths, deployment_names = (root / "deploy" / "sites").glob("*.toml"), set()
+    sites = [tomllib.loads(path.read_text()) for path in site_paths]
+    for site in sites:
+        deployment_names |= {site["name"], *site["net"]["zones"]}
         for tier in site["tier"]:
-            names |= {tier["name"], *(kind["name"] for kind in tier["kind"])}
-        names |= {row["name"] for kind in ("class", "tenant") for row in site[kind]}
-    assert len(told) == 2 and len(names) > 20
+            deployment_names |= {tier["name"], *(kind["name"] for kind in tier["kind"])}
+        deployment_names |= {row["name"] for kind in ("class", "tenant") for row in site[kind]}
+    assert len(sites) == 2 and len(deployment_names) > 20
     sources = [root / "deploy" / "balancer.toml", *(root / "kestrelbend").rglob("*.py")]
     found = {
         name
-        for name in names - {"state"}
+        for name in deployment_names - {"state"}
         for path in sources
         if re.search(rf"[\"'`]{re.escape(name)}[\"'`]", path.read_text())
     }
--- a/tests/test_recorded_names.py
+++ b/tests/test_recorded_names.py
@@ -1,4 +1,7 @@
-"""Names that operators use are those of the text before the renaming: verbs, settings, fields."""
+"""The names that operators use (commands, settings, response fields) equal the recorded ones.
+
+Guards against renaming them along with identifiers of the code, which would break scripts and settings files.
+"""
 
 from __future__ import annotations
 
@@ -20,25 +23,32 @@
 
 RECORDED = load("names.json")
 VARIABLE = re.compile(r"(ROUTER|KESTRELBEND|LISTEN)_[A-Z_]+")
-BY_MACHINE = "jobs"  # an option whose default is the machine's number of cores
+MACHINE_DEPENDENT = "jobs"  # an option whose default is the number of cores
 
 
-def option(word):
-    """An option as it is recorded; switches have no default of their own."""
-    default = None if isinstance(word.default, bool) or word.name == BY_MACHINE else word.default
-    return [word.name, word.shortcut, word.accepts_value(), word.is_list(), default]
+def option_row(parameter):
+    """Returns an option as it is recorded, without a default if it is a switch or depends on the machine."""
+    default = (
+        None
+        if isinstance(parameter.default, bool) or parameter.name == MACHINE_DEPENDENT
+        else parameter.default
+    )
+    return [parameter.name, parameter.shortcut, parameter.accepts_value(), parameter.is_list(), default]
 
 
-def test_the_verbs_take_the_recorded_arguments_and_options():
-    verbs = {}
-    for name, verb in sorted(application(lambda path: None).all().items()):
-        arguments = [[word.name, word.is_required(), word.is_list()] for word in verb.definition.arguments]
-        options = sorted(option(word) for word in verb.definition.options)
-        verbs[name] = {"arguments": arguments, "options": options}
-    assert verbs == RECORDED["verbs"]
+def test_commands_have_the_recorded_arguments_and_options():
+    subcommands = {}
+    for name, subcommand in sorted(application(lambda path: None).all().items()):
+        arguments = [
+            [parameter.name, parameter.is_required(), parameter.is_list()]
+            for parameter in subcommand.definition.arguments
+        ]
+        options = sorted(option_row(parameter) for parameter in subcommand.definition.options)
+        subcommands[name] = {"arguments": arguments, "options": options}
+    assert subcommands == RECORDED["verbs"]
 
 
-def test_the_gateways_settings_have_the_recorded_names():
+def test_platform_settings_have_the_recorded_names():
     names = {f"{section}.{key}": name for (section, key), (name, _) in platform.SETTING_PATHS.items()}
     assert names == RECORDED["platform_names"]
     rows = {
@@ -48,46 +58,46 @@
     assert rows == RECORDED["platform_rows"]
 
 
-def test_the_environment_variables_have_the_recorded_names():
-    found = set()
+def test_environment_variables_have_the_recorded_names():
+    variables = set()
     for path in Path(kestrelbend.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
-                found |= {node.value} if VARIABLE.fullmatch(node.value) else set()
-    assert sorted(found) == RECORDED["variables"]
+                variables |= {node.value} if VARIABLE.fullmatch(node.value) else set()
+    assert sorted(variables) == RECORDED["variables"]
 
 
-def test_the_roles_settings_files_are_read_as_recorded():
+def test_role_settings_files_are_parsed_as_recorded():
     for text, values in RECORDED["settings"]:
         read = attrs.astuple(Settings.parse(text.encode()))
         assert json.loads(json.dumps(read)) == values
 
 
-def paths(value, at=""):
-    """The names that lead to each plain value of an answer, with its type."""
+def leaf_paths(value, at=""):
+    """Yields the path of each scalar value in a response, with its type."""
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from paths(item, f"{at}.{key}")
+            yield from leaf_paths(item, f"{at}.{key}")
     elif isinstance(value, list):
         for item in value:
-            yield from paths(item, f"{at}[]")
+            yield from leaf_paths(item, f"{at}[]")
     else:
         yield f"{at}: {type(value).__name__}"
 
 
-def test_the_operators_answers_have_the_recorded_fields():
+def test_operator_api_responses_have_the_recorded_fields():
     recorded = load("answers.json")
-    answered = {}
+    responses = {}
 
-    async def story(world):
+    async def read_responses(world):
         await world.operator.change()
         await asyncio.sleep(3)
         address = world.fleet.published_control_addresses()[0]
         await world.operator.retire(world.fleet.stores()[0].name, 20.0)
         for call in recorded:
             reply = await world.fleet.http.call(address, "GET", f"/api/{call}")
-            answered[call] = [reply.status, sorted(set(paths(json.loads(reply.body))))]
+            responses[call] = [reply.status, sorted(set(leaf_paths(json.loads(reply.body))))]
 
     with logbook.NullHandler().applicationbound():
-        play(story, 3)
-    assert answered == recorded
+        play(read_responses, 3)
+    assert responses == recorded
--- a/tests/tier/test_budgets_repeats.py
+++ b/tests/tier/test_budgets_repeats.py
@@ -1,7 +1,7 @@
-"""Commands that come again after all that a table remembers of them by count, and programs that come back.
+"""Tests of duplicate commands and returning programs beyond the bounds of what a table keeps.
 
-Each story goes just past a bound: 64 closed reservations and 64 sessions of a program, programs in use, lives
-of gateways, programs laid aside.
+Each test goes just past one bound: 64 closed reservations and 64 sessions per program, active programs, idle
+programs, and gateway incarnations.
 """
 
 import asyncio
@@ -25,27 +25,27 @@
 from tests.tier import virtual_time
 from tests.tier.budget_fleet import ADDRESSES, BudgetFleet, Faults
 
-MOST = 100
+MAX_TOKENS = 100
 BUDGET = 100_000
 
 
 class Gateway:
-    """One life of a gateway that reserves at a table without anything between them."""
+    """One incarnation of a gateway that applies its commands directly to a table."""
 
     def __init__(self, table, incarnation=1):
         self.table = table
         self.names = ReservationNameGenerator("10.0.0.1", incarnation)
 
     def command(self, name="program", session="main", fingerprint=1, budget=BUDGET, retain_s=0):
-        return Reserve(name, session, self.names.next(), fingerprint, MOST, budget, False, retain_s)
+        return Reserve(name, session, self.names.next(), fingerprint, MAX_TOKENS, budget, False, retain_s)
 
-    def reserve(self, *arguments, **others):
-        return self.table.reserve(self.command(*arguments, **others))
+    def reserve(self, *arguments, **options):
+        return self.table.reserve(self.command(*arguments, **options))
 
-    def settle(self, command, used=MOST, end=TurnEnd.COMPLETE):
+    def settle(self, command, used=MAX_TOKENS, end=TurnEnd.COMPLETE):
         self.table.settle(Settlement(command.program, command.reservation, used, end))
 
-    def whole_turns(self, count, name="program"):
+    def complete_turns(self, count, name="program"):
         for number in range(count):
             command = self.command(name, fingerprint=1000 + number)
             self.table.reserve(command)
@@ -58,49 +58,53 @@
         self.table = BudgetTable()
         self.gateway = Gateway(self.table)
 
-    def counter(self, name="program"):
-        """Reserved and handed out."""
+    def reserved_and_settled(self, name="program"):
+        """Returns the program's reserved and settled tokens."""
         outcome = self.table.reserve(Reserve(name, "", "probe", 0, 1, 1, False))
         return outcome.total - outcome.settled, outcome.settled
 
-    def test_given_a_closed_reservation_when_it_comes_again_past_the_bound_then_it_is_not_admitted(self):
-        for others in (MAX_CLOSED_RESERVATIONS - 1, MAX_CLOSED_RESERVATIONS, 3 * MAX_CLOSED_RESERVATIONS):
+    def test_duplicate_of_a_closed_reservation_is_rejected_after_its_name_was_dropped(self):
+        for later_turns in (
+            MAX_CLOSED_RESERVATIONS - 1,
+            MAX_CLOSED_RESERVATIONS,
+            3 * MAX_CLOSED_RESERVATIONS,
+        ):
             table = BudgetTable()
             gateway = Gateway(table)
             command = gateway.command()
             table.reserve(command)
             gateway.settle(command, used=40)
-            gateway.whole_turns(others)
-            again = table.reserve(command)
-            self.assertEqual(Verdict.RETRY_LATER, again.verdict)
-            self.assertEqual(40 + others * MOST, again.total, "no token is held")
+            gateway.complete_turns(later_turns)
+            duplicate = table.reserve(command)
+            self.assertEqual(Verdict.RETRY_LATER, duplicate.verdict)
+            self.assertEqual(40 + later_turns * MAX_TOKENS, duplicate.total, "no token is held")
 
-    def test_given_a_settlement_when_it_comes_again_past_the_bound_then_its_tokens_count_once(self):
+    def test_tokens_of_a_duplicate_settlement_count_once_after_its_name_was_dropped(self):
         command = self.gateway.command()
         self.table.reserve(command)
         self.gateway.settle(command, used=40)
-        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
+        self.gateway.complete_turns(MAX_CLOSED_RESERVATIONS)
         self.table.reserve(command)
         self.gateway.settle(command, used=40)
-        self.assertEqual((0, 40 + MAX_CLOSED_RESERVATIONS * MOST), self.counter())
+        self.assertEqual((0, 40 + MAX_CLOSED_RESERVATIONS * MAX_TOKENS), self.reserved_and_settled())
 
-    def test_given_a_turn_settled_before_its_reservation_when_that_comes_past_the_bound_then_it_is_refused(
+    def test_reservation_after_its_settlement_is_rejected_after_its_name_was_dropped(
         self,
     ):
         command = self.gateway.command()
         self.gateway.settle(command, used=0, end=TurnEnd.NOT_EXECUTED)
-        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
+        self.gateway.complete_turns(MAX_CLOSED_RESERVATIONS)
         self.assertEqual(Verdict.RETRY_LATER, self.table.reserve(command).verdict)
-        self.assertEqual((0, MAX_CLOSED_RESERVATIONS * MOST), self.counter())
+        self.assertEqual((0, MAX_CLOSED_RESERVATIONS * MAX_TOKENS), self.reserved_and_settled())
 
-    def test_given_an_open_turn_when_others_close_then_its_repeat_is_the_same_one_still(self):
+    def test_open_reservation_is_still_recognised_after_many_others_closed(self):
         command = self.gateway.command()
         self.table.reserve(command)
-        self.gateway.whole_turns(2 * MAX_CLOSED_RESERVATIONS)
+        self.gateway.complete_turns(2 * MAX_CLOSED_RESERVATIONS)
         self.assertEqual(Verdict.ADMITTED, self.table.reserve(command).verdict)
-        self.assertEqual((MOST, 2 * MAX_CLOSED_RESERVATIONS * MOST), self.counter())
+        self.assertEqual((MAX_TOKENS, 2 * MAX_CLOSED_RESERVATIONS * MAX_TOKENS), self.reserved_and_settled())
 
-    def test_given_a_program_laid_aside_with_an_open_turn_when_that_comes_again_then_it_counts_once(self):
+    def test_duplicate_of_an_open_turn_counts_once_after_its_program_became_idle(self):
         table = BudgetTable(max_active=2)
         gateway = Gateway(table)
         command = gateway.command()
@@ -108,26 +112,26 @@
         for number in range(4):
             gateway.reserve(f"other {number}")
         outcome = table.reserve(command)
-        self.assertEqual((Verdict.RETRY_LATER, MOST), (outcome.verdict, outcome.total))
+        self.assertEqual((Verdict.RETRY_LATER, MAX_TOKENS), (outcome.verdict, outcome.total))
 
-    def test_given_forgotten_names_when_saved_and_restored_then_they_stay_forgotten(self):
+    def test_forgotten_names_are_part_of_the_snapshot(self):
         command = self.gateway.command()
         self.table.reserve(command)
         self.gateway.settle(command)
-        self.gateway.whole_turns(MAX_CLOSED_RESERVATIONS)
+        self.gateway.complete_turns(MAX_CLOSED_RESERVATIONS)
         copy = BudgetTable()
         copy.restore(self.table.snapshot())
         self.assertEqual(Verdict.RETRY_LATER, copy.reserve(command).verdict)
         self.assertEqual(self.table.reserve(command), copy.reserve(command))
         self.assertEqual(self.table.snapshot(), copy.snapshot())
 
-    def test_given_forgotten_names_when_new_tries_come_from_any_gateway_then_they_are_admitted(self):
-        self.gateway.whole_turns(2 * MAX_CLOSED_RESERVATIONS)
+    def test_new_reservations_are_admitted_after_names_were_forgotten(self):
+        self.gateway.complete_turns(2 * MAX_CLOSED_RESERVATIONS)
         restarted = Gateway(self.table, incarnation=2)
         self.assertEqual(Verdict.ADMITTED, self.gateway.reserve(fingerprint=1).verdict)
         self.assertEqual(Verdict.ADMITTED, restarted.reserve(session="b", fingerprint=2).verdict)
 
-    def test_given_more_lives_than_are_kept_then_the_last_ones_are_known(self):
+    def test_forgotten_names_keep_the_most_recent_incarnations(self):
         forgotten = ForgottenNames()
         for incarnation in range(MAX_INCARNATIONS + 1):
             forgotten.add(ReservationNameGenerator("10.0.0.1", incarnation).next())
@@ -137,24 +141,24 @@
         ]
         self.assertEqual([False] + [True] * MAX_INCARNATIONS, known)
 
-    def test_given_names_of_another_form_then_none_is_taken_for_forgotten(self):
+    def test_names_not_generated_by_a_gateway_are_never_forgotten(self):
         forgotten = ForgottenNames({"a@1": 9})
         for name in ("", "try-1", "a@1", "a@1.", "a@1.-3", "a@1.²", "a.5", "b@1.5"):
             forgotten.add(name)
             self.assertNotIn("a@1.10", forgotten)
         self.assertIn("a@1.9", forgotten)
 
-    def test_given_one_try_more_than_sessions_are_kept_when_repeated_then_the_budget_still_holds(self):
-        """Past the bound a repeat counts as a first try: the share of retries is looser, not the budget."""
+    def test_budget_holds_for_a_retry_whose_session_was_dropped(self):
+        """Beyond the bound a retry counts as a first attempt: only the retry share is relaxed."""
         gateway = self.gateway
-        broken = gateway.command(session="first", fingerprint=7)
-        self.table.reserve(broken)
-        gateway.settle(broken, end=TurnEnd.INTERRUPTED)
+        interrupted = gateway.command(session="first", fingerprint=7)
+        self.table.reserve(interrupted)
+        gateway.settle(interrupted, end=TurnEnd.INTERRUPTED)
         for number in range(MAX_SESSIONS):
             command = gateway.command(session=f"session {number}")
             self.table.reserve(command)
             gateway.settle(command)
-        budget = self.counter()[1] + MOST
+        budget = self.reserved_and_settled()[1] + MAX_TOKENS
         self.assertEqual(
             [Verdict.ADMITTED, Verdict.BUDGET_EXCEEDED],
             [gateway.reserve(session="first", fingerprint=7, budget=budget).verdict for _ in range(2)],
@@ -170,14 +174,14 @@
     def fill(self, first, count):
         return [self.gateway.reserve(f"program {n}").verdict for n in range(first, first + count)]
 
-    def test_given_a_full_table_when_new_programs_come_then_they_are_refused_and_old_ones_go_on(self):
+    def test_full_table_rejects_new_programs_and_serves_known_ones(self):
         self.assertEqual([Verdict.ADMITTED] * 12, self.fill(0, 12))
         outcome = self.gateway.reserve("program 12")
         self.assertEqual((Verdict.RETRY_LATER, 0), (outcome.verdict, outcome.total))
         self.assertGreater(outcome.retry_after_ms, 0)
-        self.assertEqual(2 * MOST, self.gateway.reserve("program 0", fingerprint=2).total)
+        self.assertEqual(2 * MAX_TOKENS, self.gateway.reserve("program 0", fingerprint=2).total)
 
-    def test_given_a_full_table_when_programs_were_away_for_their_time_then_these_make_room(self):
+    def test_expired_programs_of_a_full_table_are_replaced_by_new_ones(self):
         self.fill(0, 12)
         self.table.advance(DEFAULT_RETAIN_S * 1000)
         self.assertEqual([Verdict.RETRY_LATER], self.fill(12, 1))
@@ -185,14 +189,14 @@
         self.assertEqual([Verdict.ADMITTED] * 12, self.fill(12, 12))
         self.assertEqual([Verdict.RETRY_LATER], self.fill(24, 1))
 
-    def test_given_a_program_that_may_stay_away_longer_when_others_make_room_then_it_is_known(self):
+    def test_program_with_a_longer_retention_is_kept_when_others_expire(self):
         self.gateway.reserve("stays", retain_s=2 * DEFAULT_RETAIN_S)
         self.fill(0, 11)
         self.table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         self.assertEqual([Verdict.ADMITTED] * 4, self.fill(11, 4))
-        self.assertEqual(2 * MOST, self.gateway.reserve("stays", fingerprint=2).total)
+        self.assertEqual(2 * MAX_TOKENS, self.gateway.reserve("stays", fingerprint=2).total)
 
-    def test_given_many_that_may_stay_away_longer_when_others_are_over_then_these_are_found(self):
+    def test_expired_programs_are_found_among_many_with_a_longer_retention(self):
         table = BudgetTable(max_active=4, max_idle=100)
         gateway = Gateway(table)
         for number in range(50):
@@ -202,19 +206,19 @@
         table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         verdicts = [gateway.reserve(f"new {number}").verdict for number in range(60)]
         self.assertEqual([Verdict.ADMITTED] * 40, verdicts[10:50])
-        self.assertEqual(2 * MOST, gateway.reserve("long 0", fingerprint=2).total)
+        self.assertEqual(2 * MAX_TOKENS, gateway.reserve("long 0", fingerprint=2).total)
 
-    def test_given_a_program_stopped_before_a_final_fault_when_it_comes_back_then_its_tokens_are_known(self):
-        self.gateway.whole_turns(3, "stopped")
+    def test_totals_of_an_inactive_program_survive_a_restore_from_a_snapshot(self):
+        self.gateway.complete_turns(3, "stopped")
         self.fill(0, 11)
         self.table.advance(DEFAULT_RETAIN_S * 500)
         copy = BudgetTable(max_active=4, max_idle=8)
         copy.restore(self.table.snapshot())
         copy.advance(DEFAULT_RETAIN_S * 500)
         outcome = copy.reserve(Gateway(copy, incarnation=2).command("stopped", fingerprint=2))
-        self.assertEqual((Verdict.ADMITTED, 4 * MOST), (outcome.verdict, outcome.total))
+        self.assertEqual((Verdict.ADMITTED, 4 * MAX_TOKENS), (outcome.verdict, outcome.total))
 
-    def test_given_a_settlement_of_a_program_without_room_when_its_reservation_follows_then_it_is_refused(
+    def test_reservation_is_rejected_if_its_settlement_came_when_the_table_was_full(
         self,
     ):
         self.fill(0, 12)
@@ -223,9 +227,9 @@
         self.table.advance(DEFAULT_RETAIN_S * 1000 + 1)
         self.assertEqual(Verdict.RETRY_LATER, self.table.reserve(command).verdict)
 
-    def test_given_the_sizes_that_it_is_meant_for_when_programs_stop_then_all_may_come_back(self):
-        """docs/CAPACITY.md: 64,000 programs at once, 2,200 turns a second, six shards; the least turns a
-        program, two, begin the most programs: 1,100 a second, 184 for a shard."""
+    def test_table_keeps_all_programs_at_the_design_load_for_the_default_retention(self):
+        """The design load of docs/CAPACITY.md: 64,000 concurrent programs and 2,200 turns per second on six
+        shards.  Programs have at least two turns, so at most 1,100 start per second, 184 per shard."""
         shards, turns_a_second, programs_at_once = 6, 2_200, 64_000
         begun_a_second = turns_a_second // 2 // shards + 1
         at_once = programs_at_once // shards + 1
@@ -241,11 +245,11 @@
             at_once + DEFAULT_RETAIN_S * begun_a_second, (MAX_ACTIVE_PROGRAMS + MAX_IDLE_PROGRAMS) // 2
         )
         for name in ("at once 0", "begun 0 0", f"begun {DEFAULT_RETAIN_S - 1} 0"):
-            self.assertEqual(2 * MOST, gateway.reserve(name, fingerprint=2).total)
+            self.assertEqual(2 * MAX_TOKENS, gateway.reserve(name, fingerprint=2).total)
 
 
-class ElapsedTest(testtools.TestCase):
-    """The table's time: of the owner's steady clock, never ahead of the true time."""
+class ElapsedTimeTest(testtools.TestCase):
+    """The table's time is measured with the owner's monotonic clock and never runs ahead of real time."""
 
     def setUp(self):
         super().setUp()
@@ -265,41 +269,43 @@
     def flush(self, shard):
         pass
 
-    def ask(self):
+    def send_request(self):
         self.service.request(BudgetRequest("budget-0", (), ()), lambda reply: None)
 
-    def test_given_one_owner_when_time_goes_on_then_its_entries_carry_all_of_it(self):
-        self.ask()
+    def test_entries_of_one_owner_carry_all_elapsed_time(self):
+        self.send_request()
         for _ in range(1000):
             self.now += 0.0015
-            self.ask()
+            self.send_request()
         self.assertEqual(0, self.entries[0])
         self.assertIn(sum(self.entries), (1499, 1500))
 
-    def test_given_a_new_epoch_when_this_process_owns_again_then_the_time_between_is_left_out(self):
-        self.ask()
+    def test_time_between_two_epochs_of_ownership_is_not_counted(self):
+        self.send_request()
         self.now += 30.0
         self.term = 3
-        self.ask()
+        self.send_request()
         self.now += 2.0
-        self.ask()
+        self.send_request()
         self.assertEqual([0, 0, 2000], self.entries)
 
 
-class RepeatsSearchTest(testtools.TestCase):
-    """Requests that arrive twice and late, while almost nothing is remembered by count: no token counts
-    twice, and no more than the budget is handed out."""
+class RandomDuplicatesTest(testtools.TestCase):
+    """Requests arrive twice and late, and the table remembers only two closed reservations.
+
+    Guards against tokens counted twice and against tokens delivered beyond the budget.
+    """
 
     budget = 1500
 
-    def test_given_seeded_trouble_when_two_names_are_remembered_then_no_turn_counts_twice(self):
+    def test_no_turn_counts_twice_under_random_faults_with_two_remembered_names(self):
         self.patch(program, "MAX_CLOSED_RESERVATIONS", 2)
         for seed in range(40):
-            virtual_time.run(self.play(seed))
+            virtual_time.run(self.scenario(seed))
 
-    async def play(self, seed):
-        chance = random.Random(seed)
-        fleet = BudgetFleet(chance, Faults(duplicated=0.4, reply_lost=0.1, delay_s=0.1))
+    async def scenario(self, seed):
+        rng = random.Random(seed)
+        fleet = BudgetFleet(rng, Faults(duplicated=0.4, reply_lost=0.1, delay_s=0.1))
         gateways = [
             (
                 BudgetClient(fleet.send, lambda shard: ADDRESSES, 1),
@@ -307,18 +313,20 @@
             )
             for incarnation in range(2)
         ]
-        handed_out = 0
+        delivered = 0
 
         async def turn(number):
-            nonlocal handed_out
-            await asyncio.sleep(chance.uniform(0, 8))
-            client, given = chance.choice(gateways)
-            command = Reserve("program", str(number), given.next(), number, MOST, self.budget, True)
-            outcome = await client.reserve(command, max_wait_s=chance.choice((0.05, 1.0)))
+            nonlocal delivered
+            await asyncio.sleep(rng.uniform(0, 8))
+            client, name_generator = rng.choice(gateways)
+            command = Reserve(
+                "program", str(number), name_generator.next(), number, MAX_TOKENS, self.budget, True
+            )
+            outcome = await client.reserve(command, max_wait_s=rng.choice((0.05, 1.0)))
             if outcome.verdict == Verdict.ADMITTED:
-                used = chance.randint(0, MOST)
-                handed_out += used
-                self.assertLessEqual(handed_out, self.budget)
+                used = rng.randint(0, MAX_TOKENS)
+                delivered += used
+                self.assertLessEqual(delivered, self.budget)
                 client.settle(Settlement("program", command.reservation, used, TurnEnd.COMPLETE))
 
         await asyncio.gather(*(turn(number) for number in range(60)))
@@ -326,21 +334,24 @@
         await asyncio.sleep(5)
         closed = [await client.close(max_wait_s=5) for client, _ in gateways]
         self.assertEqual([True, True], closed)
-        probe = fleet.hosts["b"].machine.table.reserve(Reserve("program", "", "probe", 0, 1, 1, False))
-        self.assertEqual((handed_out, handed_out), (probe.total, probe.settled), f"seed {seed}")
+        probe = fleet.hosts["b"].shard_state.table.reserve(Reserve("program", "", "probe", 0, 1, 1, False))
+        self.assertEqual((delivered, delivered), (probe.total, probe.settled), f"seed {seed}")
 
 
 class SettlementsTest(testtools.TestCase):
-    def test_given_more_settlements_than_a_gateway_keeps_then_the_oldest_turns_count_at_their_most(self):
-        async def play():
+    def test_turns_whose_settlements_were_dropped_count_at_their_maximum(self):
+        async def scenario():
             fleet = BudgetFleet(random.Random(1))
             settings = ClientSettings(max_pending_settlements=2)
             client = BudgetClient(fleet.send, lambda shard: ADDRESSES, 1, settings)
-            given = ReservationNameGenerator("10.0.0.1", 1)
-            commands = [Reserve("program", str(n), given.next(), n, MOST, BUDGET, True) for n in range(5)]
+            name_generator = ReservationNameGenerator("10.0.0.1", 1)
+            commands = [
+                Reserve("program", str(n), name_generator.next(), n, MAX_TOKENS, BUDGET, True)
+                for n in range(5)
+            ]
             for command in commands:
                 await client.reserve(command)
-            fleet.faults = Faults(refused=1.0)
+            fleet.faults = Faults(connection_reset=1.0)
             for command in commands:
                 client.settle(Settlement("program", command.reservation, 10, TurnEnd.COMPLETE))
             await asyncio.sleep(1.0)
@@ -348,34 +359,34 @@
             fleet.faults = Faults()
             self.assertTrue(await client.close(max_wait_s=5))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
-            outcome = fleet.hosts["a"].machine.table.reserve(probe)
-            self.assertEqual((3 * MOST + 20, 20), (outcome.total, outcome.settled))
+            outcome = fleet.hosts["a"].shard_state.table.reserve(probe)
+            self.assertEqual((3 * MAX_TOKENS + 20, 20), (outcome.total, outcome.settled))
 
-        virtual_time.run(play())
+        virtual_time.run(scenario())
 
 
-class GatewayNamesTest(testtools.TestCase):
-    def test_given_tries_of_one_client_id_then_each_has_a_reservation_of_its_own(self):
-        given = ReservationNameGenerator("10.0.0.1", 5)
+class ReservationNameTest(testtools.TestCase):
+    def test_each_attempt_gets_a_reservation_name_of_its_own(self):
+        name_generator = ReservationNameGenerator("10.0.0.1", 5)
         other = ReservationNameGenerator("10.0.0.1", 6)
-        told = [given.next(), given.next(), other.next()]
-        self.assertEqual(3, len(set(told)))
-        self.assertLess(max(len(name) for name in told), 40)
-        self.assertTrue(all(names._parse(name) for name in told))
+        reservation_names = [name_generator.next(), name_generator.next(), other.next()]
+        self.assertEqual(3, len(set(reservation_names)))
+        self.assertLess(max(len(name) for name in reservation_names), 40)
+        self.assertTrue(all(names._parse(name) for name in reservation_names))
 
-    def test_given_two_requests_of_one_id_when_both_are_turns_then_both_count(self):
-        async def play():
+    def test_turns_with_the_same_request_id_are_counted_separately(self):
+        async def scenario():
             fleet = BudgetFleet(random.Random(1))
-            ports = [_Port(fleet, incarnation) for incarnation in (1, 2)]
-            await asyncio.gather(*(_carry(Turns(port)) for port in (*ports, ports[0])))
+            ports = [_BudgetPort(fleet, incarnation) for incarnation in (1, 2)]
+            await asyncio.gather(*(_run_turn(Turns(port)) for port in (*ports, ports[0])))
             probe = Reserve("program", "", "probe", 0, 1, 1, False)
-            return fleet.hosts["a"].machine.table.reserve(probe).total
+            return fleet.hosts["a"].shard_state.table.reserve(probe).total
 
-        self.assertEqual(3 * MOST, virtual_time.run(play()))
+        self.assertEqual(3 * MAX_TOKENS, virtual_time.run(scenario()))
 
 
-class _Port:
-    """A gateway's budget, as the data plane sees it."""
+class _BudgetPort:
+    """The data plane's budget interface (`ports.Budget`) on top of a `BudgetClient`."""
 
     def __init__(self, fleet, incarnation):
         self._client = BudgetClient(fleet.send, lambda shard: ADDRESSES, 1)
@@ -394,9 +405,9 @@
         return False
 
 
-async def _carry(turns):
-    """One whole turn, and the time that its settlement takes."""
-    turn = Turn("program", "session", "the same id", 1, MOST, BUDGET)
+async def _run_turn(turns):
+    """Runs one complete turn and waits until it is settled."""
+    turn = Turn("program", "session", "the same id", 1, MAX_TOKENS, BUDGET)
     exchange = SimpleNamespace(
         service=SimpleNamespace(name="model", stride=1), route=SimpleNamespace(retain_s=0)
     )
@@ -404,7 +415,7 @@
 
     async def forward(delivery):
         client = delivery.client
-        client.events, client.finished, client.success, client.started = MOST, True, True, True
+        client.events, client.finished, client.success, client.started = MAX_TOKENS, True, True, True
 
     delivery = Delivery(exchange, client, SimpleNamespace(may_have_run=True))
     await turns.run(turn, delivery, True, forward)
--- a/tests/tier/test_budgets_route.py
+++ b/tests/tier/test_budgets_route.py
@@ -1,4 +1,4 @@
-"""How a gateway finds a shard's owner."""
+"""Tests of `OwnerRoute`, which selects the replica that a gateway sends its requests to."""
 
 import testtools
 
@@ -14,7 +14,7 @@
     def target(self, now=0.0):
         return self.route.target(("a", "b", "c"), now)
 
-    def test_given_nobody_knows_the_owner_when_searched_then_each_is_asked_once_and_rounds_have_pauses(self):
+    def test_search_without_hints_tries_each_replica_once_per_round_with_backoff(self):
         backoffs = []
         for _round in range(22):
             for replica in "abc":
@@ -25,13 +25,13 @@
         early = [0.02, 0.04] + 18 * [0.08]
         self.assertEqual(early + [0.3, 0.3], [round(backoff, 6) for backoff in backoffs])
 
-    def test_given_two_that_name_each_other_when_searched_then_the_third_is_asked(self):
+    def test_third_replica_is_tried_when_two_name_each_other_as_owner(self):
         self.route.record_not_owner("a", "b")
         self.assertEqual("b", self.target())
         self.route.record_not_owner("b", "a")
         self.assertEqual("c", self.target())
 
-    def test_given_an_owner_that_is_silent_when_others_still_name_it_then_it_is_left_out_for_a_while(self):
+    def test_owner_that_timed_out_is_excluded_for_a_while_despite_hints(self):
         self.route.record_owner("b")
         self.route.record_no_reply("b", requested_at=0.7, now=1.0)
         self.assertEqual("c", self.target(now=1.0))
@@ -41,7 +41,7 @@
         self.assertIsNone(self.target(now=1.0))
         self.assertEqual(["c", "b"], [self.target(now=1.1), self.next_after("a", now=1.6)])
 
-    def test_given_a_replica_that_cannot_be_reached_when_it_is_back_then_the_next_round_finds_it(self):
+    def test_replica_that_was_unreachable_is_tried_again_in_the_next_round(self):
         self.route.record_no_reply("a", requested_at=1.0, now=1.001)
         for replica in "bc":
             self.assertEqual(replica, self.target(now=1.01))
@@ -56,7 +56,7 @@
 
 
 class EpochTest(testtools.TestCase):
-    """Word of an earlier epoch, however late it comes, sends nobody to a former owner."""
+    """A late reply from an earlier epoch never leads to requests to a former owner."""
 
     def setUp(self):
         super().setUp()
@@ -65,19 +65,19 @@
     def target(self):
         return self.route.target(("a", "b", "c", "d"), 0.0)
 
-    def test_given_word_of_a_later_epoch_when_an_earlier_one_names_an_owner_then_that_is_not_followed(self):
+    def test_owner_hint_of_an_earlier_epoch_is_ignored(self):
         self.route.record_owner("b", epoch=5)
         self.route.record_not_owner("b", "", epoch=6)
         self.assertEqual("c", self.target())
         self.route.record_not_owner("c", "a", epoch=5)
-        self.assertEqual("d", self.target(), "the next in order, not the one that epoch 5 had as its owner")
+        self.assertEqual("d", self.target(), "the next in order, not the owner of epoch 5")
 
-    def test_given_a_later_epoch_is_known_when_a_former_owner_replies_then_the_route_stays(self):
+    def test_reply_of_a_former_owner_does_not_change_the_route(self):
         self.route.record_owner("b", epoch=5)
         self.route.record_owner("a", epoch=4)
         self.assertEqual("b", self.target())
 
-    def test_given_a_hint_of_a_later_epoch_then_it_is_followed(self):
+    def test_owner_hint_of_a_later_epoch_is_followed(self):
         self.route.record_owner("b", epoch=5)
         self.route.record_not_owner("b", "c", epoch=6)
         self.assertEqual("c", self.target())
--- a/tests/tier/test_budgets_table.py
+++ b/tests/tier/test_budgets_table.py
@@ -1,4 +1,4 @@
-"""What a program's counter admits, refuses and takes back."""
+"""Tests of the budget table: admission, retries, snapshots, bounds, and the encoding of commands."""
 
 import random
 
@@ -10,11 +10,11 @@
 from kestrelbend.tier.budgets.shards import shard_names, shard_of
 from kestrelbend.tier.budgets.table import BudgetTable
 
-MOST = 100
+MAX_TOKENS = 100
 
 
 class Program:
-    """One program's turns at a table."""
+    """Issues the commands of one program to a table."""
 
     def __init__(self, table, name="program", budget=1000):
         self.table = table
@@ -22,34 +22,39 @@
         self.budget = budget
 
     def reserve(self, reservation, fingerprint=1, session="main", spare_capacity=False):
-        command = Reserve(self.name, session, reservation, fingerprint, MOST, self.budget, spare_capacity)
+        command = Reserve(
+            self.name, session, reservation, fingerprint, MAX_TOKENS, self.budget, spare_capacity
+        )
         return self.table.reserve(command)
 
     def settle(self, reservation, used, end=TurnEnd.COMPLETE):
         self.table.settle(Settlement(self.name, reservation, used, end))
 
-    def turns(self, count):
-        """Whole turns of different sessions."""
+    def complete_turns(self, count):
+        """Runs complete turns in different sessions."""
         for number in range(count):
             self.reserve(f"turn {number}", session=f"session {number}")
-            self.settle(f"turn {number}", MOST)
+            self.settle(f"turn {number}", MAX_TOKENS)
 
-    def broken_turn(self, end=TurnEnd.INTERRUPTED, used=MOST):
+    def interrupted_turn(self, end=TurnEnd.INTERRUPTED, used=MAX_TOKENS):
         self.reserve("first try", fingerprint=7)
         self.settle("first try", used, end)
 
 
-def play(tables, chance, count):
-    """The same commands for each table; names need escapes, and turns repeat, stay open and fail."""
+def apply_random_commands(tables, rng, count):
+    """Applies the same random commands to each table and checks that the outcomes are equal.
+
+    The program names need JSON escapes.  Some commands are duplicates, and some turns stay open or fail.
+    """
     for _ in range(count):
-        name = f'prögram "{chance.randrange(12)}"'
-        reservation, session = f"turn {chance.randrange(90)}", f"session {chance.randrange(3)}"
-        if chance.random() < 0.6:
-            reserve = Reserve(name, session, reservation, chance.randrange(4), MOST, 10**6, True)
+        name = f'prögram "{rng.randrange(12)}"'
+        reservation, session = f"turn {rng.randrange(90)}", f"session {rng.randrange(3)}"
+        if rng.random() < 0.6:
+            reserve = Reserve(name, session, reservation, rng.randrange(4), MAX_TOKENS, 10**6, True)
             outcomes = {str(table.reserve(reserve)) for table in tables}
         else:
-            end = chance.choice(list(TurnEnd))
-            settlement = Settlement(name, reservation, chance.randrange(MOST), end)
+            end = rng.choice(list(TurnEnd))
+            settlement = Settlement(name, reservation, rng.randrange(MAX_TOKENS), end)
             outcomes = {str(table.settle(settlement)) for table in tables}
         assert len(outcomes) == 1, outcomes
 
@@ -60,53 +65,54 @@
         self.table = BudgetTable()
         self.program = Program(self.table, budget=250)
 
-    def test_given_room_for_two_turns_when_three_come_at_once_then_the_third_is_spent(self):
+    def test_third_of_three_concurrent_turns_exceeds_a_budget_for_two(self):
         verdicts = [self.program.reserve(name, session=name).verdict for name in "abc"]
         self.assertEqual([Verdict.ADMITTED, Verdict.ADMITTED, Verdict.BUDGET_EXCEEDED], verdicts)
 
-    def test_given_a_budget_that_turns_fill_exactly_when_it_is_one_token_less_then_the_last_is_spent(self):
+    def test_turn_that_uses_the_budget_exactly_is_admitted_and_one_token_less_rejects_it(self):
         for budget, verdict in ((200, Verdict.ADMITTED), (199, Verdict.BUDGET_EXCEEDED)):
             program = Program(self.table, f"of {budget}", budget)
             program.reserve("a", session="a")
             self.assertEqual(verdict, program.reserve("b", session="b").verdict)
 
-    def test_given_a_turn_ends_early_when_settled_then_its_tokens_come_back(self):
+    def test_settling_with_fewer_tokens_releases_the_rest(self):
         self.program.reserve("a")
         self.program.reserve("b", fingerprint=2, session="other")
         self.program.settle("a", 30)
         outcome = self.program.reserve("c", fingerprint=3)
         self.assertEqual((Verdict.ADMITTED, 230, 30), (outcome.verdict, outcome.total, outcome.settled))
 
-    def test_given_more_was_handed_out_than_reserved_when_settled_then_the_true_figure_counts(self):
+    def test_settling_with_more_tokens_than_reserved_counts_the_delivered_tokens(self):
         self.program.reserve("a")
         self.program.settle("a", 160)
         self.assertEqual(
-            (Verdict.BUDGET_EXCEEDED, 160, 160), self.figures(self.program.reserve("b", fingerprint=2))
+            (Verdict.BUDGET_EXCEEDED, 160, 160),
+            self.verdict_and_totals(self.program.reserve("b", fingerprint=2)),
         )
 
-    def test_given_no_budget_when_turns_come_then_all_are_admitted(self):
+    def test_program_without_a_budget_is_always_admitted(self):
         for budget in (0, -1):
             program = Program(self.table, f"without {budget}", budget)
             self.assertEqual({Verdict.ADMITTED}, {program.reserve(str(n), n).verdict for n in range(50)})
 
-    def test_given_an_outcome_when_the_command_is_repeated_then_it_is_the_same_and_adds_nothing(self):
+    def test_duplicate_reservation_gets_the_same_outcome_and_adds_no_tokens(self):
         for name in "abc":
             first = self.program.reserve(name, session=name)
             self.assertEqual(first, self.program.reserve(name, session=name))
 
-    def test_given_a_settlement_when_it_is_repeated_then_nothing_changes(self):
+    def test_duplicate_settlement_changes_nothing(self):
         self.program.reserve("a")
         self.program.settle("a", 60)
         self.program.settle("a", 60)
         self.assertEqual(160, self.program.reserve("b", fingerprint=2).total)
 
-    def test_given_a_settled_turn_when_its_reservation_comes_late_then_it_is_not_admitted(self):
+    def test_reservation_that_arrives_after_its_settlement_is_rejected(self):
         self.program.settle("early", 0, TurnEnd.NOT_EXECUTED)
         outcome = self.program.reserve("early")
-        self.assertEqual((Verdict.RETRY_LATER, 0, 0), self.figures(outcome))
+        self.assertEqual((Verdict.RETRY_LATER, 0, 0), self.verdict_and_totals(outcome))
         self.assertGreater(outcome.retry_after_ms, 0)
 
-    def figures(self, outcome):
+    def verdict_and_totals(self, outcome):
         return outcome.verdict, outcome.total, outcome.settled
 
 
@@ -119,52 +125,52 @@
         outcome = self.program.reserve(reservation, fingerprint=7, **other)
         return outcome.verdict, outcome.retry_after_ms
 
-    def test_given_few_turns_when_a_broken_one_is_repeated_then_the_floor_admits_it(self):
-        self.program.broken_turn()
+    def test_retry_is_admitted_while_the_total_is_below_the_floor(self):
+        self.program.interrupted_turn()
         self.assertEqual((Verdict.ADMITTED, 0), self.retry())
 
-    def test_given_many_turns_when_retries_pass_their_share_then_they_are_told_when_to_come_back(self):
-        self.program.turns(5)
-        self.program.broken_turn()
+    def test_retries_beyond_their_share_are_rejected_with_retry_after(self):
+        self.program.complete_turns(5)
+        self.program.interrupted_turn()
         self.assertEqual((Verdict.ADMITTED, 0), self.retry("second"))
-        self.program.settle("second", MOST, TurnEnd.INTERRUPTED)
+        self.program.settle("second", MAX_TOKENS, TurnEnd.INTERRUPTED)
         self.assertEqual((Verdict.RETRY_LATER, 1000), self.retry("third"))
         self.assertEqual((Verdict.ADMITTED, 0), self.retry("fourth", spare_capacity=True))
 
-    def test_given_a_refused_retry_when_more_turns_ran_then_the_retry_is_admitted(self):
-        self.program.broken_turn()
+    def test_rejected_retry_is_admitted_after_more_turns(self):
+        self.program.interrupted_turn()
         for name in ("second", "third"):
             self.retry(name, spare_capacity=True)
-            self.program.settle(name, MOST, TurnEnd.INTERRUPTED)
-        self.program.turns(10)
+            self.program.settle(name, MAX_TOKENS, TurnEnd.INTERRUPTED)
+        self.program.complete_turns(10)
         self.assertEqual(Verdict.RETRY_LATER, self.retry("fourth")[0])
         for number in range(10, 15):
             self.program.reserve(f"turn {number}", session=f"session {number}")
         self.assertEqual(Verdict.ADMITTED, self.retry("fifth")[0])
 
-    def test_given_a_whole_turn_when_the_same_comes_again_then_it_is_no_retry(self):
-        self.program.turns(5)
+    def test_repeating_a_complete_turn_is_not_a_retry(self):
+        self.program.complete_turns(5)
         for number in range(20):
             self.assertEqual(Verdict.ADMITTED, self.retry(str(number))[0])
-            self.program.settle(str(number), MOST)
+            self.program.settle(str(number), MAX_TOKENS)
 
-    def test_given_a_turn_is_open_when_it_is_repeated_then_both_stay_reserved_and_one_is_a_retry(self):
-        self.program.turns(2)
+    def test_repeating_an_open_turn_is_a_retry_and_both_stay_reserved(self):
+        self.program.complete_turns(2)
         self.program.reserve("first try", fingerprint=7)
         self.assertEqual(400, self.program.reserve("second", fingerprint=7).total)
         self.assertEqual(Verdict.RETRY_LATER, self.retry("third")[0])
 
-    def test_given_retries_that_did_not_run_when_repeated_then_they_count_for_nothing(self):
-        self.program.turns(8)
-        self.program.broken_turn(TurnEnd.NOT_EXECUTED, 0)
+    def test_retries_that_were_not_executed_are_not_counted(self):
+        self.program.complete_turns(8)
+        self.program.interrupted_turn(TurnEnd.NOT_EXECUTED, 0)
         for number in range(20):
             self.assertEqual(Verdict.ADMITTED, self.retry(str(number))[0])
             self.program.settle(str(number), 0, TurnEnd.NOT_EXECUTED)
 
-    def test_given_the_budget_is_spent_when_a_turn_is_repeated_then_it_is_spent_and_no_retry(self):
+    def test_retry_beyond_the_budget_gets_budget_exceeded_and_is_not_counted(self):
         self.program.budget = 400
-        self.program.turns(3)
-        self.program.broken_turn()
+        self.program.complete_turns(3)
+        self.program.interrupted_turn()
         for number in range(9):
             self.assertEqual((Verdict.BUDGET_EXCEEDED, 0), self.retry(str(number)))
         self.program.budget = 1000
@@ -172,12 +178,12 @@
 
 
 class BoundsTest(testtools.TestCase):
-    def test_given_a_table_when_saved_and_restored_then_it_goes_on_as_before(self):
+    def test_restored_table_gives_the_same_outcomes_as_the_original(self):
         table = BudgetTable(max_active=2)
         programs = [Program(table, f"program {number}") for number in range(4)]
         for program in programs:
-            program.turns(2)
-            program.broken_turn()
+            program.complete_turns(2)
+            program.interrupted_turn()
         programs[-1].reserve("open", fingerprint=9)
         copy = BudgetTable(max_active=2)
         copy.restore(table.snapshot())
@@ -188,71 +194,71 @@
             self.assertEqual(outcome, programs[number].reserve("next", fingerprint=7))
         self.assertEqual(table.snapshot(), copy.snapshot())
 
-    def test_given_a_table_in_use_when_saved_step_by_step_then_it_is_the_one_of_the_beginning(self):
+    def test_snapshot_in_steps_holds_the_state_at_its_start(self):
         for seed in range(30):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             table, other = BudgetTable(4, 20), BudgetTable(4, 20)
-            play((table, other), chance, 200)
-            expected, image, state = table.snapshot(), table.begin_snapshot(), None
+            apply_random_commands((table, other), rng, 200)
+            expected, pending_snapshot, state = table.snapshot(), table.begin_snapshot(), None
             while state is None:
-                play((table, other), chance, 3)
-                state = image.advance()
+                apply_random_commands((table, other), rng, 3)
+                state = pending_snapshot.advance()
             self.assertEqual(expected, state)
-            play((table, other), chance, 50)
+            apply_random_commands((table, other), rng, 50)
             self.assertEqual(other.snapshot(), table.snapshot())
 
-    def test_given_a_restored_table_when_used_then_it_saves_the_same_bytes_as_the_original(self):
+    def test_restored_table_produces_the_same_snapshot_bytes_after_further_use(self):
         for seed in range(30):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             table, restored = BudgetTable(4, 20), BudgetTable(4, 20)
-            self.patch(snapshot_codec, "IDLE_PROGRAMS_PER_LINE", chance.randint(1, 4))
-            play((table,), chance, 200)
+            self.patch(snapshot_codec, "IDLE_PROGRAMS_PER_LINE", rng.randint(1, 4))
+            apply_random_commands((table,), rng, 200)
             restored.restore(table.begin_snapshot().finish())
-            play((table, restored), chance, 60)
+            apply_random_commands((table, restored), rng, 60)
             self.assertEqual(table.snapshot(), restored.snapshot())
 
-    def test_given_a_second_snapshot_when_the_first_goes_on_then_each_is_of_its_own_moment(self):
+    def test_overlapping_snapshots_each_hold_the_state_at_their_own_start(self):
         table = BudgetTable(4, 20)
-        chance = random.Random(1)
-        play((table,), chance, 50)
+        rng = random.Random(1)
+        apply_random_commands((table,), rng, 50)
         first, before = table.begin_snapshot(), table.snapshot()
-        play((table,), chance, 50)
+        apply_random_commands((table,), rng, 50)
         second, after = table.begin_snapshot(), table.snapshot()
-        play((table,), chance, 50)
+        apply_random_commands((table,), rng, 50)
         self.assertEqual(after, second.finish())
-        play((table,), chance, 50)
+        apply_random_commands((table,), rng, 50)
         self.assertEqual(before, first.finish())
 
-    def test_given_the_largest_table_when_it_is_saved_then_no_step_writes_more_than_a_few_programs(self):
+    def test_no_snapshot_step_of_a_large_table_encodes_more_than_a_few_programs(self):
         table = BudgetTable()
         for number in range(400):
-            Program(table, f"program {number}", budget=10**9).turns(70)
-        image, lines, most = table.begin_snapshot(), 0, 0
-        while image.advance() is None:
-            most = max(most, image.line_count - lines)
-            lines = image.line_count
-        self.assertLess(most, 40)
-
-    def test_given_more_programs_than_are_kept_when_one_comes_back_then_its_tokens_are_known(self):
+            Program(table, f"program {number}", budget=10**9).complete_turns(70)
+        pending_snapshot, lines, max_lines = table.begin_snapshot(), 0, 0
+        while pending_snapshot.advance() is None:
+            max_lines = max(max_lines, pending_snapshot.line_count - lines)
+            lines = pending_snapshot.line_count
+        self.assertLess(max_lines, 40)
+
+    def test_totals_of_an_idle_program_are_kept_when_it_becomes_active_again(self):
         table = BudgetTable(max_active=4)
-        old = Program(table, "old")
-        old.turns(3)
-        still_open = Program(table, "open")
-        still_open.reserve("a")
+        returning = Program(table, "old")
+        returning.complete_turns(3)
+        with_open_turn = Program(table, "open")
+        with_open_turn.reserve("a")
         for number in range(50):
-            Program(table, f"program {number}").turns(1)
-        self.assertEqual(400, old.reserve("next").total)
-        still_open.settle("a", 20)
-        self.assertEqual(20, still_open.reserve("b", fingerprint=2).settled)
+            Program(table, f"program {number}").complete_turns(1)
+        self.assertEqual(400, returning.reserve("next").total)
+        with_open_turn.settle("a", 20)
+        self.assertEqual(20, with_open_turn.reserve("b", fingerprint=2).settled)
 
-    def test_given_all_programs_have_open_turns_when_one_must_go_then_it_counts_at_its_most(self):
+    def test_open_turn_of_a_program_that_becomes_idle_counts_at_its_maximum(self):
         table = BudgetTable(max_active=4)
         for number in range(9):
             Program(table, f"program {number}").reserve("a")
         outcome = Program(table, "program 0").reserve("b", fingerprint=2)
         self.assertEqual((200, 100), (outcome.total, outcome.settled))
 
-    def test_given_endless_programs_and_turns_when_they_go_on_then_the_table_stays_small(self):
+    def test_table_size_stays_bounded_with_many_programs_and_turns(self):
         table = BudgetTable(max_active=4, max_idle=8)
         for number in range(300):
             Program(table, f"program {number}").reserve("a")
@@ -260,15 +266,15 @@
         self.assertLess(len(table.snapshot()), 20_000)
 
 
-class CarriedTest(testtools.TestCase):
-    def test_given_commands_when_encoded_and_decoded_then_they_are_the_same(self):
+class CommandsAndShardsTest(testtools.TestCase):
+    def test_commands_are_unchanged_by_encoding_and_decoding(self):
         settlements = (Settlement("prögram", "a", 7, 2), Settlement("", "", 0, 0))
         reserves = (Reserve("prögram", "session", "r", 2**63 - 1, 5, -1, True),)
         self.assertEqual(
             ([*settlements], [*reserves]), decode_commands(encode_commands(settlements, reserves))
         )
 
-    def test_given_programs_when_spread_over_shards_then_each_has_its_share_and_keeps_it(self):
+    def test_programs_are_spread_evenly_over_shards_by_a_fixed_hash(self):
         shards = [shard_of(f"program {number}", 4) for number in range(4000)]
         self.assertEqual(set(shard_names(4)), set(shards))
         self.assertTrue(all(800 < shards.count(name) < 1200 for name in shard_names(4)))
--- a/tests/tier/test_guards.py
+++ b/tests/tier/test_guards.py
@@ -72,7 +72,7 @@
     ".test_emptied_disk_gets_a_new_identity_and_keeps_it",
     "reservation-first": "test_dataplane_streams.TurnBudgetTest.test_spent_budget_gives_402_without_a_send",
     "reservation-name": "test_budgets_table.BudgetTest"
-    ".test_given_an_outcome_when_the_command_is_repeated_then_it_is_the_same_and_adds_nothing",
+    ".test_duplicate_reservation_gets_the_same_outcome_and_adds_no_tokens",
     "instance": "test_dataplane_requests.ForwardingTest"
     ".test_method_path_query_body_and_headers_are_forwarded_unchanged",
     "answer-id": "test_guards.TestAnswers.test_an_answer_that_names_no_request_or_two_is_given_to_nobody",
@@ -114,9 +114,8 @@
     "elsewhere": "test_gateway_contact.GatewayContactTest"
     ".test_gateway_without_replies_from_other_machines_loses_contact_within_a_second",
     "forgotten-name": "test_budgets_repeats.NamesTest"
-    ".test_given_a_settlement_when_it_comes_again_past_the_bound_then_its_tokens_count_once",
-    "budget-room": "test_budgets_table.BoundsTest"
-    ".test_given_endless_programs_and_turns_when_they_go_on_then_the_table_stays_small",
+    ".test_tokens_of_a_duplicate_settlement_count_once_after_its_name_was_dropped",
+    "budget-room": "test_budgets_table.BoundsTest.test_table_size_stays_bounded_with_many_programs_and_turns",
     "budget-answer": "test_guards.TestBudgetReplies.test_a_reply_to_another_request_is_not_taken",
     "reply-number": "test_protocol_replies.RepliesTest"
     ".test_given_a_reply_later_than_its_time_when_another_waits_then_that_one_does_not_get_it",
