--- a/kestrelbend/gateway/external_authorization/grpc/check.py
+++ b/kestrelbend/gateway/external_authorization/grpc/check.py
@@ -71,7 +71,7 @@
 
 
 class Checks(external_auth_pb2_grpc.AuthorizationServicer):  # type: ignore[misc]  # generated, without types
-    """The front: `deliver`, `throttled`, `errored`, `succeeded` and `cancel` are called by the owner.
+    """The front; the owner calls `deliver`, `cancel` and the methods `respond_*`.
 
     `admitted`: checks that were let in and are not settled, by the proxy's request id.
     """
@@ -130,7 +130,7 @@
         check = PendingCheck(self, requested, self.clock(), wait_s, request_id)
         self.queue.put_nowait(RequestTaken(check))
         try:
-            return await check.response
+            return await check.response_future
         except asyncio.CancelledError:
             counters["checks_left"] += 1
             self.queue.put_nowait(ClientLeft(check))
@@ -157,10 +157,10 @@
 
     def answer(self, check: PendingCheck, response: Any, outcome: str) -> bool:
         """Answers a check; False where nobody waits for it any more.  `outcome` ends a counter's name."""
-        if check.response.done():
+        if check.response_future.done():
             return False
         counters["checks_" + outcome] += 1
-        check.response.set_result(response)
+        check.response_future.set_result(response)
         return True
 
     def deliver(self, delivery: Delivery, check: PendingCheck) -> None:
@@ -213,18 +213,18 @@
     def cancel(self, delivery: Delivery) -> None:
         """What the proxy was let send cannot be called back; its place counts until it is settled."""
 
-    def throttled(self, check: PendingCheck, retry_after: int) -> None:
+    def respond_throttled(self, check: PendingCheck, retry_after: int) -> None:
         """The decisions reject it; `retry_after`: microseconds, 0: no advice."""
         headers: Iterable[tuple[str, str]] = ()
         if retry_after > 0:
             headers = [("retry-after", f"{retry_after / MICROSECONDS_OF_SECOND:.3f}")]
         self.answer(check, denied_response(TOO_MANY_REQUESTS, "beyond its plan\n", headers), "denied")
 
-    def errored(self, check: PendingCheck, status: int = UNAVAILABLE) -> None:
+    def respond_error(self, check: PendingCheck, status: int = UNAVAILABLE) -> None:
         """It cannot be served; the answer is 503, whatever a listener for HTTP would say."""
         self.answer(check, denied_response(UNAVAILABLE, "cannot be served now\n"), "errored")
 
-    def succeeded(self, check: PendingCheck, *_: object) -> None:
+    def respond_success(self, check: PendingCheck, *_: object) -> None:
         """Its answer was that it is admitted: there is no other."""
 
     async def start(self) -> None:
--- a/kestrelbend/gateway/net/accept_queue.py
+++ b/kestrelbend/gateway/net/accept_queue.py
@@ -42,7 +42,7 @@
 TIMEOUT_HEADER: Final = re.compile(rb"\r\nX-Timeout:[ \t]*([0-9.]{1,16})[ \t]*\r\n", re.IGNORECASE)
 
 
-def listen_address(env: Mapping[str, str], path: str | None = None) -> tuple[str, int] | None:
+def read_listen_address(env: Mapping[str, str], path: str | None = None) -> tuple[str, int] | None:
     """Read the host and port to listen on from the TOML file at `path` or from the platform's environment.
 
     Returns None if they cannot be read. `configuration` reads all settings later and reports the errors.
@@ -183,7 +183,7 @@
 
         The gateway then waits for the address itself once it is loaded, or reports the error.
         """
-        at = listen_address(env, path)
+        at = read_listen_address(env, path)
         if at is None:
             return None
         try:
--- a/kestrelbend/gateway/net/backends.py
+++ b/kestrelbend/gateway/net/backends.py
@@ -21,7 +21,7 @@
 from .connection_reuse import REUSE_DELAY_S, ReuseHistory
 from .connections import MAX_BODY_BYTES
 from .events import BackendProbed, DeliveryEnded
-from .headers import RETURNED_HEADERS, forwarded_headers, load_report, reported_number
+from .headers import RETURNED_HEADERS, forwarded_headers, parse_load_report, parse_reported_number
 from .metrics import DescriptorLimits, counters
 from .sending import ReuseDelayPending, SendAttempt, SendNotAllowed, StaleConnection
 
@@ -188,9 +188,11 @@
                 {name: response_headers[name] for name in RETURNED_HEADERS if name in response_headers},
             )
             result = self._result_of_response(status, response_headers)
-            load = load_report(response_headers.get("X-Server-Load"))
+            load = parse_load_report(response_headers.get("X-Server-Load"))
             charged_units = (
-                reported_number(response_headers.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE)
+                parse_reported_number(
+                    response_headers.get("Api-Charge"), self.settings["most_units"] or MAX_CHARGE
+                )
                 or 0
             )
             used_fraction = self._used_fraction(response_headers)
@@ -216,7 +218,7 @@
         """The fraction of its quota that the customer has used, if responses report it."""
         if not self.settings["meter_period"]:
             return None
-        percent = reported_number(headers.get("Api-Used"), MAX_USED_PERCENT)
+        percent = parse_reported_number(headers.get("Api-Used"), MAX_USED_PERCENT)
         return None if percent is None else percent / PERCENT
 
     async def _exchange(
@@ -316,7 +318,7 @@
             path = LOAD_PATH if expects_load else PING_PATH
             status, body, _ = await self._exchange(attempt, "GET", path, timeout_s)
             result = Result.SUCCEEDED if status == OK else Result.ERRORED
-            load = load_report(body) if expects_load and status == OK else None
+            load = parse_load_report(body) if expects_load and status == OK else None
         except Exception as error:  # noqa: BLE001  any error ends the probe with an event
             result = self._result_of_error(error, attempt)
         finally:
--- a/kestrelbend/gateway/net/clients.py
+++ b/kestrelbend/gateway/net/clients.py
@@ -39,7 +39,7 @@
 NANOSECONDS_PER_MICROSECOND: Final = 1000
 MICROSECONDS_PER_SECOND: Final = 1_000_000
 ACCEPT_RETRY_S: Final = 10 * SETTLE_S
-RESERVED_PART: Final = 16  # a sixteenth of the descriptors is kept free when connections are accepted
+RESERVED_DIVISOR: Final = 16  # a sixteenth of the descriptors is kept free when connections are accepted
 CLOSING_STATUSES: Final = (400, 408, 409, 413)  # after these, unread data may be left on the connection
 
 
@@ -149,9 +149,9 @@
         """
         while True:
             try:
-                connection, held = self._next_connection()
+                connection, held = self._accept_connection()
                 if not self.sockets.has_room_for_client(
-                    pending=self.sockets.max_descriptors // RESERVED_PART
+                    pending=self.sockets.max_descriptors // RESERVED_DIVISOR
                 ):
                     await self._make_room()
                 await self.serve_connection(connection, held)
@@ -159,7 +159,7 @@
                 self.backlog_since = None
                 if self.accepts_only_waiting:
                     return
-                await self._connection_waits()
+                await self._wait_for_connection()
             except OSError as error:
                 counters["accept_failed"] += 1
                 log.warning("accept failed", extra={"why": repr(error)})
@@ -177,14 +177,14 @@
 
     async def _make_room(self) -> None:
         """Free descriptors until one more client may be accepted."""
-        made = self.server.make_room()
+        made_room = self.server.make_room()
         while not self.sockets.has_room_for_client():
-            if not made:
+            if not made_room:
                 self.free_connections()
-            await asyncio.sleep(SETTLE_S / 5 if made else 2 * SETTLE_S)
-            made = self.sockets.has_room_for_client() or self.server.make_room()
+            await asyncio.sleep(SETTLE_S / 5 if made_room else 2 * SETTLE_S)
+            made_room = self.sockets.has_room_for_client() or self.server.make_room()
 
-    async def _connection_waits(self) -> None:
+    async def _wait_for_connection(self) -> None:
         """Wait until a connection can be accepted or the listener is to be closed.
 
         The caller accepts the connection without awaiting anything before: an awaited accept that is
@@ -202,7 +202,7 @@
         if self.connection_ready is not None and not self.connection_ready.done():
             self.connection_ready.set_result(None)
 
-    def _next_connection(self) -> tuple[socket.socket, HeldConnection | None]:
+    def _accept_connection(self) -> tuple[socket.socket, HeldConnection | None]:
         """Accept a connection; return it and, if it has waited since the startup, the bytes it sent.
 
         Those bytes may have arrived up to 0.4 s before they are read. A gateway that did not count this time
@@ -223,17 +223,17 @@
         if message.method == "GET" and message.path == HEALTH_PATH:
             response = web.Response(status=503 if self.draining else 200)
             self.server.request_finished(connection)
-        elif self.member_view is not None and self._asks_for_members(message):
+        elif self.member_view is not None and self._is_members_request(message):
             response = web.json_response(self.member_view())
             self.server.request_finished(connection)
         else:
-            response = await self._invocation(message, connection)
+            response = await self._handle_invocation(message, connection)
         if self.draining or connection.ends_with_response or response.status in CLOSING_STATUSES:
             response.force_close()
         return response
 
     @staticmethod
-    def _asks_for_members(message: web.BaseRequest) -> bool:
+    def _is_members_request(message: web.BaseRequest) -> bool:
         """Whether a request comes from the command `kestrelbend members` on this machine."""
         return (
             message.path == MEMBERS_PATH
@@ -241,14 +241,14 @@
             and str(message.remote).startswith(LOOPBACK_PREFIX)
         )
 
-    async def _invocation(self, message: web.BaseRequest, connection: Connection) -> web.Response:
+    async def _handle_invocation(self, message: web.BaseRequest, connection: Connection) -> web.Response:
         """Return the owner's response to a request for a backend; 400 or 413 if it is malformed.
 
         The connection is busy only once the request is complete. Until then it counts as idle, and `_inspect`
         closes it if the request is not completed in time.
         """
         try:
-            request = await self._read(message, connection)
+            request = await self._read_request(message, connection)
         except (ValueError, web.RequestPayloadError) as error:
             counters["malformed"] += 1
             return web.Response(status=400, text=f"{error}\n")
@@ -261,8 +261,8 @@
         self.server.request_started(connection)
         self.queue.put_nowait(RequestTaken(request))
         try:
-            answer: web.Response = await request.response
-            return answer
+            web_response: web.Response = await request.response_future
+            return web_response
         except asyncio.CancelledError:
             counters["clients_left"] += 1
             self.queue.put_nowait(ClientLeft(request))
@@ -271,7 +271,7 @@
             self.open_requests.pop(request.id, None)
             self.server.request_finished(connection)
 
-    async def _read(self, message: web.BaseRequest, connection: Connection) -> Request:
+    async def _read_request(self, message: web.BaseRequest, connection: Connection) -> Request:
         """Read a complete request.
 
         Raises `ValueError` (such as `MalformedRequest`) if it violates the protocol, aiohttp's
@@ -285,8 +285,8 @@
             await writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             writer.output_size = 0  # the final response has not started
         body = await message.read() if message.body_exists else b""
-        came = self.clock() - self._microseconds_since_received(message, connection)
-        request = Request(message.method, message.raw_path, message.headers, body, came, self.settings)
+        arrived_at = self.clock() - self._microseconds_since_received(message, connection)
+        request = Request(message.method, message.raw_path, message.headers, body, arrived_at, self.settings)
         if request.operation not in self.operations or request.plan not in self.plans:
             raise ValueError("no such operation or plan")
         if request.id in self.open_requests:
@@ -296,13 +296,13 @@
     @staticmethod
     def _microseconds_since_received(message: web.BaseRequest, connection: Connection) -> int:
         """Return the microseconds since a request was received."""
-        came = connection.received_at
+        arrived_at = connection.received_at
         connection.received_at = None
-        if came is None:
+        if arrived_at is None:
             return microseconds_since_last_data(
                 message.transport and message.transport.get_extra_info("socket")
             )
-        return (time.monotonic_ns() - came) // NANOSECONDS_PER_MICROSECOND
+        return (time.monotonic_ns() - arrived_at) // NANOSECONDS_PER_MICROSECOND
 
     @staticmethod
     def respond(request: Request, outcome: str, **response: Any) -> None:
@@ -310,17 +310,17 @@
 
         `outcome`: the name of the counter. `response`: the arguments of `web.Response`.
         """
-        if request.response.cancelled():
+        if request.response_future.cancelled():
             return
-        if check_invariant(not request.response.done(), "one_answer"):
+        if check_invariant(not request.response_future.done(), "one_answer"):
             counters[outcome] += 1
-            request.response.set_result(web.Response(**response))
+            request.response_future.set_result(web.Response(**response))
 
-    def succeeded(self, request: Request, body: bytes, headers: Mapping[str, str]) -> None:
+    def respond_success(self, request: Request, body: bytes, headers: Mapping[str, str]) -> None:
         """Respond with the backend's response."""
         self.respond(request, "succeeded", body=body, headers=headers)
 
-    def throttled(self, request: Request, retry_after: int) -> None:
+    def respond_throttled(self, request: Request, retry_after: int) -> None:
         """Respond with a rejection; `retry_after`: microseconds until a retry is advised, 0 for no advice.
 
         Retry-After has fractions of a second by the clients' protocol; RFC 9110, section 10.2.3 allows only
@@ -329,14 +329,14 @@
         headers = {"Retry-After": f"{retry_after / MICROSECONDS_PER_SECOND:.3f}"} if retry_after > 0 else None
         self.respond(request, "throttled", status=429, headers=headers)
 
-    def denied(self, request: Request, verdict: Verdict) -> None:
+    def respond_denied(self, request: Request, verdict: Verdict) -> None:
         """Respond with an authoriser's denial, or with one for an authoriser that did not respond."""
         headers = CIMultiDict(verdict.headers)
         if verdict.why and verdict.status == 503:
             headers["Retry-After"] = "1"
         self.respond(request, "denied", status=verdict.status, headers=headers, body=verdict.body)
 
-    def errored(self, request: Request, status: int = 502) -> None:
+    def respond_error(self, request: Request, status: int = 502) -> None:
         """Respond with an error; the request may have been executed or not (RFC 9110, section 15.6.3)."""
         self.respond(request, "errored", status=status)
 
@@ -355,13 +355,15 @@
         self.accepting.cancel()
         await asyncio.wait({self.accepting})
         self.listener.close()
-        await self._end_connections()
-        for request in [request for request in self.open_requests.values() if not request.response.done()]:
-            self.errored(request)  # each client gets a response, whatever delays its request
+        await self._close_connections()
+        for request in [
+            request for request in self.open_requests.values() if not request.response_future.done()
+        ]:
+            self.respond_error(request)  # each client gets a response, whatever delays its request
             self.queue.put_nowait(ClientLeft(request))
         await asyncio.sleep(4 * SETTLE_S)
 
-    async def _end_connections(self) -> None:
+    async def _close_connections(self) -> None:
         """Close connections until none is left, for at most the maximum duration of an invocation."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.max_duration_s
--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -20,8 +20,8 @@
 Address = tuple[str, int]
 """Host and port."""
 
-PORT_LIMIT: Final = 65536  # exclusive
-DEFAULT_MAX_DESCRIPTORS: Final = 1024
+PORT_LIMIT: Final = 65536  # exclusive; port 0 is invalid as well
+DEFAULT_DESCRIPTOR_LIMIT: Final = 1024
 HEXADECIMAL: Final = 16
 
 
@@ -30,7 +30,7 @@
     """The configuration of one gateway.
 
     `discovery`: host:port of the discovery service. `counter`: address of the counter service, None without
-    one. `seed`: seed of the random generators. `max_descriptors`: descriptors that the process may hold.
+    one. `seed`: seed of the random generators. `descriptor_limit`: descriptors that the process may hold.
     `known_endpoints`: the last endpoint list of this gateway, in discovery's format. `settings`: the settings
     of the decisions, by name. `reread`: reads the configuration again after a change; raises `Malformed`.
     `logs`: format and level of the log. `members`: settings of the membership, None without one. `news`: the
@@ -44,7 +44,7 @@
     discovery: str
     counter: Address | None
     seed: int
-    max_descriptors: int
+    descriptor_limit: int
     known_endpoints: dict[str, Any] | None
     settings: dict[str, Any]
     reread: Callable[[], GatewayConfiguration] | None = None
@@ -92,78 +92,82 @@
     path = env.get("ROUTER_CONFIG")
     if not path:
         raise Malformed("ROUTER_CONFIG names no configuration file")
-    given = _read_json(path)
+    document = _read_json(path)
 
-    def need(variable: str, key: str) -> Any:
-        value = given.get(key) or env.get(variable) if prefer_file else env.get(variable) or given.get(key)
+    def require(variable: str, key: str) -> Any:
+        value = (
+            document.get(key) or env.get(variable) if prefer_file else env.get(variable) or document.get(key)
+        )
         if not value:
             raise Malformed(f"neither {variable} nor {key!r} in {path} is given")
         return value
 
     try:
-        seed = int(str(given.get("seed", "0")), HEXADECIMAL)
-        max_descriptors = int(given.get("limits", {}).get("sockets", DEFAULT_MAX_DESCRIPTORS))
+        seed = int(str(document.get("seed", "0")), HEXADECIMAL)
+        descriptor_limit = int(document.get("limits", {}).get("sockets", DEFAULT_DESCRIPTOR_LIMIT))
     except (ValueError, AttributeError, TypeError) as error:
         raise Malformed(f"{path}: {error}") from None
-    discovery = need("ROUTER_DISCOVERY", "discovery")
+    discovery = require("ROUTER_DISCOVERY", "discovery")
     address(discovery, "discovery")
     return GatewayConfiguration(
-        name=need("ROUTER_NAME", "name"),
-        listen=address(need("ROUTER_LISTEN", "listen"), "listen"),
+        name=require("ROUTER_NAME", "name"),
+        listen=address(require("ROUTER_LISTEN", "listen"), "listen"),
         discovery=discovery,
         seed=seed,
-        max_descriptors=max_descriptors,
-        known_endpoints=given.get("known"),
-        counter=address(given["counter"], "counter") if given.get("counter") else None,
-        settings=settings(dict(flatten(given["settings"]))),
+        descriptor_limit=descriptor_limit,
+        known_endpoints=document.get("known"),
+        counter=address(document["counter"], "counter") if document.get("counter") else None,
+        settings=settings(dict(flatten(document["settings"]))),
         reread=lambda: read(os.environ, prefer_file=True),
-        members=read_platform_membership(env, given),
-        news=read_platform_usage_exchange(env, given),
+        members=read_platform_membership(env, document),
+        news=read_platform_usage_exchange(env, document),
     )
 
 
 def _read_json(path: str) -> dict[str, Any]:
     try:
         with open(path, encoding="utf-8") as file:
-            given = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError) as error:
         raise Malformed(f"{path}: {error}") from None
-    if not isinstance(given, dict) or not isinstance(given.get("settings"), dict):
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
         raise Malformed(f"{path}: holds no settings")
-    return given
+    return document
 
 
 def read_platform_usage_exchange(
-    env: Mapping[str, str], given: Mapping[str, Any]
+    env: Mapping[str, str], document: Mapping[str, Any]
 ) -> UsageExchangeAddresses | None:
     """Read the addresses of the platform's usage exchange; None if it is off.
 
     It is on if the settings allow messages between gateways and no membership uses those messages.
     """
-    stated = given["settings"]
+    stated = document["settings"]
     limits = stated.get("policyLimits", {})
     max_datagrams_per_s = stated.get("familyInfo", {}).get("peerInPerS", 0)
     is_off = env.get("KESTRELBEND_MEMBERS") or env.get("KESTRELBEND_NEWS") == "off"
-    has_addresses = all(given.get(name) for name in ("peer_listen", "peers", "peers_all"))
+    has_addresses = all(document.get(name) for name in ("peer_listen", "peers", "peers_all"))
     if is_off or not limits.get("peers") or not max_datagrams_per_s or not has_addresses:
         return None
     return UsageExchangeAddresses(
-        listen=address(given["peer_listen"], "peer_listen"),
+        listen=address(document["peer_listen"], "peer_listen"),
         max_datagrams_per_s=float(max_datagrams_per_s),
-        peers=[address(peer, "peers") for peer in given["peers"]],
-        broadcast=address(given["peers_all"], "peers_all"),
+        peers=[address(peer, "peers") for peer in document["peers"]],
+        broadcast=address(document["peers_all"], "peers_all"),
     )
 
 
-def read_platform_membership(env: Mapping[str, str], given: Mapping[str, Any]) -> MembershipSettings | None:
+def read_platform_membership(
+    env: Mapping[str, str], document: Mapping[str, Any]
+) -> MembershipSettings | None:
     """Read the settings of the platform's membership; None if it is off. Raises `Malformed`.
 
     It is on if KESTRELBEND_MEMBERS names a file with the keys and the settings allow messages between
     gateways. The platform provides the peers' addresses, among which this gateway's is at its own number.
     """
     path = env.get("KESTRELBEND_MEMBERS")
-    limits = given["settings"].get("policyLimits", {})
-    if not path or not limits.get("peers") or not given.get("peer_listen") or not given.get("peers"):
+    limits = document["settings"].get("policyLimits", {})
+    if not path or not limits.get("peers") or not document.get("peer_listen") or not document.get("peers"):
         return None
     # Imported only if needed, as CPU time is scarce at startup.
     import tomllib
@@ -174,11 +178,11 @@
     try:
         with open(path, "rb") as file:
             stated = tomllib.load(file)
-        number = int(given["settings"].get("index", 0))
+        number = int(document["settings"].get("index", 0))
         stated |= {
-            "listen": given["peer_listen"],
-            "peers": list(given["peers"]),
-            "seen_at": given["peers"][number],
+            "listen": document["peer_listen"],
+            "peers": list(document["peers"]),
+            "seen_at": document["peers"][number],
         }
         members, faults = convert(Members, stated)
         if faults:
@@ -186,7 +190,7 @@
     except (OSError, ValueError, IndexError, InvalidFile) as error:
         raise Malformed(f"KESTRELBEND_MEMBERS: {error}") from None
     assert members is not None  # `convert` returns an instance if there are no faults
-    return members.to_membership_settings(env.get("ROUTER_NAME") or given["name"])
+    return members.to_membership_settings(env.get("ROUTER_NAME") or document["name"])
 
 
 def read_file(path: str) -> GatewayConfiguration:
@@ -204,7 +208,7 @@
         discovery=str(stated.discovery),
         counter=stated.counter_at.host_and_port if stated.counter_at else None,
         seed=int(stated.seed, HEXADECIMAL),
-        max_descriptors=stated.limits.sockets,
+        descriptor_limit=stated.limits.sockets,
         known_endpoints=None,
         settings=stated.settings(),
         reread=lambda: read_file(path),
--- a/kestrelbend/gateway/net/connections.py
+++ b/kestrelbend/gateway/net/connections.py
@@ -205,11 +205,11 @@
         now = asyncio.get_running_loop().time()
         silent = next(filter(self.is_closable, self.unused), None)
         longest_idle = next(filter(self.is_closable, self.idle), None)
-        half_closed = next(
+        half_closed_handler = next(
             (handler for handler in self.all_connections if handler.client_transport.half_closed), None
         )
-        if half_closed is not None and self.sockets.excess_clients() < 0:
-            half_closed.client_transport.transport.close()  # this makes room without closing others
+        if half_closed_handler is not None and self.sockets.excess_clients() < 0:
+            half_closed_handler.client_transport.transport.close()  # this makes room without closing others
             return True
         if silent is not None and (now - silent.inactive_since > 4 * SETTLE_S or longest_idle is None):
             self.unused.pop(silent)
@@ -218,7 +218,7 @@
             self.idle.pop(longest_idle)
             self.close_gracefully(longest_idle)
         else:
-            return half_closed is not None or any(
+            return half_closed_handler is not None or any(
                 not handler.has_open_request() for handler in (*self.unused, *self.idle)
             )
         counters["connections_closed_for_room"] += 1
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -50,7 +50,7 @@
     "authorisers",
 )
 """Fields of the configuration that SIGHUP does not change; `known_endpoints` is used only at startup."""
-UPSTREAM: Final = EndpointRow("upstream", "", "", 0, EndpointState.READY, 1.0, 0)
+UPSTREAM_BACKEND: Final = EndpointRow("upstream", "", "", 0, EndpointState.READY, 1.0, 0)
 """The only backend if a proxy routes the admitted requests."""
 
 
@@ -102,14 +102,14 @@
     may_probe = config.settings["may_probe"] and not share_probes
     owner = Owner({**config.settings, "may_probe": may_probe}, config.seed, clock, queue)
     owner.gateway.context.started_at -= loading_us
-    limits = metrics.DescriptorLimits(config.max_descriptors)
+    limits = metrics.DescriptorLimits(config.descriptor_limit)
     backends = BackendClient(queue, clock, config.settings, limits)
     owner.backend_client = backends
     owner.clients = Clients(
         queue, clock, config.settings, limits, backends.retire_pools, max_duration_s(config)
     )
     owner.counter = CounterClient(queue, config.counter, config.settings, owner.gateway.counter.timeout)
-    owner.discovery = EndpointDiscovery(queue, config.discovery, owner.list_received)
+    owner.discovery = EndpointDiscovery(queue, config.discovery, owner.block_changed_backends)
     return owner
 
 
@@ -119,7 +119,7 @@
     The known list may be out of date, and the gateway must respect discovery's list from its first request.
     """
     if config.checks is not None and config.checks.upstream:
-        owner.endpoints_listed([UPSTREAM], True)
+        owner.endpoints_listed([UPSTREAM_BACKEND], True)
     else:
         owner.discovery.watch()
         await owner.discovery.wait_for_first_response()
@@ -182,18 +182,18 @@
     counters["reloads"] += 1
     assert config.reread is not None  # set when the configuration was read
     try:
-        new = config.reread()
+        new_config = config.reread()
     except Malformed as error:
         logging.error("configuration not taken", extra={"why": str(error)})
         return
-    owner.discovery.set_address(new.discovery)
-    owner.counter.set_address(new.counter)
-    owner.clients.sockets.max_descriptors = new.max_descriptors
+    owner.discovery.set_address(new_config.discovery)
+    owner.counter.set_address(new_config.counter)
+    owner.clients.sockets.max_descriptors = new_config.descriptor_limit
     for key in APPLIED_AT_NEXT_START:
-        if repr(getattr(new, key)) != repr(getattr(config, key)):
+        if repr(getattr(new_config, key)) != repr(getattr(config, key)):
             logging.warning("changed, holds from the next start", extra={"key": key})
-    counter = configuration.format_address(new.counter) if new.counter else "none"
-    logging.info("configuration taken", extra={"discovery": new.discovery, "counter": counter})
+    counter = configuration.format_address(new_config.counter) if new_config.counter else "none"
+    logging.info("configuration taken", extra={"discovery": new_config.discovery, "counter": counter})
 
 
 def report(owner: Owner) -> None:
--- a/kestrelbend/gateway/net/headers.py
+++ b/kestrelbend/gateway/net/headers.py
@@ -38,7 +38,7 @@
     return [(name, value) for name, value in headers.items() if name.lower() not in excluded]
 
 
-def load_report(text: str | bytes | None) -> dict[str, float] | None:
+def parse_load_report(text: str | bytes | None) -> dict[str, float] | None:
     """Parse a backend's load report; the result uses the metric names of the decisions.
 
     Returns None if there is no report, or if it cannot be parsed; the latter is counted.
@@ -55,7 +55,7 @@
         return None
 
 
-def reported_number(text: str | None, maximum: float) -> float | None:
+def parse_reported_number(text: str | None, maximum: float) -> float | None:
     """Parse a number from 0 to `maximum` in a response header; None if it is missing or invalid.
 
     The header holds the units that replace the estimate, or the customer's usage at all gateways in percent
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -28,7 +28,7 @@
     from .usage_exchange import UsageExchangePeer
 
 log = logging.getLogger(__name__)
-MAX_LOGGED_FAULTS: Final = 20
+MAX_LOGGED_EXCEPTIONS: Final = 20
 SHARED_PROBES_INTERVAL_S: Final = 0.1  # between checks of which backends this gateway has to probe
 MICROSECONDS_PER_SECOND: Final = 1e6
 LATENESS_DECAY: Final = 32  # each timer event reduces the known lateness by 1/32
@@ -44,10 +44,10 @@
     def cancel(self, delivery: Delivery, /) -> None:
         """Cancel a delivery that nobody waits for any more."""
 
-    def throttled(self, request: Any, retry_after: int, /) -> None:
+    def respond_throttled(self, request: Any, retry_after: int, /) -> None:
         """Respond with a rejection; `retry_after`: microseconds until a retry is advised, 0 for no advice."""
 
-    def errored(self, request: Any, /) -> None:
+    def respond_error(self, request: Any, /) -> None:
         """Respond with an error."""
 
 
@@ -133,29 +133,29 @@
             try:
                 self.handlers[type(event)](event)
             except Exception:  # noqa: BLE001  a bug must not end the service
-                self.fault(event.label, event.invocation())
+                self.handle_exception(event.label, event.invocation())
 
     def run(self, task: Task, value: Any = None) -> None:
         """Resume a task; an exception affects only this task, not the event whose handler resumed it."""
         try:
             super().run(task, value)
         except Exception:  # noqa: BLE001  a bug must not end the service
-            self.fault("run", task.inv)
+            self.handle_exception("run", task.inv)
 
-    def fault(self, where: str, inv: Invocation | None) -> None:
+    def handle_exception(self, where: str, inv: Invocation | None) -> None:
         """Log an unexpected exception and end the invocation that it concerns.
 
         The client gets an error, which does not say whether the request was executed. `where`: the label of
         the event.
         """
         counters["faults"] += 1
-        if counters["faults"] <= MAX_LOGGED_FAULTS:
+        if counters["faults"] <= MAX_LOGGED_EXCEPTIONS:
             log.exception("fault", extra={"on": where})
         if inv is None:
             return
         if not inv.done:
             inv.done = True
-            self.front_of(inv).errored(self.requests[inv])
+            self.front_of(inv).respond_error(self.requests[inv])
         self.tasks.pop(inv, None)
         self.release_if_complete(inv)
 
@@ -175,16 +175,16 @@
         request = event.request
         operation = self.operations[request.operation]
         customer = self.customer_state(request.plan, request.customer, request.spread)
-        wait = (
+        timeout = (
             operation.timeout
             if request.timeout_s is None
             else round(request.timeout_s * MICROSECONDS_PER_SECOND)
         )
-        until = request.received_at + wait - min(self.timer_lateness, wait // MAX_LATENESS_DIVISOR)
-        inv = Invocation(operation, customer, request.received_at, until, request.units, request.retry)
+        deadline = request.received_at + timeout - min(self.timer_lateness, timeout // MAX_LATENESS_DIVISOR)
+        inv = Invocation(operation, customer, request.received_at, deadline, request.units, request.retry)
         request.inv = inv
         self.requests[inv] = request
-        if request.response.cancelled():
+        if request.response_future.cancelled():
             inv.done = True
         self.start_invocation(inv)
 
@@ -203,7 +203,7 @@
         final = event.result is Result.SUCCEEDED and not inv.done
         if final:
             assert event.response is not None  # because the delivery succeeded
-            self.clients.succeeded(self.requests[inv], *event.response)
+            self.clients.respond_success(self.requests[inv], *event.response)
         self.delivery_ended(
             delivery,
             event.result,
@@ -228,7 +228,7 @@
         delivery = event.delivery
         if event.denial is not None and not delivery.inv.done:
             delivery.inv.done = True
-            self.clients.denied(self.requests[delivery.inv], event.denial)
+            self.clients.respond_denied(self.requests[delivery.inv], event.denial)
         self.delivery_ended(delivery, event.result, 0, False, None, 0)
 
     def on_timer_due(self, event: events.TimerDue) -> None:
@@ -279,7 +279,7 @@
 
     # Events of discovery.
 
-    def list_received(self, received: EndpointList) -> None:
+    def block_changed_backends(self, received: EndpointList) -> None:
         """Block the backends that a received list removes or moves until its event is handled.
 
         No request to them is started from now on. Discovery calls this before it puts the list's event on the
@@ -290,15 +290,15 @@
         concerned: Set[Any] = self.listed.keys() if received.complete else {row.uid for row in received.rows}
         for uid in concerned & self.backends.keys():
             backend = self.backends[uid]
-            moves = uid in received.endpoints and client.endpoints.get(backend) != received.endpoints[uid]
-            if uid not in ready or moves:
+            is_moved = uid in received.endpoints and client.endpoints.get(backend) != received.endpoints[uid]
+            if uid not in ready or is_moved:
                 client.blocked[backend] = received
 
     def on_endpoints_received(self, event: events.EndpointsReceived) -> None:
         """Apply the addresses and states of a received endpoint list."""
         received = event.endpoints
         listed_before = set(self.listed)
-        self._lift_bars(received)
+        self._unblock_backends(received)
         self.endpoints_listed(received.rows, received.complete)
         endpoints: Mapping[Any, str] = received.endpoints
         for uid in self.listed.keys() & endpoints.keys():
@@ -308,11 +308,13 @@
             self.departed_at[uid] = self.gateway.now
         self._forget_departed()
 
-    def _lift_bars(self, received: EndpointList) -> None:
+    def _unblock_backends(self, received: EndpointList) -> None:
         """Unblock the backends that this list blocked, as it is being applied now."""
-        barred = self.backend_client.blocked
-        for backend in [backend for backend, barred_by in barred.items() if barred_by is received]:
-            del barred[backend]
+        blocking_lists = self.backend_client.blocked
+        for backend in [
+            backend for backend, endpoint_list in blocking_lists.items() if endpoint_list is received
+        ]:
+            del blocking_lists[backend]
 
     def _forget_departed(self) -> None:
         """Remove the state of backends that departed long ago.
@@ -352,11 +354,11 @@
 
     def throttle(self, inv: Invocation, retry_after: int) -> None:
         """Reject a request; `retry_after`: microseconds until a retry is advised, 0 for no advice."""
-        self.front_of(inv).throttled(self.requests[inv], retry_after)
+        self.front_of(inv).respond_throttled(self.requests[inv], retry_after)
 
     def fail(self, inv: Invocation) -> None:
         """Respond to a request with an error."""
-        self.front_of(inv).errored(self.requests[inv])
+        self.front_of(inv).respond_error(self.requests[inv])
 
     def set_timer(self, task: Task, until: int) -> events.TimerDue:
         """Set a timer that resumes the task at `until`; return the event that it will put on the queue."""
--- a/kestrelbend/gateway/net/requests.py
+++ b/kestrelbend/gateway/net/requests.py
@@ -58,7 +58,7 @@
 
     `timeout_s`: the client's timeout, None if it states none. `units`: the request's size. `spread`: number
     of gateways that receive the customer's requests. `retry`: whether the client marked it as a retry.
-    `received_at`: microseconds of the gateway's clock. `response`: a future, completed exactly once. `inv`:
+    `received_at`: microseconds of the gateway's clock. `response_future`: completed exactly once. `inv`:
     the invocation that the decisions make of it. `front`: the `owner.RequestFront` that responds to it, None
     if the clients' listener does.
     """
@@ -73,7 +73,7 @@
         "spread",
         "retry",
         "received_at",
-        "response",
+        "response_future",
         "inv",
     )
 
@@ -90,7 +90,7 @@
     def __init__(self, received_at: int) -> None:
         self.received_at = received_at
         self.inv: Invocation | None = None
-        self.response: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+        self.response_future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
 
 class Request(IncomingRequest):
@@ -150,7 +150,11 @@
 
     def client_left(self) -> bool:
         """Whether the client has disconnected, as far as the loop has read."""
-        return self.response.cancelled() or self.connection is not None and self.connection.is_disconnected()
+        return (
+            self.response_future.cancelled()
+            or self.connection is not None
+            and self.connection.is_disconnected()
+        )
 
     def has_unread_data(self) -> bool:
         """Whether data or an end of file from the client waits to be read."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -18,7 +18,7 @@
 from kestrelbend.gateway.settings import platform, toml_files, units
 from kestrelbend.gateway.settings.installation import Installation
 from kestrelbend.gateway.net import configuration
-from kestrelbend.gateway.net.accept_queue import listen_address
+from kestrelbend.gateway.net.accept_queue import read_listen_address
 from tests.helpers import StandIns, run
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "gateway.toml"
@@ -177,7 +177,7 @@
                     for line in text.splitlines()
                 )
             path.write_text(text)
-            assert listen_address({}, str(path)) == tuple(world.listen)
+            assert read_listen_address({}, str(path)) == tuple(world.listen)
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1253,7 +1253,7 @@
                 world.told,
                 listen=(world.listen[0], 0),
                 seed=n,
-                max_descriptors=1 << 16,
+                descriptor_limit=1 << 16,
                 settings={**world.told.settings, "gateway": n},
             )
             for n in range(1, number)
