--- a/Makefile
+++ b/Makefile
@@ -29,7 +29,7 @@
 run: build
 	exec .venv/bin/python -O -m kestrelbend
 
-# Runs four real gateways on loopback through a retry storm of one customer and the loss of a backend; takes less
+# Runs four real gateways on loopback through a retry storm of one customer; a backend fails midway.  Takes less
 # than a minute.
 demo: build
 	.venv/bin/kestrelbend lab emulate --sockets examples/storm.toml --report demo.html
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,7 +28,7 @@
 
 
 def read_known_failures():
-    """Returns the columns of each line; raises pytest.UsageError for a line of another form."""
+    """Returns the columns of each line; raises pytest.UsageError if the list is invalid."""
     if not KNOWN_RED_FILE.exists():
         return []
     lines = [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
