--- a/benchmarks/repeat_under_load.py
+++ b/benchmarks/repeat_under_load.py
@@ -1,6 +1,7 @@
 """Runs tests repeatedly beside busy processes, to find tests that depend on the clock of the machine.
 
-python benchmarks/repeat_under_load.py --busy 8 --times 20 tests/test_crossings.py tests/test_lab_sockets.py
+python benchmarks/repeat_under_load.py --busy 8 --times 20 \
+    tests/test_gateway_races.py tests/test_lab_sockets.py
 
 Each run writes its failures to `target/repeat/RUN/failures.txt`.  At the end every failed test is printed
 with the number of its failures.  The busy processes end with this process.
--- a/tests/test_crossings.py
+++ b/tests/test_gateway_races.py
@@ -1,7 +1,7 @@
-"""Two events that cross, on real sockets, in the order that hurts: docs/design/crossings.md has the table.
+"""Races between two events on real sockets, each in its unfavourable order; see docs/design/crossings.md.
 
-The gateway and its stand-ins share one loop, so that what a test does without awaiting happens in one turn of
-the gateway's loop: what the kernel has by then is there, and nobody has read it.
+The gateway and the fake services run on one event loop. Whatever a test does without awaiting therefore
+happens within one iteration of the gateway's loop: the kernel has the data, but the gateway has not read it.
 """
 
 import asyncio
@@ -36,8 +36,8 @@
 C1 = "/op/00000000000000c1"
 
 
-def plain(address):
-    """A client's socket that acts at once, not at the loop's next turn."""
+def connect_blocking(address):
+    """A client socket whose calls take effect at once, not in the loop's next iteration."""
     connection = socket.create_connection(address)
     connection.setblocking(False)
     return connection
@@ -50,17 +50,17 @@
     ).encode()
 
 
-async def answer(connection, seconds=3):
-    """All that comes until the far end closes."""
-    loop, said = asyncio.get_running_loop(), b""
+async def read_until_closed(connection, seconds=3):
+    """All data until the other end closes the connection."""
+    loop, received_bytes = asyncio.get_running_loop(), b""
     async with asyncio.timeout(seconds):
         while more := await loop.sock_recv(connection, 1 << 16):
-            said += more
-    return said
+            received_bytes += more
+    return received_bytes
 
 
-def at_once(writer, what):
-    """Do something to the socket under a stream now: the loop learns of it when it reads."""
+def act_on_socket(writer, what):
+    """Act on the socket of a stream immediately; the loop notices only when it reads."""
     connection = socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
     try:
         what(connection)
@@ -68,8 +68,8 @@
         connection.close()
 
 
-class Gate:
-    """Holds deliveries at a named point: their connection is up, and nothing is written."""
+class ConnectedGate:
+    """Holds deliveries after their connection is established and before anything is written."""
 
     def __init__(self, monkeypatch):
         self.reached, self.open, connected = asyncio.Event(), asyncio.Event(), sending._connect_finished
@@ -82,11 +82,11 @@
         monkeypatch.setattr(sending, "_connect_finished", held)
 
 
-# The list.
+# Endpoint lists.
 
 
 class ScriptedDiscovery(StandDiscovery):
-    """Each call meets the next of `play`; then the list as it is."""
+    """Responds to each call with the next item of `play`, and with the current list after the last one."""
 
     async def open(self):
         self.play, self.stuck, self.slow = [], False, 0
@@ -101,7 +101,7 @@
             if what == "silent":
                 await reader.read()
                 return
-            if what == "trickle":  # bytes, and no end
+            if what == "trickle":  # data without end
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n")
                 while not reader.at_eof():
                     writer.write(b" ")
@@ -113,8 +113,8 @@
             if isinstance(what, bytes):
                 writer.write(what)
                 continue
-            if self.stuck and "since=" in line:  # nothing has changed, it says, at once
-                what = self.told(False, [])
+            if self.stuck and "since=" in line:  # responds at once that nothing has changed
+                what = self.list_response(False, [])
             await asyncio.sleep(self.slow)
             if what is None and "since=" in line:
                 since = int(line.split("since=")[1].split("&")[0])
@@ -123,16 +123,16 @@
                 while since >= self.rev and time.monotonic() < end:
                     await asyncio.sleep(0.01)
                 if since >= self.rev:
-                    what = self.told(False, [])
-            writer.write(self.told(True, self.rows) if what is None else what)
+                    what = self.list_response(False, [])
+            writer.write(self.list_response(True, self.rows) if what is None else what)
 
-    def told(self, whole, rows, rev=None):
-        body = json.dumps({"rev": rev or self.rev, "all": whole, "targets": rows}).encode()
+    def list_response(self, complete, rows, rev=None):
+        body = json.dumps({"rev": rev or self.rev, "all": complete, "targets": rows}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-class Listed:
-    """A gateway whose discovery follows a script from the first list on."""
+class ScriptedDiscoveryWorld:
+    """A gateway that is moved to a scripted discovery after its first list."""
 
     async def __aenter__(self):
         self.world = await World(2).__aenter__()
@@ -148,7 +148,7 @@
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
-def changed(world):
+def rows_with_s0_draining(world):
     return [world.rows[0] | {"state": "draining"}, world.rows[1]]
 
 
@@ -163,32 +163,32 @@
         ["trickle", "cut", "silent", BUSY, REDIRECT],
     ],
 )
-def test_a_change_is_told_within_six_seconds_whatever_calls_fail(calls):
-    """Term 1.  A silent watch and a silent connect, one after the other, took 6.1 s."""
+def test_change_is_applied_within_six_seconds_despite_failing_calls(calls):
+    """Term 1. Without hedging, a stuck watch followed by a stuck connect delayed a change by 6.1 s."""
 
     async def test():
-        async with Listed() as (world, discovery):
+        async with ScriptedDiscoveryWorld() as (world, discovery):
             discovery.play = [None, *calls]
             world.owner.discovery.set_address(discovery.address)
-            await world.until(lambda: len(discovery.asked) == 2)  # the watch is open, and fails
-            discovery.rev, discovery.rows, at = 7, changed(world), time.monotonic()
+            await world.until(lambda: len(discovery.asked) == 2)  # the watch is open and will fail
+            discovery.rev, discovery.rows, at = 7, rows_with_s0_draining(world), time.monotonic()
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
             assert time.monotonic() - at < 6 and world.owner.backends["s1"].state is EndpointState.READY
 
     run(test())
 
 
-def test_a_watch_that_answers_and_says_nothing_for_ever_does_not_hide_a_change():
-    """Seen at other users': a list that stops returning entries without an error."""
+def test_watch_that_never_reports_changes_does_not_hide_a_change():
+    """Reported by users of other systems: a watch that stops returning entries, without an error."""
 
     async def test():
-        async with Listed() as (world, discovery):
+        async with ScriptedDiscoveryWorld() as (world, discovery):
             world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
-            discovery.rows, at = changed(world), time.monotonic()  # and its version stays
+            discovery.rows, at = rows_with_s0_draining(world), time.monotonic()  # its version is unchanged
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 6)
             assert time.monotonic() - at < 6
-            # Nor does one that answers at once, for ever; it is not asked without a pause either.
+            # Nor does a watch that always responds at once, which is also not called without a pause.
             discovery.rows, discovery.stuck = world.rows, True
             asked, at = len(discovery.asked), time.monotonic()
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.READY, 6)
@@ -198,30 +198,30 @@
 
 
 @pytest.mark.parametrize("rev, whole, taken", [(2, False, False), (2, True, False), (9, False, True)])
-def test_changes_up_to_an_older_version_are_none(rev, whole, taken):
-    """A part of discovery that lags must not call a draining backend ready again."""
+def test_changes_of_an_older_version_are_ignored(rev, whole, taken):
+    """A lagging instance of discovery must not make a draining backend ready again."""
 
     async def test():
-        async with Listed() as (world, discovery):
-            discovery.rev, discovery.rows = 7, changed(world)
-            discovery.play = [None, discovery.told(whole, world.rows, rev)]
+        async with ScriptedDiscoveryWorld() as (world, discovery):
+            discovery.rev, discovery.rows = 7, rows_with_s0_draining(world)
+            discovery.play = [None, discovery.list_response(whole, world.rows, rev)]
             world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) > 3, 5)
             state = world.owner.backends["s0"].state
             assert state is (EndpointState.READY if taken else EndpointState.DRAINING)
-            assert taken or "since" not in discovery.asked[2]  # the whole list settles it
+            assert taken or "since" not in discovery.asked[2]  # the complete list was requested
 
     run(test())
 
 
-def test_a_discovery_that_began_anew_is_believed_when_it_says_so_twice():
+def test_restarted_version_numbers_are_accepted_after_a_second_complete_list():
     async def test():
-        async with Listed() as (world, discovery):
+        async with ScriptedDiscoveryWorld() as (world, discovery):
             discovery.rev = 40
             world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
-            discovery.rev, discovery.rows = 2, changed(world)
-            discovery.play = [discovery.told(True, discovery.rows)]
+            discovery.rev, discovery.rows = 2, rows_with_s0_draining(world)
+            discovery.play = [discovery.list_response(True, discovery.rows)]
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 5)
             assert world.owner.discovery.version == 2
 
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed",
     [
         b'{"rev": 1e999, "all": true, "targets": []}',
         b"[]",
@@ -240,48 +240,51 @@
         b"",
     ],
 )
-def test_no_odd_list_ends_the_watch(odd):
+def test_malformed_list_does_not_end_the_watch(malformed):
     async def test():
-        async with Listed() as (world, discovery):
-            discovery.play = [None, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(odd), odd)]
+        async with ScriptedDiscoveryWorld() as (world, discovery):
+            discovery.play = [
+                None,
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(malformed), malformed),
+            ]
             world.owner.discovery.set_address(discovery.address)
             await world.until(lambda: len(discovery.asked) == 2)
-            discovery.rev, discovery.rows = 7, changed(world)
+            discovery.rev, discovery.rows = 7, rows_with_s0_draining(world)
             await world.until(lambda: world.owner.backends["s0"].state is EndpointState.DRAINING, 5)
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "spoilt", [{"endpoint": "x"}, {"endpoint": None}, {"boot_ms": "soon"}, {"capacity_hint": []}]
+    "invalid_fields", [{"endpoint": "x"}, {"endpoint": None}, {"boot_ms": "soon"}, {"capacity_hint": []}]
 )
-def test_that_a_backend_drains_holds_whatever_else_its_entry_lacks(spoilt):
-    told = {
+def test_draining_state_is_applied_even_if_other_fields_are_invalid(invalid_fields):
+    response = {
         "rev": 3,
         "all": False,
-        "targets": [{"uid": "s1", "endpoint": "127.0.0.1:80", "state": "draining", **spoilt}],
+        "targets": [{"uid": "s1", "endpoint": "127.0.0.1:80", "state": "draining", **invalid_fields}],
     }
-    assert [(entry[0], entry[4]) for entry in endpoint_discovery.parse_endpoint_list(told)[2]] == [
+    assert [(entry[0], entry[4]) for entry in endpoint_discovery.parse_endpoint_list(response)[2]] == [
         ("s1", EndpointState.DRAINING)
     ]
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
-def test_the_list_of_an_address_left_is_not_applied_over_that_of_the_new_one(answer_first):
-    """SIGHUP: its answer is there, unread or in the queue, when the watch moves."""
+def test_list_of_the_former_discovery_address_is_not_applied_after_the_change(answer_first):
+    """On SIGHUP, a response of the former address is unread or queued when the address changes."""
 
     async def test():
-        async with Listed() as (world, discovery):
+        async with ScriptedDiscoveryWorld() as (world, discovery):
             owner, old = world.owner, world.discovery
             await world.until(lambda: len(old.asked) == 2 and old.writers)
-            late = discovery.told(True, [world.rows[0] | {"state": "gone"}], 90)
+            stale_list = discovery.list_response(True, [world.rows[0] | {"state": "gone"}], 90)
             discovery.rev = 1
-            acts = [
-                lambda: at_once(next(iter(old.writers)), lambda c: c.send(late)),
+            actions = [
+                lambda: act_on_socket(next(iter(old.writers)), lambda c: c.send(stale_list)),
                 lambda: owner.discovery.set_address(discovery.address),
             ]
-            for act in acts if answer_first else acts[::-1]:
-                act()
+            for action in actions if answer_first else actions[::-1]:
+                action()
             await world.until(lambda: len(discovery.asked) == 2)
             assert len(owner.listed) == 2 and owner.discovery.version == 1
             assert "since" not in discovery.asked[0]
@@ -297,11 +300,13 @@
     return Delivery(inv, target, owner.clock(), until, 0, until)
 
 
-@pytest.mark.parametrize("told_first", [True, False])
+@pytest.mark.parametrize("list_first", [True, False])
 @pytest.mark.parametrize("how", ["draining", "gone", "left out", "moved"])
-def test_nothing_goes_by_a_list_older_than_one_in_the_queue(told_first, how, monkeypatch):
-    """A delivery decided on the old list gets its connection as the new list waits to be taken in."""
-    gate = Gate(monkeypatch)
+def test_delivery_decided_on_an_older_list_is_not_sent_once_a_newer_one_is_queued(
+    list_first, how, monkeypatch
+):
+    """The delivery's connection is established while the new list is queued and not yet applied."""
+    gate = ConnectedGate(monkeypatch)
 
     async def test():
         async with World(2) as world:
@@ -313,15 +318,15 @@
                 "left out": [world.rows[1]],
                 "moved": [entry | {"endpoint": world.backends[1].address}],
             }[how]
-            told = endpoint_discovery.parse_endpoint_list(
+            endpoint_list = endpoint_discovery.parse_endpoint_list(
                 {"rev": 90, "all": how == "left out", "targets": rows}
             )
             owner.backend_client.queue = sent
             owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
             await gate.reached.wait()
-            acts = [lambda: owner.discovery.apply(told), gate.open.set]
-            for act in acts if told_first else acts[::-1]:
-                act()
+            actions = [lambda: owner.discovery.apply(endpoint_list), gate.open.set]
+            for action in actions if list_first else actions[::-1]:
+                action()
             assert (await sent.get()).result is Result.VOID
             assert not world.backends[0].seen and not world.backends[1].seen
             await world.until(lambda: not owner.backend_client.blocked)
@@ -329,22 +334,22 @@
     run(test())
 
 
-def test_a_start_asks_for_the_list_before_it_goes_by_the_old_one(monkeypatch):
-    """What the agent has counts as told from the first moment; `known` may be old, and a request waits."""
+def test_startup_requests_the_list_before_it_uses_the_stored_one(monkeypatch):
+    """Rules count from the moment at which discovery has a list; the stored `known` list may be outdated."""
 
     async def test():
         async with World(familyInfo__mayCount="false") as world:
-            waits = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
-            client = plain(waits.listener.getsockname())
+            startup_queue = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
+            client = connect_blocking(startup_queue.listener.getsockname())
             client.send(request(1, wait="1.5"))
             discovery = await ScriptedDiscovery(world.rows[0] | {"state": "draining"}).open()
             discovery.slow = 0.1
-            told = replace(
+            configuration = replace(
                 world.told,
                 discovery=discovery.address,
                 known_endpoints={"rev": 1, "all": True, "targets": world.rows},
             )
-            owner, serving = await start(told, waits)
+            owner, serving = await start(configuration, startup_queue)
             assert b" 429 " in await asyncio.get_running_loop().sock_recv(client, 999)
             assert not world.backends[0].seen
             client.close()
@@ -354,17 +359,17 @@
     run(test())
 
 
-def test_a_start_goes_by_the_old_list_while_discovery_is_silent():
+def test_startup_uses_the_stored_list_if_discovery_does_not_respond():
     async def test():
         async with World() as world:
-            told = world.told
-            told.known_endpoints = {"rev": 1, "all": True, "targets": world.rows}
+            configuration = world.told
+            configuration.known_endpoints = {"rev": 1, "all": True, "targets": world.rows}
             world.discovery.silent = True
-            waits = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
-            client = plain(waits.listener.getsockname())
+            startup_queue = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
+            client = connect_blocking(startup_queue.listener.getsockname())
             client.send(request(1))
             at = time.monotonic()
-            owner, serving = await start(told, waits)
+            owner, serving = await start(configuration, startup_queue)
             assert b" 200 " in await asyncio.get_running_loop().sock_recv(client, 999)
             assert time.monotonic() - at < 1
             client.close()
@@ -373,18 +378,18 @@
     run(test())
 
 
-# Clients that leave.
+# Clients that disconnect.
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "half closed", "with bytes before the end"])
 @pytest.mark.parametrize("left_first", [True, False])
-def test_no_attempt_begins_for_a_client_whose_end_lies_unread(how, left_first, monkeypatch):
-    """Term 2: it leaves in the turn in which its delivery gets its connection."""
-    gate = Gate(monkeypatch)
+def test_request_is_not_sent_if_the_disconnect_of_its_client_is_unread(how, left_first, monkeypatch):
+    """Term 2. The client disconnects in the loop iteration in which its delivery gets a connection."""
+    gate = ConnectedGate(monkeypatch)
 
     async def test():
         async with World() as world:
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             client.send(request(1))
             await gate.reached.wait()
 
@@ -398,8 +403,8 @@
                 else:
                     client.close()
 
-            for act in (leave, gate.open.set) if left_first else (gate.open.set, leave):
-                act()
+            for action in (leave, gate.open.set) if left_first else (gate.open.set, leave):
+                action()
             await world.until(
                 lambda: not world.owner.requests and not world.owner.backend_client.delivery_tasks
             )
@@ -409,11 +414,11 @@
     run(test())
 
 
-def test_no_further_attempt_begins_for_a_client_that_left_as_the_first_one_ended(monkeypatch):
+def test_request_is_not_retried_if_its_client_disconnects_as_the_first_attempt_ends(monkeypatch):
     async def test():
         async with World(2) as world:
             first = world.owner.backend_client
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             for backend in world.backends:
                 backend.play = ["hang"]
             client.send(request(1))
@@ -424,7 +429,7 @@
                 )
             )
             writer = next(w for b in world.backends for w in b.writers if b.seen)
-            at_once(writer, lambda c: c.shutdown(socket.SHUT_RDWR))
+            act_on_socket(writer, lambda c: c.shutdown(socket.SHUT_RDWR))
             client.close()
             await world.until(lambda: not world.owner.requests and not first.delivery_tasks)
             assert sum(len(b.seen) for b in world.backends) == 1
@@ -432,14 +437,14 @@
     run(test())
 
 
-def test_a_request_found_together_with_its_clients_end_is_not_sent_on():
-    """After a stall of the gateway both lie there."""
+def test_request_read_together_with_its_clients_disconnect_is_not_sent():
+    """After a stall of the gateway, both are unread."""
 
     async def test():
         async with World() as world:
-            assert (await world.ask())[0] == 200  # a kept connection waits
+            assert (await world.ask())[0] == 200  # leaves a kept-alive connection
             await asyncio.sleep(0.05)
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             await world.until(lambda: world.owner.clients.server.unused)
             client.send(request(1))
             client.close()
@@ -450,11 +455,11 @@
     run(test())
 
 
-def test_a_client_that_leaves_while_the_counter_is_asked_gets_no_attempt():
+def test_request_is_not_sent_if_its_client_disconnects_during_the_counter_call():
     async def test():
         async with World(familyInfo__countWait=300) as world:
             world.counter.play = ["silent"]
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             client.send(request(1))
             await world.until(lambda: world.counter.calls)
             client.close()
@@ -464,21 +469,23 @@
     run(test())
 
 
-# Attempts.
+# Attempts to send.
 
 
-@pytest.mark.parametrize("said", [b"", b"half a li", b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd"])
+@pytest.mark.parametrize(
+    "received_bytes", [b"", b"half a li", b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd"]
+)
 @pytest.mark.parametrize("effect", ["at_most_once", "idempotent"])
-def test_a_kept_connection_that_ends_or_speaks_as_a_request_would_be_written_is_not_used(
-    said, effect, monkeypatch
+def test_kept_connection_that_is_closed_or_receives_data_before_the_write_is_not_used(
+    received_bytes, effect, monkeypatch
 ):
-    """Nothing was written, so the delivery goes on another connection: what may not be repeated, too."""
-    chosen, acts = ResponseReader.set_response_params, []
+    """Nothing was written, so even a non-idempotent request goes on another connection."""
+    chosen, actions = ResponseReader.set_response_params, []
 
-    def choose(answers, **more):
-        chosen(answers, **more)
-        while acts:
-            acts.pop()()
+    def choose(reader, **more):
+        chosen(reader, **more)
+        while actions:
+            actions.pop()()
 
     monkeypatch.setattr(ResponseReader, "set_response_params", choose)
 
@@ -490,8 +497,11 @@
             stale, sent = counters["kept_connections_stale"], asyncio.Queue()
             owner.backend_client.queue = sent
             writer = next(iter(backend.writers))
-            acts.append(
-                lambda: at_once(writer, lambda c: c.send(said) if said else c.shutdown(socket.SHUT_RDWR))
+            actions.append(
+                lambda: act_on_socket(
+                    writer,
+                    lambda c: c.send(received_bytes) if received_bytes else c.shutdown(socket.SHUT_RDWR),
+                )
             )
             target = owner.backends["s0"]
             owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
@@ -502,30 +512,30 @@
     run(test())
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_requests():
+def test_late_second_response_is_not_taken_for_the_next_requests():
     async def test():
         async with World() as world:
             good = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
             world.backends[0].play = [b"raw " + good + b"good<a moment later>" + good + b"late"]
             on = await connect(*world.listen)
             assert (await world.ask(on=on))[2] == b"good"
-            assert (await world.ask(on=on))[2] == b"fine"  # well within that moment
+            assert (await world.ask(on=on))[2] == b"fine"  # well within the reuse delay
             assert (await world.ask(on=on))[2] == b"fine"
 
     run(test())
 
 
-async def trusted(world):
-    """The backend has been silent after its answers as often as it takes; one connection is kept to it."""
+async def complete_quiet_delays(world):
+    """Let the backend complete all initial reuse delays quietly; one kept-alive connection is left."""
     for n in range(INITIAL_REUSE_DELAYS):
         assert (await world.ask(f"/op/{0xF0 + n:016x}"))[0] == 200
         await asyncio.sleep(2 * REUSE_DELAY_S)
 
 
-def test_a_backend_seen_to_be_silent_after_its_answers_is_asked_again_at_once():
+def test_connection_of_a_backend_with_enough_quiet_delays_is_reused_at_once():
     async def test():
         async with World() as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             kept, on = set(world.backends[0].writers), await connect(*world.listen)
             for n in range(5):
                 assert (await world.ask(f"/op/{n:016x}", on=on))[2] == b"fine"
@@ -535,10 +545,10 @@
 
 
 @pytest.mark.parametrize("noise", [b"noise", b"<a moment later>noise"])
-def test_a_backend_that_spoke_out_of_its_turn_has_to_be_silent_again_first(noise):
+def test_unsolicited_data_brings_the_reuse_delays_back(noise):
     async def test():
         async with World() as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             good = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
             world.backends[0].play = [
                 b"raw " + good + b"good" + noise,
@@ -548,21 +558,21 @@
             assert (await world.ask(on=on))[2] == b"good"
             await asyncio.sleep(2 * REUSE_DELAY_S)
             assert (await world.ask(on=on))[2] == b"good"
-            assert (await world.ask(on=on))[2] == b"fine"  # well within that moment
+            assert (await world.ask(on=on))[2] == b"fine"  # well within the reuse delay
             assert (await world.ask(on=on))[2] == b"fine"
 
     run(test())
 
 
-def test_a_late_second_answer_of_a_backend_that_was_silent_before_is_not_the_next_requests():
+def test_late_second_response_without_reuse_delays_is_not_taken_for_the_next_requests():
     async def test():
         async with World() as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             good = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
             world.backends[0].play = [b"raw " + good + b"good<a moment later>" + good + b"late"]
             on = await connect(*world.listen)
             assert (await world.ask(on=on))[2] == b"good"
-            assert (await world.ask(on=on))[2] == b"fine"  # well within that moment
+            assert (await world.ask(on=on))[2] == b"fine"  # well within the reuse delay
 
     run(test())
 
@@ -571,28 +581,28 @@
 LATE = b"raw " + GOOD + b"good<a moment later>" + GOOD + b"late"
 
 
-def test_a_slow_backends_next_request_waits_until_its_connection_is_silent():
-    def slow(moments, said=GOOD + b"slow"):
-        return b"raw " + b"<a moment later>" * moments + said
+def test_request_to_a_slow_backend_waits_until_the_connection_has_settled():
+    def slow(moments, received_bytes=GOOD + b"slow"):
+        return b"raw " + b"<a moment later>" * moments + received_bytes
 
     async def test():
         async with World() as world:
             backend, on = world.backends[0], await connect(*world.listen)
             backend.play = [slow(4)] * 3
-            await trusted(world)
+            await complete_quiet_delays(world)
             kept = set(backend.writers)
             backend.play = [slow(4), slow(4), slow(4, LATE.removeprefix(b"raw ")), slow(4)]
-            for said in (b"slow", b"slow", b"good", b"slow"):
-                assert (await world.ask(on=on))[2] == said
+            for received_bytes in (b"slow", b"slow", b"good", b"slow"):
+                assert (await world.ask(on=on))[2] == received_bytes
             assert len(kept) == 1 and len(backend.seen) == 3 + 4 and not kept & backend.writers
 
     run(test())
 
 
-def test_a_request_that_may_not_be_repeated_goes_on_a_silent_connection_only():
+def test_non_idempotent_request_is_sent_only_on_a_settled_connection():
     async def test():
         async with World(classes__0__effect="at_most_once") as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             world.backends[0].play = [LATE]
             doubtful, on = counters["answers_doubtful"], await connect(*world.listen)
             assert (await world.ask(on=on))[2] == b"good"
@@ -604,12 +614,12 @@
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_after_a_stall_of_the_gateway_a_late_second_answer_is_told_by_what_came_with_it(ends):
-    """Both lie unread when it looks again, or the second answer and the connection's end."""
+def test_late_second_response_after_a_stall_is_recognised_by_the_data_behind_it(ends):
+    """The second response is unread together with another response, or with the end of the connection."""
 
     async def test():
         async with World() as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             backend, on = world.backends[0], await connect(*world.listen)
             backend.play = [b"raw " + GOOD + b"good"]
             assert (await world.ask(on=on))[2] == b"good"
@@ -617,19 +627,19 @@
             asked = asyncio.create_task(world.ask(on=on))
             await world.until(lambda: len(backend.seen) > seen)
             writer = next(iter(backend.writers))
-            at_once(writer, lambda c: c.send(GOOD + b"late" + (b"" if ends else GOOD + b"next")))
+            act_on_socket(writer, lambda c: c.send(GOOD + b"late" + (b"" if ends else GOOD + b"next")))
             if ends:
-                at_once(writer, lambda c: c.shutdown(socket.SHUT_WR))
+                act_on_socket(writer, lambda c: c.shutdown(socket.SHUT_WR))
             time.sleep(2 * REUSE_DELAY_S)
             assert (await asked)[2] == b"fine"
 
     run(test())
 
 
-def test_an_early_answer_counts_once_its_connection_was_silent_and_took_no_longer_for_that():
+def test_early_response_is_accepted_after_a_quiet_delay_that_its_duration_excludes():
     async def test():
         async with World() as world:
-            await trusted(world)
+            await complete_quiet_delays(world)
             owner, sent = world.owner, asyncio.Queue()
             early, doubtful = counters["answers_early"], counters["answers_doubtful"]
             assert (await world.ask())[2] == b"fine"
@@ -638,31 +648,29 @@
             ended = await sent.get()
             assert ended.result is Result.SUCCEEDED and ended.response[0] == b"fine"
             assert counters["answers_early"] == early + 1 and counters["answers_doubtful"] == doubtful
-            assert (
-                ended.duration < REUSE_DELAY_S * 1e6 / 2
-            )  # the time told is the backend's, without the doubt
+            assert ended.duration < REUSE_DELAY_S * 1e6 / 2  # the duration excludes the wait for certainty
 
     run(test())
 
 
-def test_a_connection_at_rest_is_waited_for_where_no_descriptor_is_left_for_a_new_one():
+def test_request_waits_for_a_delayed_connection_if_no_descriptor_is_free():
     async def test():
         async with World(1) as world:
-            backend, met = world.backends[0], []
+            backend, accepted = world.backends[0], []
             on, sockets = await connect(*world.listen), world.owner.clients.sockets
             for n in range(4):
                 sockets.max_descriptors, sockets.open_descriptors = (
                     (256, lambda: 0) if n == 0 else (40, lambda: 39)
                 )
                 assert (await world.ask(f"/op/{n:016x}", on=on))[0] == 200
-                met.append(next(iter(backend.writers)))
-            assert len(set(met)) == 1 and len(backend.writers) == 1
+                accepted.append(next(iter(backend.writers)))
+            assert len(set(accepted)) == 1 and len(backend.writers) == 1
 
     run(test())
 
 
-def test_a_window_for_repeats_that_ends_while_a_connection_is_made_ends_the_repeating(monkeypatch):
-    gate = Gate(monkeypatch)
+def test_retry_is_not_sent_if_the_retry_window_ends_while_connecting(monkeypatch):
+    gate = ConnectedGate(monkeypatch)
 
     async def test():
         async with World(classes__0__effect="deduplicated", classes__0__keyTtl=300) as world:
@@ -672,8 +680,8 @@
             await world.until(lambda: world.backends[0].seen)
             gate.open.clear()
             gate.reached.clear()
-            at_once(next(iter(world.backends[0].writers)), lambda c: c.shutdown(socket.SHUT_RDWR))
-            await gate.reached.wait()  # the second attempt waits for its connection
+            act_on_socket(next(iter(world.backends[0].writers)), lambda c: c.shutdown(socket.SHUT_RDWR))
+            await gate.reached.wait()  # the retry waits for its connection
             await asyncio.sleep(0.35)
             gate.open.set()
             assert (await out)[0] == 429 and len(world.backends[0].seen) == 1
@@ -681,7 +689,7 @@
     run(test())
 
 
-def test_within_the_window_a_repeat_goes_on(monkeypatch):
+def test_retry_within_the_retry_window_is_sent(monkeypatch):
     async def test():
         async with World(classes__0__effect="deduplicated", classes__0__keyTtl=900) as world:
             world.backends[0].play = ["cut"]
@@ -691,8 +699,8 @@
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
-@pytest.mark.parametrize("crossing", ["cancel", "reset", "drain"])
-def test_one_delivery_has_one_outcome_never_safer_than_seen(crossing, answer_first):
+@pytest.mark.parametrize("other_event", ["cancel", "reset", "drain"])
+def test_sent_delivery_ends_once_and_is_never_reported_as_not_processed(other_event, answer_first):
     async def test():
         async with World() as world:
             owner, backend, sent = world.owner, world.backends[0], asyncio.Queue()
@@ -706,41 +714,39 @@
             cross = {
                 "cancel": lambda: peer.cancel(d),
                 "drain": lambda: peer.remove_endpoint(target),
-                "reset": lambda: at_once(writer, lambda c: c.shutdown(socket.SHUT_RDWR)),
-            }[crossing]
-            acts = [lambda: at_once(writer, lambda c: c.send(good)), cross]
-            if crossing == "reset" and not answer_first:
-                acts = [acts[1]]
-            for act in acts if answer_first else acts[::-1]:
-                act()
+                "reset": lambda: act_on_socket(writer, lambda c: c.shutdown(socket.SHUT_RDWR)),
+            }[other_event]
+            actions = [lambda: act_on_socket(writer, lambda c: c.send(good)), cross]
+            if other_event == "reset" and not answer_first:
+                actions = [actions[1]]
+            for action in actions if answer_first else actions[::-1]:
+                action()
             result = (await sent.get()).result
             await asyncio.sleep(0.05)
             assert sent.empty() and not peer.delivery_tasks and not result.never_ran
-            assert result is not Result.SUCCEEDED or (crossing, answer_first) != ("reset", False)
-            if crossing == "drain":
-                assert result is Result.SUCCEEDED  # what is out may end
+            assert result is not Result.SUCCEEDED or (other_event, answer_first) != ("reset", False)
+            if other_event == "drain":
+                assert result is Result.SUCCEEDED  # requests in flight may complete
 
     run(test())
 
 
 @pytest.mark.parametrize("turns", range(5))
-def test_a_connection_that_comes_up_as_its_delivery_is_given_up_is_closed_and_not_written_to(
-    turns, monkeypatch
-):
-    """The machine has it at once; the loop learns of it some turns later."""
-    connects, acts = sending._connect_started, []
+def test_connection_established_as_its_delivery_is_cancelled_is_closed_unused(turns, monkeypatch):
+    """The kernel establishes the connection at once; the loop notices some iterations later."""
+    connects, actions = sending._connect_started, []
 
     async def connecting(session, context, params):
         await connects(session, context, params)
-        acts.pop()()
+        actions.pop()()
 
     monkeypatch.setattr(sending, "_connect_started", connecting)
 
     async def test():
         async with World() as world:
             owner, sent, loop = world.owner, asyncio.Queue(), asyncio.get_running_loop()
-            peer, backend, met = owner.backend_client, world.backends[0], []
-            backend.met = lambda *streams, was=backend.met: met.append(1) or was(*streams)
+            peer, backend, accepted = owner.backend_client, world.backends[0], []
+            backend.met = lambda *streams, was=backend.met: accepted.append(1) or was(*streams)
             peer.queue = sent
             d = delivery(owner, owner.backends["s0"])
 
@@ -750,7 +756,7 @@
                 else:
                     peer.cancel(d)
 
-            acts.append(later)
+            actions.append(later)
             peer.deliver(d, asked_for(owner, "c1"))
             result = (await sent.get()).result
             assert result is Result.CANCELLED and not peer.connecting and not peer.delivery_tasks
@@ -761,8 +767,8 @@
     run(test())
 
 
-def test_a_delivery_given_up_before_its_first_turn_ends_too():
-    """Its task runs nothing then; its credit was never earned back, and its invocation was kept for ever."""
+def test_delivery_cancelled_before_its_task_starts_still_ends():
+    """Its task never runs; the credit was not returned, and the invocation was kept without end."""
 
     async def test():
         async with World() as world:
@@ -780,29 +786,29 @@
     run(test())
 
 
-# The closing of clients' connections.
+# Closing of client connections.
 
 
-def test_small_writes_are_not_held_back_on_any_connection():
+def test_client_connections_have_nodelay_set():
     async def test():
         async with World() as world:
-            waits = socket.create_server(("127.0.0.1", 0))
-            ends = [plain(waits.getsockname()), await connect(*world.listen)]
-            spoken_for = plain(world.listen)
-            await world.owner.clients.serve_connection(waits.accept()[0], HeldConnection(spoken_for))
+            server_socket = socket.create_server(("127.0.0.1", 0))
+            ends = [connect_blocking(server_socket.getsockname()), await connect(*world.listen)]
+            handed_over = connect_blocking(world.listen)
+            await world.owner.clients.serve_connection(server_socket.accept()[0], HeldConnection(handed_over))
             assert (await world.ask(on=ends[1]))[0] == 200
             for handler in world.owner.clients.server.all_connections:
                 connection = handler.transport.get_extra_info("socket")
                 assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             assert len(world.owner.clients.server.all_connections) >= 2
-            for end in (waits, ends[0], spoken_for):
+            for end in (server_socket, ends[0], handed_over):
                 end.close()
 
     run(test())
 
 
-def test_an_answer_still_in_the_systems_buffers_survives_the_closing_of_its_connection():
-    """Bytes that nobody reads made the machine reset the connection, and drop what it held."""
+def test_buffered_response_is_delivered_completely_after_the_connection_is_closed():
+    """Unread bytes made the kernel reset the connection and drop its send buffer."""
     body = bytes(range(256)) * 240
 
     async def test():
@@ -813,13 +819,13 @@
             client.setblocking(False)
             world.backends[0].play = [b"200 OK\r\n\r\n" + body]
             client.send(request(1))
-            # Idle again: it is so before its request is read, too.
+            # The connection is idle again; it is idle before its request is read, too.
             await world.until(lambda: world.backends[0].seen and server.idle)
             server.close_gracefully(next(iter(server.all_connections)))
-            client.send(request(2))  # crosses it
+            client.send(request(2))  # sent as the connection is being closed
             await asyncio.sleep(0.1)
-            said = await answer(client)
-            assert said.partition(b"\r\n\r\n")[2] == body and len(world.backends[0].seen) == 1
+            received_bytes = await read_until_closed(client)
+            assert received_bytes.partition(b"\r\n\r\n")[2] == body and len(world.backends[0].seen) == 1
             client.close()
 
     run(test())
@@ -834,26 +840,30 @@
         (b"GET / HTTP/1.1\r\nX-Long: " + b"x" * 9000 + b"\r\n\r\n", b" 400 "),
     ],
 )
-def test_a_client_that_goes_on_sending_still_gets_its_refusal(bad, status):
+def test_client_that_keeps_sending_receives_its_error_response(bad, status):
     async def test():
         async with World() as world:
-            client, loop = plain(world.listen), asyncio.get_running_loop()
+            client, loop = connect_blocking(world.listen), asyncio.get_running_loop()
             client.send(bad)
             await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
             for _ in range(4):
                 await loop.sock_sendall(client, bytes(1 << 14))
                 await asyncio.sleep(0.01)
-            said = await answer(client)
-            assert status in said.partition(b"\r\n")[0]
+            received_bytes = await read_until_closed(client)
+            assert status in received_bytes.partition(b"\r\n")[0]
             client.close()
 
     run(test())
 
 
-def test_a_half_closed_connection_ends_by_itself_when_its_client_does_not():
+def test_half_closed_connection_is_closed_after_a_timeout():
     async def test():
         async with World() as world:
-            client, clients_, server = plain(world.listen), world.owner.clients, world.owner.clients.server
+            client, clients_, server = (
+                connect_blocking(world.listen),
+                world.owner.clients,
+                world.owner.clients.server,
+            )
             await world.until(lambda: server.all_connections)
             server.close_gracefully(next(iter(server.all_connections)))
             assert clients_.sockets.half_closed_clients == 1
@@ -865,63 +875,63 @@
 
 
 @pytest.mark.parametrize("how", ["make_room", "close_inactive", "close_gracefully"])
-def test_a_connection_whose_request_lies_unread_is_not_the_one_that_ends(how, monkeypatch):
+def test_connection_with_an_unread_request_is_not_closed(how, monkeypatch):
     async def test():
         async with World() as world:
             server = world.owner.clients.server
-            ones = [plain(world.listen) for _ in range(2)]
+            client_sockets = [connect_blocking(world.listen) for _ in range(2)]
             await world.until(lambda: len(server.unused) == 2)
             for handler in server.unused:
                 handler.inactive_since -= 60
-            asks = next(c for c in ones if c.getsockname() == next(iter(server.unused)).peername)
+            asks = next(c for c in client_sockets if c.getsockname() == next(iter(server.unused)).peername)
             asks.send(request(1))
             if how == "close_gracefully":
                 server.close_gracefully(next(iter(server.unused)))
             else:
                 getattr(server, how)()
-            said = await asyncio.get_running_loop().sock_recv(asks, 999)
-            assert b" 200 " in said and len(world.backends[0].seen) == 1
-            other = next(c for c in ones if c is not asks)
+            received_bytes = await asyncio.get_running_loop().sock_recv(asks, 999)
+            assert b" 200 " in received_bytes and len(world.backends[0].seen) == 1
+            other = next(c for c in client_sockets if c is not asks)
             if how != "close_gracefully":
-                assert await answer(other) == b""
-            for each in ones:
+                assert await read_until_closed(other) == b""
+            for each in client_sockets:
                 each.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["make_room", "close_inactive", "close_gracefully"])
-def test_a_connection_whose_request_was_read_and_has_no_handler_yet_is_not_the_one_that_ends(how):
+def test_connection_with_a_read_request_and_no_handler_yet_is_not_closed(how):
     async def test():
         async with World() as world:
-            server, client = world.owner.clients.server, plain(world.listen)
+            server, client = world.owner.clients.server, connect_blocking(world.listen)
             made = server.request_factory
 
             def make(message, payload, handler, *more):
                 handler.inactive_since -= 60
-                act = (
+                action = (
                     partial(server.close_gracefully, handler)
                     if how == "close_gracefully"
                     else getattr(server, how)
                 )
-                asyncio.get_running_loop().call_soon(act)  # before its handler's first turn
+                asyncio.get_running_loop().call_soon(action)  # runs before the first step of its handler
                 return made(message, payload, handler, *more)
 
             server.request_factory = make
             client.send(request(1))
-            said = await asyncio.get_running_loop().sock_recv(client, 999)
-            assert b" 200 " in said and len(world.backends[0].seen) == 1
+            received_bytes = await asyncio.get_running_loop().sock_recv(client, 999)
+            assert b" 200 " in received_bytes and len(world.backends[0].seen) == 1
             client.close()
 
     run(test())
 
 
-def test_a_connection_told_to_end_again_and_again_ends_with_its_answer():
-    """While draining each is told every 20 ms, busy or idle."""
+def test_connection_hung_up_repeatedly_ends_with_its_one_response():
+    """During draining each connection is hung up every 20 ms, whether busy or idle."""
 
     async def test():
         async with World() as world:
-            server, client = world.owner.clients.server, plain(world.listen)
+            server, client = world.owner.clients.server, connect_blocking(world.listen)
             world.backends[0].play = ["hang"]
             client.send(request(1, wait="0.5"))
             await world.until(lambda: server.busy)
@@ -929,57 +939,61 @@
             for _ in range(5):
                 server.close_gracefully(handler)
                 await asyncio.sleep(0.02)
-            server.request_finished(handler)  # it is idle for a moment, and asks again
+            server.request_finished(handler)  # it is idle for a moment before the next request
             server.close_gracefully(handler) if not handler.has_open_request() else None
             server.request_started(handler)
-            world.backends[0].writers and at_once(
+            world.backends[0].writers and act_on_socket(
                 next(iter(world.backends[0].writers)), lambda c: c.shutdown(socket.SHUT_RDWR)
             )
-            said = await answer(client)
-            assert said.startswith(b"HTTP/1.1 ") and b"close" in said and said.count(b"HTTP/1.1") == 1
+            received_bytes = await read_until_closed(client)
+            assert (
+                received_bytes.startswith(b"HTTP/1.1 ")
+                and b"close" in received_bytes
+                and received_bytes.count(b"HTTP/1.1") == 1
+            )
             client.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("part", [b"", b"GET " + C1.encode(), None])
-def test_what_the_start_has_read_goes_before_what_still_comes(part):
-    """The loop had begun to read before the first half was handed in."""
+def test_bytes_read_during_startup_precede_later_bytes(part):
+    """The event loop had started to read before the first part was handed over."""
 
     async def test():
         async with World() as world:
-            waits, whole = socket.create_server(("127.0.0.1", 0)), request(1)
-            client = plain(waits.getsockname())
+            server_socket, whole = socket.create_server(("127.0.0.1", 0)), request(1)
+            client = connect_blocking(server_socket.getsockname())
             client.send(whole[:40] if part is None else part)
-            held = HeldConnection(waits.accept()[0])
+            held = HeldConnection(server_socket.accept()[0])
             await asyncio.sleep(0.02)
             held.read(time.monotonic_ns())
             client.send(whole[40:] if part is None else whole[len(part) :])
             await world.owner.clients.serve_connection(held.socket, held)
             assert b" 200 " in await asyncio.get_running_loop().sock_recv(client, 999)
             client.close()
-            waits.close()
+            server_socket.close()
 
     run(test())
 
 
-def test_a_refusal_at_the_start_reaches_a_client_that_goes_on_sending():
+def test_client_that_keeps_sending_receives_a_rejection_during_startup():
     async def test():
-        waits = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
-        client, loop = plain(waits.listener.getsockname()), asyncio.get_running_loop()
+        startup_queue = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
+        client, loop = connect_blocking(startup_queue.listener.getsockname()), asyncio.get_running_loop()
         client.send(request(1, wait="0.2"))
         async with asyncio.timeout(2):
-            while not waits.rejected_count:
+            while not startup_queue.rejected_count:
                 await asyncio.sleep(0.005)
         for _ in range(4):
             await loop.sock_sendall(client, bytes(1 << 14))
             await asyncio.sleep(0.01)
-        assert (await answer(client)).startswith(b"HTTP/1.1 503 ")
+        assert (await read_until_closed(client)).startswith(b"HTTP/1.1 503 ")
         client.close()
         async with asyncio.timeout(2):
-            while waits.closing:
+            while startup_queue.closing:
                 await asyncio.sleep(0.005)
-        listener, held = waits.hand_over()
+        listener, held = startup_queue.hand_over()
         listener.close()
         assert not held
 
@@ -989,52 +1003,57 @@
 # Shutdown.
 
 
-def test_connections_that_wait_to_be_accepted_when_the_gateway_shuts_are_served():
-    """Closing the listener resets what stands in its line; a cancelled accept drops what it had taken."""
+def test_connections_in_the_startup_queueare_served_during_shutdown():
+    """Closing the listener resets queued connections; a cancelled accept drops a connection it took."""
 
     async def test():
         async with World() as world:
-            ones = [plain(world.listen) for _ in range(30)]
-            for n, one in enumerate(ones):
-                one.send(request(n))
+            client_sockets = [connect_blocking(world.listen) for _ in range(30)]
+            for n, client_socket in enumerate(client_sockets):
+                client_socket.send(request(n))
             drained = asyncio.create_task(world.owner.clients.drain(0))
             loop = asyncio.get_running_loop()
-            said = [await asyncio.wait_for(loop.sock_recv(one, 999), 3) for one in ones]
-            assert all(b" 200 " in s or b" 429 " in s for s in said) and any(b" 200 " in s for s in said)
+            received_bytes = [
+                await asyncio.wait_for(loop.sock_recv(client_socket, 999), 3)
+                for client_socket in client_sockets
+            ]
+            assert all(b" 200 " in s or b" 429 " in s for s in received_bytes) and any(
+                b" 200 " in s for s in received_bytes
+            )
             await drained
-            for one in ones:
-                one.close()
+            for client_socket in client_sockets:
+                client_socket.close()
 
     run(test())
 
 
-def test_a_request_read_after_the_shutdown_is_not_sent_on():
+def test_request_read_after_shutdown_is_not_sent():
     async def test():
         async with World() as world:
-            server, rests = world.owner.clients.server, plain(world.listen)
+            server, rests = world.owner.clients.server, connect_blocking(world.listen)
             await world.until(lambda: server.all_connections)
             drained = asyncio.create_task(world.owner.clients.drain(0))
             await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
             rests.send(request(1))
-            assert await answer(rests) == b"" and not world.backends[0].seen
+            assert await read_until_closed(rests) == b"" and not world.backends[0].seen
             rests.close()
             await drained
 
     run(test())
 
 
-def test_nobody_is_left_without_an_answer_when_the_gateway_ends():
-    """Whatever holds the module up."""
+def test_open_request_is_answered_when_draining_times_out():
+    """The backend does not respond at all."""
 
     async def test():
         async with World() as world:
             world.owner.clients.max_duration_s = 0.2
             world.backends[0].play = ["hang"]
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             client.send(request(1, wait="60"))
             await world.until(lambda: world.backends[0].seen)
             await world.owner.clients.drain(0)
-            assert b" 502 " in await answer(client)
+            assert b" 502 " in await read_until_closed(client)
             client.close()
 
     run(test())
@@ -1043,7 +1062,7 @@
 # Descriptors.
 
 
-def test_a_limit_lowered_below_what_is_open_closes_idle_connections_alone():
+def test_lowered_descriptor_limit_closes_only_idle_connections():
     async def test():
         async with World() as world:
             server, sockets = world.owner.clients.server, world.owner.clients.sockets
@@ -1051,7 +1070,7 @@
             for n, on in enumerate(idle):
                 assert (await world.ask(f"/op/{n:016x}", on=on))[0] == 200
             world.backends[0].play = ["hang"]
-            client = plain(world.listen)
+            client = connect_blocking(world.listen)
             client.send(request(1, wait="1"))
             await world.until(lambda: server.busy)
             sockets.max_descriptors = 8  # as SIGHUP sets it
@@ -1064,34 +1083,36 @@
     run(test())
 
 
-def test_a_flood_of_requests_beyond_the_descriptors_is_answered_and_none_reset():
+def test_requests_beyond_the_descriptor_limit_are_answered_without_a_reset():
     async def test():
         async with World() as world:
             sockets, loop = world.owner.clients.sockets, asyncio.get_running_loop()
             sockets.max_descriptors, sockets.open_descriptors = 24, lambda: 0
-            ones = [plain(world.listen) for _ in range(80)]
-            for n, one in enumerate(ones):
-                one.send(request(n, path=f"/op/{n:016x}"))
-            said = [await asyncio.wait_for(loop.sock_recv(one, 999), 5) for one in ones]
-            assert all(b" 200 " in s or b" 429 " in s for s in said)
+            client_sockets = [connect_blocking(world.listen) for _ in range(80)]
+            for n, client_socket in enumerate(client_sockets):
+                client_socket.send(request(n, path=f"/op/{n:016x}"))
+            received_bytes = [
+                await asyncio.wait_for(loop.sock_recv(client_socket, 999), 5)
+                for client_socket in client_sockets
+            ]
+            assert all(b" 200 " in s or b" 429 " in s for s in received_bytes)
             assert sockets.excess_clients() <= 0 and sockets.client_connections <= 24 * 9 // 16
-            for one in ones:
-                one.close()
+            for client_socket in client_sockets:
+                client_socket.close()
 
     run(test())
 
 
-# In a process of its own, as the operators start it.
+# The gateway in a process of its own, as operators start it.
 
 
 @contextlib.asynccontextmanager
-async def started(folder, sockets=1024, known=None, rows=None, **changes):
-    """(world, process): the stand-ins of a world, and a gateway between them whose descriptors are limited by
-    the system as well."""
+async def gateway_process(folder, sockets=1024, known=None, rows=None, **changes):
+    """Yields (world, process, log): the fake services, and a gateway process with a descriptor limit."""
     async with StandIns(**changes) as world:
         if rows is not None:
             world.discovery.rows = rows
-        told = {
+        config = {
             "name": "n0",
             "listen": "%s:%d" % world.listen,
             "discovery": world.discovery.address,
@@ -1101,8 +1122,8 @@
             "settings": nested(world.pairs),
         }
         if known is not None:
-            told["known"] = {"rev": 1, "all": True, "targets": known}
-        (folder / "config.json").write_text(json.dumps(told))
+            config["known"] = {"rev": 1, "all": True, "targets": known}
+        (folder / "config.json").write_text(json.dumps(config))
         before_exec = partial(resource.setrlimit, resource.RLIMIT_NOFILE, (sockets, sockets))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -1123,7 +1144,7 @@
             await process.wait()
 
 
-async def ready(world, seconds=10):
+async def wait_until_ready(world, seconds=10):
     async with asyncio.timeout(seconds):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -1136,38 +1157,38 @@
             await asyncio.sleep(0.02)
 
 
-def crowd(world, number, say=b""):
-    """Connections that nobody closes; those that the machine does not take are left out."""
-    ones = []
+def open_connections(world, number, say=b""):
+    """Open connections that are not closed; failures to send on them are ignored."""
+    client_sockets = []
     for _ in range(number):
-        one = socket.socket()
-        one.setblocking(False)
-        one.connect_ex(world.listen)
+        client_socket = socket.socket()
+        client_socket.setblocking(False)
+        client_socket.connect_ex(world.listen)
         with contextlib.suppress(OSError):
-            one.send(say)
-        ones.append(one)
-    return ones
+            client_socket.send(say)
+        client_sockets.append(client_socket)
+    return client_sockets
 
 
 @pytest.mark.parametrize("say", [b"", b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"])
-def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down(say, tmp_path):
-    """Term 4: the list is still asked for, and deliveries still go out."""
+def test_idle_clients_do_not_block_discovery_and_deliveries_of_descriptors(say, tmp_path):
+    """Term 4. The list is still requested, and deliveries are still sent."""
 
     async def test():
-        async with started(tmp_path, sockets=64) as (world, process, log):
-            await ready(world)
+        async with gateway_process(tmp_path, sockets=64) as (world, process, log):
+            await wait_until_ready(world)
             world.discovery.close()
-            ones = crowd(world, 150, say)
+            client_sockets = open_connections(world, 150, say)
             await asyncio.sleep(0.4)
-            ones += crowd(world, 50, say)
+            client_sockets += open_connections(world, 50, say)
             asked = len(world.discovery.asked)
             await world.discovery.open()
             world.discovery.tell(*world.rows)
             await world.until(lambda: len(world.discovery.asked) > asked, 6)
             assert (await world.ask(wait="2"))[0] == 200 and len(world.backends[0].seen) == 1
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
-            for one in ones:
-                one.close()
+            for client_socket in client_sockets:
+                client_socket.close()
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 6) == 0
             assert "event=fault" not in (await log).decode()
@@ -1175,17 +1196,17 @@
     run(test())
 
 
-def test_a_crowd_while_the_gateway_is_loaded_does_not_take_the_descriptors(tmp_path):
+def test_clients_that_connect_during_startup_do_not_exhaust_the_descriptors(tmp_path):
     async def test():
-        async with started(tmp_path, sockets=64) as (world, process, log):
-            ones = []
+        async with gateway_process(tmp_path, sockets=64) as (world, process, log):
+            client_sockets = []
             while process.returncode is None and not world.discovery.asked:
-                ones += crowd(world, 20)
+                client_sockets += open_connections(world, 20)
                 await asyncio.sleep(0.05)
-            await ready(world)
+            await wait_until_ready(world)
             assert (await world.ask(wait="2"))[0] == 200
-            for one in ones:
-                one.close()
+            for client_socket in client_sockets:
+                client_socket.close()
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 6) == 0
 
@@ -1193,31 +1214,31 @@
 
 
 @pytest.mark.parametrize("discovery", ["answers", "silent", "gone"])
-def test_a_restarted_gateway_among_two_hundred_backends_is_ready_in_time(discovery, tmp_path):
-    """Term 5, with clients that come meanwhile."""
+def test_restarted_gateway_with_two_hundred_backends_is_ready_within_ten_seconds(discovery, tmp_path):
+    """Term 5, with clients that connect meanwhile."""
 
     async def test():
         async with World() as world:
             rows = [{**world.rows[0], "uid": f"s{n}"} for n in range(200)]
-        async with started(tmp_path, known=rows, rows=rows) as (world, process, log):
+        async with gateway_process(tmp_path, known=rows, rows=rows) as (world, process, log):
             world.discovery.silent = discovery == "silent"
             if discovery == "gone":
                 world.discovery.close()
-            ones, at = crowd(world, 80, request(1)), time.monotonic()
-            await ready(world)
+            client_sockets, at = open_connections(world, 80, request(1)), time.monotonic()
+            await wait_until_ready(world)
             assert time.monotonic() - at < 10
-            for one in ones:
-                one.close()
+            for client_socket in client_sockets:
+                client_socket.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("when", ["before the first list", "twice", "with a request", "behind SIGHUP"])
-def test_sigterm_at_a_bad_moment_loses_nothing(when, tmp_path):
+def test_sigterm_at_any_moment_loses_no_request(when, tmp_path):
     async def test():
-        async with started(tmp_path) as (world, process, log):
+        async with gateway_process(tmp_path) as (world, process, log):
             world.discovery.silent = when == "before the first list"
-            await ready(world)
+            await wait_until_ready(world)
             world.backends[0].play = ["hang"]
             out = asyncio.create_task(world.ask(wait="1"))
             if not world.discovery.silent:
@@ -1237,18 +1258,18 @@
     run(test())
 
 
-# Many gateways.
+# Several gateways.
 
 
 @contextlib.asynccontextmanager
-async def fleet(number, backends_=4, **changes):
-    """Gateways on one loop between the same stand-ins, told their numbers."""
+async def gateways_on_one_loop(number, backends_=4, **changes):
+    """Several gateways on one event loop with the same fake services; each is configured with its number."""
     async with World(backends_, instances=number, **changes) as world:
         # They share the descriptors of one process.
         world.owner.clients.sockets.max_descriptors = 1 << 16
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4096)), hard))
-        told = [
+        configurations = [
             replace(
                 world.told,
                 listen=(world.listen[0], 0),
@@ -1258,7 +1279,7 @@
             )
             for n in range(1, number)
         ]
-        started_ = await asyncio.gather(*(start(one) for one in told))
+        started_ = await asyncio.gather(*(start(each_configuration) for each_configuration in configurations))
         others = [(owner.clients.listener.getsockname(), owner, serving) for owner, serving in started_]
         try:
             yield world, [(world.listen, world.owner, world.serving), *others]
@@ -1268,13 +1289,13 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 30])
-def test_a_cold_backend_gets_no_more_from_a_fleet_than_from_one(gateways):
-    """Term 3: beyond N requests only two roots of N and two are put down to chance.  Half of them hear
-    of the start late, and one sees several times the mean."""
-    pace, cold, fall, multiple, cold_from = 60, 3.0, 1.0, 2.0, 0.2
+def test_slow_start_limit_of_a_backend_holds_for_all_gateways_together(gateways):
+    """Term 3. Over the allowed N requests, only 2 * sqrt(N) + 2 are attributed to chance. Half of the
+    gateways learn of the backend's start late, and one gets several times the mean load."""
+    requests_per_s, warm_up_s, window_s, multiple, initial_fraction = 60, 3.0, 1.0, 2.0, 0.2
 
     async def test():
-        async with fleet(
+        async with gateways_on_one_loop(
             gateways,
             rules__cold=3000,
             rules__fall=1000,
@@ -1283,45 +1304,45 @@
             contracts__0__refill=10**5,
             familyInfo__mayCount="false",
         ) as (world, all_):
-            chance, fresh = random.Random(3), world.backends[0]
+            rng, cold_backend = random.Random(3), world.backends[0]
 
             async def ask():
-                where = all_[0] if chance.random() < 0.2 else chance.choice(all_)
-                await world.ask(f"/op/{chance.randrange(99):016x}", wait="2", listen=where[0])
+                where = all_[0] if rng.random() < 0.2 else rng.choice(all_)
+                await world.ask(f"/op/{rng.randrange(99):016x}", wait="2", listen=where[0])
 
             async def drive(seconds):
-                for _ in range(int(pace * seconds)):
+                for _ in range(int(requests_per_s * seconds)):
                     tasks.append(asyncio.create_task(ask()))
-                    await asyncio.sleep(1 / pace)
+                    await asyncio.sleep(1 / requests_per_s)
 
             tasks, seen_at = [], []
-            fresh.seen = Noted(seen_at)
-            world.discovery.tell(*world.rows[1:])  # it is away at first
+            cold_backend.seen = ArrivalTimes(seen_at)
+            world.discovery.tell(*world.rows[1:])  # it is not listed at first
             await world.until(lambda: all("s0" not in owner.listed for _, owner, _ in all_))
             await drive(2)
             assert not seen_at
             began = time.time()
-            back = [row("s0", fresh, started=round(began * 1000)), *world.rows[1:]]
-            told = endpoint_discovery.parse_endpoint_list({"rev": 3, "all": True, "targets": back})
+            back = [row("s0", cold_backend, started=round(began * 1000)), *world.rows[1:]]
+            endpoint_list = endpoint_discovery.parse_endpoint_list({"rev": 3, "all": True, "targets": back})
             for _, owner, _ in all_[::2]:
-                owner.discovery.apply(told)
+                owner.discovery.apply(endpoint_list)
             asyncio.get_running_loop().call_later(0.3, world.discovery.tell, *back)
             at = time.monotonic()
-            await drive(cold)
+            await drive(warm_up_s)
             await asyncio.gather(*tasks)
-            warm = pace / len(world.backends)  # what each of the others answers, at least
+            usual_rate = requests_per_s / len(world.backends)  # the least that each other backend serves
             for end in seen_at:
-                within = sum(end - fall < when <= end for when in seen_at)
-                part = cold_from + (1 - cold_from) * (end - at) / cold
-                allowed = multiple * part * warm * fall
+                within = sum(end - window_s < when <= end for when in seen_at)
+                part = initial_fraction + (1 - initial_fraction) * (end - at) / warm_up_s
+                allowed = multiple * part * usual_rate * window_s
                 assert within <= allowed + 2 * math.sqrt(allowed) + 2, (within, allowed, end - at)
-            assert seen_at  # and yet it is warmed
+            assert seen_at  # it does get requests while it warms up
 
     run(test(), 60)
 
 
-class Noted(list):
-    """Notes when each request came."""
+class ArrivalTimes(list):
+    """A list that also records the arrival time of each item."""
 
     def __init__(self, at):
         super().__init__()
@@ -1332,17 +1353,19 @@
         super().append(what)
 
 
-def test_quotas_hold_for_the_fleet_on_a_quiet_day():
-    """Term 6: four gateways, a customer that asks for three times its rate over all of them."""
+def test_quota_holds_for_all_gateways_together_without_failures():
+    """Term 6. Four gateways; one customer requests three times its rate, spread over all of them."""
 
     async def test():
-        # A counter that a busy machine makes late is one that is lost: then the day isn't quiet.
+        # On a busy machine a late counter reply would count as lost, so the timeout is long.
         patient = {"familyInfo__countWait": 900}
-        async with fleet(4, contracts__0__refill=10, contracts__0__storeSize=10, **patient) as (world, all_):
-            chance, at, served, asked = random.Random(5), time.monotonic(), [], 90
+        async with gateways_on_one_loop(
+            4, contracts__0__refill=10, contracts__0__storeSize=10, **patient
+        ) as (world, all_):
+            rng, at, served, asked = random.Random(5), time.monotonic(), [], 90
 
             async def ask():
-                status, _, _ = await world.ask(wait="1", listen=chance.choice(all_)[0])
+                status, _, _ = await world.ask(wait="1", listen=rng.choice(all_)[0])
                 served.extend([status == 200])
 
             tasks = []
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool beside a plain model of itself, and what many gateways' pools come to together."""
+"""Tests of a gateway's endpoint pool against a simple model, and of the pools of many gateways together."""
 
 import pytest
 from hypothesis import given, settings
@@ -59,56 +59,56 @@
 
 
 @pytest.mark.parametrize("gateways, backends", [(2, 200), (20, 200), (200, 200), (200, 60), (137, 193)])
-def test_pools_of_all_gateways_cover_all_backends_alike(gateways, backends):
-    everyone, uses = targets(backends), dict.fromkeys(range(backends), 0)
-    numbers = {t: n for n, t in enumerate(everyone)}
+def test_pools_of_all_gateways_together_cover_backends_evenly(gateways, backends):
+    all_backends, uses = targets(backends), dict.fromkeys(range(backends), 0)
+    numbers = {backend: n for n, backend in enumerate(all_backends)}
     for gateway in range(gateways):
         pool = Pool(gateways, gateway, 0)
-        pool.set_endpoints(everyone)
+        pool.set_endpoints(all_backends)
         pool.size = 20
         pool.refill(0, whole)
-        for t in pool.members:
-            uses[numbers[t]] += 1
+        for backend in pool.members:
+            uses[numbers[backend]] += 1
     mean = gateways * 20 / backends
     assert all(mean / 2 - 1 <= n <= 1.5 * mean + 1 for n in uses.values())
 
 
-def test_neighbouring_gateways_share_customers_but_few_backends():
-    everyone, pools = targets(200), []
+def test_pools_of_neighbouring_gateways_share_few_backends():
+    all_backends, pools = targets(200), []
     for gateway in range(10):
         pool = Pool(200, gateway, 0)
-        pool.set_endpoints(everyone)
+        pool.set_endpoints(all_backends)
         pool.size = 20
         pool.refill(0, whole)
         pools.append(set(pool.members))
     assert len(set.union(*pools)) > 150
 
 
-def test_the_width_follows_the_pace_and_no_noise():
-    pool, everyone, now, changes = Pool(200, 5, 0), targets(200), 0, []
-    pool.set_endpoints(everyone)
+def test_pool_size_follows_the_request_rate_with_few_changes():
+    pool, all_backends, now, changes = Pool(200, 5, 0), targets(200), 0, []
+    pool.set_endpoints(all_backends)
     pool.refill(now, whole)
-    for pace, seconds in ((1, 30), (50, 40), (1, 60)):
-        for _ in range(pace * seconds):
-            now += 1_000_000 // pace
-            pool.spend_credit(everyone[0])
-            if (width := pool.wanted_size(now)) is not None:
-                pool.size = width
+    for requests_per_s, seconds in ((1, 30), (50, 40), (1, 60)):
+        for _ in range(requests_per_s * seconds):
+            now += 1_000_000 // requests_per_s
+            pool.spend_credit(all_backends[0])
+            if (size := pool.wanted_size(now)) is not None:
+                pool.size = size
                 pool.refill(now, whole)
-                changes.append(width)
-        wanted = max(MIN_MEMBERS, 2 * pace)
+                changes.append(size)
+        wanted = max(MIN_MEMBERS, 2 * requests_per_s)
         assert 0.7 * wanted <= pool.size <= 1.7 * wanted
     assert len(changes) < 25 and HALVING_INTERVAL < now
 
 
-def test_benched_and_cold_ones_are_made_up_for():
-    pool, everyone = Pool(200, 0, 0), targets(100)
-    pool.set_endpoints(everyone)
+def test_ejected_and_warming_up_backends_are_replaced_by_additional_members():
+    pool, all_backends = Pool(200, 0, 0), targets(100)
+    pool.set_endpoints(all_backends)
     pool.size = 20
-    for t in pool.order[:5]:
-        t.ejected_until = 50
-    cold = set(pool.order[5:15])
-    pool.refill(0, lambda t: 0.25 if t in cold else 1.0)
+    for backend in pool.order[:5]:
+        backend.ejected_until = 50
+    warming_up = set(pool.order[5:15])
+    pool.refill(0, lambda backend: 0.25 if backend in warming_up else 1.0)
     assert pool.ejected_count() == 5 and len(pool.members) == 28 and pool.nominal_size == 33
-    pool.refill(50, lambda t: 1.0)
+    pool.refill(50, lambda backend: 1.0)
     assert pool.members == pool.order[:20] and pool.sharing_gateways() == 40
