--- a/kestrelbend/gateway/settings/units.py
+++ b/kestrelbend/gateway/settings/units.py
@@ -54,7 +54,7 @@
     """
     match = QUANTITY.match(text)
     if match is None or match[2] not in units:
-        raise ValueError(f"expected a number with a unit ({', '.join(units)}), as in {example}; got {text!r}")
+        raise ValueError(f"expected a value as in {example}, with a unit of {', '.join(units)}; got {text!r}")
     integer, _, decimals = match[1].partition(".")
     if len(integer) > MAX_DIGITS:
         raise ValueError(f"too large: {text!r}")
--- a/kestrelbend/tier/budgets/table.py
+++ b/kestrelbend/tier/budgets/table.py
@@ -1,8 +1,8 @@
 """The counters of all programs of a shard: the replicated state that commands are applied to.
 
     (unknown) ──reserve, settle──> ACTIVE ──least recently used of too many──> IDLE
-                                     ^                                          │ │ └──────────reserve,
-                                     settle─────────────────┘ └──away for long──> (unknown)
+                                     ^                                          │ │
+                                     └─────────────reserve, settle──────────────┘ └──expired──> (unknown)
 
 Invariants: the same commands in the same order produce the same table and the same outcomes on every replica,
 and a restored table behaves like the one that the snapshot was taken of.  The table never reads a clock: the
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -202,8 +202,8 @@
             rows = [json.loads(line) for line in log.splitlines()]
             assert process.returncode == 0
             assert {"serving", "draining", "counters"} <= {r["event"] for r in rows}
-            refused = next(r for r in rows if r["event"] == "configuration not taken")
-            assert "sockets" in refused["why"] and refused["level"] == "error"
+            rejection = next(r for r in rows if r["event"] == "configuration not taken")
+            assert "sockets" in rejection["why"] and rejection["level"] == "error"
 
     run(test())
 
@@ -261,13 +261,13 @@
     """
     root = Path(__file__).parent.parent
     site_paths, deployment_names = (root / "deploy" / "sites").glob("*.toml"), set()
-    sites = [tomllib.loads(path.read_text()) for path in site_paths]
-    for site in sites:
+    site_documents = [tomllib.loads(path.read_text()) for path in site_paths]
+    for site in site_documents:
         deployment_names |= {site["name"], *site["net"]["zones"]}
         for tier in site["tier"]:
             deployment_names |= {tier["name"], *(kind["name"] for kind in tier["kind"])}
         deployment_names |= {row["name"] for kind in ("class", "tenant") for row in site[kind]}
-    assert len(sites) == 2 and len(deployment_names) > 20
+    assert len(site_documents) == 2 and len(deployment_names) > 20
     sources = [root / "deploy" / "balancer.toml", *(root / "kestrelbend").rglob("*.py")]
     found = {
         name
--- a/tests/tier/budget_fleet.py
+++ b/tests/tier/budget_fleet.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Faults:
-    """Probabilities of the faults, and the maximum delay of a request in seconds."""
+    """Probabilities of the faults, from 0 to 1, and the maximum delay of a request in seconds."""
 
     lost: float = 0.0
     reply_lost: float = 0.0
