--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -77,8 +77,8 @@
     """Returns all errors of a configuration; the consistency checks skip routes with schema errors."""
     try:
         values = decode_document(body)
-    except InvalidDocument as invalid:
-        return (invalid.rejection,)
+    except InvalidDocument as rejection_error:
+        return (rejection_error.rejection,)
     rejections = [
         _wrong_schema("configuration", text).rejection
         for text in schemas.CONFIGURATION.validation_errors(values)
--- a/kestrelbend/tier/configuration/routing.py
+++ b/kestrelbend/tier/configuration/routing.py
@@ -20,7 +20,7 @@
 DEFAULT_IDLE_TIMEOUT_MS = 15000
 DEFAULT_HEALTH_PATH = "/healthz"
 DEFAULT_MAX_CONNECTIONS = 100
-WEIGHT_SCALE = 1000  # integer units of a weight of 1, if weights have fractions
+WEIGHT_SCALE = 1000  # integer units per weight of 1 if weights have fractions
 
 
 class Target(NamedTuple):
