--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -106,7 +106,7 @@
     raise TimeoutError
 
 
-async def run_callers(proxy, seconds, callers):
+async def run_callers(proxy, seconds, caller_count):
     """Runs concurrent callers, each with one call at a time; returns (count of responses, latencies)."""
     latencies, deadline, count = HdrHistogram(1, 60_000_000, 3), time.monotonic() + seconds, [0]
 
@@ -117,7 +117,7 @@
             latencies.record_value(max(1, (time.monotonic_ns() - started_at) // 1000))
             count[0] += 1
 
-    await asyncio.gather(*(caller(n) for n in range(callers)))
+    await asyncio.gather(*(caller(n) for n in range(caller_count)))
     return count[0], latencies
 
 
@@ -267,7 +267,7 @@
         )
         await asyncio.sleep(0.5)
         in_time, late, refused, started_at = [0] * 3, [0] * 3, [0] * 3, time.monotonic()
-        latencies = [HdrHistogram(1, 60_000_000, 3) for _ in range(3)]
+        phase_latencies = [HdrHistogram(1, 60_000_000, 3) for _ in range(3)]
         async with ClientSession() as session:
 
             async def send_request(n):
@@ -278,7 +278,7 @@
                 ) as response:
                     await response.read()
                 duration = time.monotonic() - sent_at
-                latencies[phase].record_value(max(1, int(duration * 1e6)))
+                phase_latencies[phase].record_value(max(1, int(duration * 1e6)))
                 (refused if response.status != 200 else late if duration > 1 else in_time)[phase] += 1
 
             tasks = []
@@ -289,7 +289,9 @@
             await asyncio.gather(*tasks)
         for phase, phase_name in enumerate(("before", "frozen", "after")):
             total = in_time[phase] + late[phase] + refused[phase]
-            median, percentile_99 = (latencies[phase].get_value_at_percentile(q) / 1000 for q in (50, 99))
+            median, percentile_99 = (
+                phase_latencies[phase].get_value_at_percentile(q) / 1000 for q in (50, 99)
+            )
             print(
                 f"{name}, {phase_name}: served in time {in_time[phase] / total:.3f}, "
                 f"refused {refused[phase] / total:.3f}, median {median:.1f} ms, 99th {percentile_99:.1f} ms"
@@ -305,7 +307,7 @@
 
     uvloop.run(measure("with its circuit breaker"))
     authoriser.EVIDENCE_LIMIT = 1e9
-    uvloop.run(measure("without circuit breaker"))
+    uvloop.run(measure("without"))
 
 
 if __name__ == "__main__":
