--- a/kestrelbend/gateway/net/connection_reuse.py
+++ b/kestrelbend/gateway/net/connection_reuse.py
@@ -6,9 +6,7 @@
 from typing import Final
 
 REUSE_DELAY_S: Final = 0.03  # after a response; an unsolicited second one may arrive within it
-INITIAL_REUSE_DELAYS: Final = (
-    3  # delays a backend must stay quiet in before its connections are reused at once
-)
+INITIAL_REUSE_DELAYS: Final = 3  # quiet delays required before connections are reused at once
 REUSE_DELAYS_AFTER_UNSOLICITED_DATA: Final = 100  # the same, after it sent unsolicited data
 MAX_LATENCIES: Final = 32  # of a backend's latest responses, from which `is_slow` is derived
 
--- a/kestrelbend/gateway/net/counter.py
+++ b/kestrelbend/gateway/net/counter.py
@@ -20,9 +20,7 @@
 from .metrics import counters
 
 MAX_CONNECTIONS: Final = 8
-LOOP_ITERATION_S: Final = (
-    0.001  # the event loop reads its sockets at least once before a timer this far in the future
-)
+LOOP_ITERATION_S: Final = 0.001  # the loop reads its sockets once before a timer this far ahead fires
 MICROSECONDS_PER_SECOND: Final = 1e6
 MICROSECONDS_PER_MS: Final = 1000
 AMOUNT_DECIMALS: Final = 6
@@ -214,9 +212,9 @@
         """
         now = asyncio.get_running_loop().time()
         self.connections = [
-            connection
-            for connection in self.connections
-            if connection.is_usable(now, self.silence_timeout, address)
+            candidate
+            for candidate in self.connections
+            if candidate.is_usable(now, self.silence_timeout, address)
         ]
         for connection in self.connections:
             if connection.has_call_for(name):
--- a/kestrelbend/gateway/net/endpoint_discovery.py
+++ b/kestrelbend/gateway/net/endpoint_discovery.py
@@ -27,14 +27,15 @@
 log = logging.getLogger(__name__)
 
 STATES: Final = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+# Of two entries for one backend, the one whose state comes first here is applied.
 STATES_BY_PRECEDENCE: Final = (
     EndpointState.GONE,
     EndpointState.DRAINING,
     EndpointState.READY,
-)  # of two entries for one backend, the state that comes first here is applied
+)
 WATCH_MS: Final = 2000  # how long a watch may wait for changes at the discovery service
 HEDGE_AFTER_S: Final = (
-    0.75  # a call is hedged this long after its expected wait; later ones after twice as long
+    0.75  # first hedge, this long after the wait of a watch; later ones after twice as long
 )
 CALL_TIMEOUT_S: Final = 3.0  # limit of a call, even if data still arrives
 RETRY_INTERVAL_S: Final = 0.1  # delay after a failed call
@@ -218,9 +219,8 @@
             is_new = self.apply(received)
             self.first_call_done.set()
             if not is_new and loop.time() - called_at < RETRY_INTERVAL_S:
-                await asyncio.sleep(
-                    RETRY_INTERVAL_S
-                )  # discovery responds at once without changes, maybe repeatedly
+                # Discovery responded at once without changes, and may go on doing so.
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def wait_for_first_response(self) -> None:
         """Wait until the first call has succeeded or failed, `FIRST_LIST_TIMEOUT_S` at most."""
@@ -231,7 +231,7 @@
             pass
 
     async def _call_hedged(self, session: aiohttp.ClientSession) -> EndpointList:
-        """Return the first response to any call; once all calls have failed, raise the first error.
+        """Return the first response to any call; raise an error of the last calls once all have failed.
 
         A call without a timely response is hedged by a call on another connection, and so on, so that no
         stuck call delays the next one. (Without hedging, a stuck watch followed by a stuck connect delayed a
