--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Stand-ins: a front end on the wire's host, fed by hand; and what a real gateway speaks to on sockets."""
+"""Test helpers: a gateway driven by the simulator's messages, and stub servers for a gateway on sockets."""
 
 import asyncio
 import itertools
@@ -20,29 +20,30 @@
 
 MS = 1000
 reservations = AddressReservations()
-"""Of the running test: tests/conftest.py closes them at its end."""
+"""The running test's reservations; tests/conftest.py closes them at the end of the test."""
 
 
 def reserve_address(number=0, host=None):
-    """A TCP address on loopback that nobody else gets while this test runs."""
+    """Return a TCP address on loopback that no other process gets while this test runs."""
     return reservations.reserve(number, host)
 
 
-_opened = []  # writers of clients' connections
-_listening = []  # stand-ins
+_client_writers = []  # writers of clients' connections
+_open_stubs = []
 
 
 async def connect(host, port):
-    """(reader, writer) of a client's connection, that `run` closes if the test doesn't."""
+    """Open a client's connection, which `run` closes at the end; returns (reader, writer)."""
     reader, writer = await asyncio.open_connection(host, port)
-    _opened.append(writer)
+    _client_writers.append(writer)
     return reader, writer
 
 
 class WorkingTime:
-    """Seconds in which this process's loop had turns: a machine that holds the process up stops the clock.
+    """A clock that runs only while this process's loop runs: it stops while the machine stalls the process.
 
-    On a quiet machine it is the steady clock, to one step.  Each step counts for twice its length at most.
+    On an idle machine it equals the monotonic clock, up to one step. Each step counts as at most twice its
+    length.
     """
 
     STEP_S = 0.005
@@ -65,28 +66,28 @@
 
 
 async def timed(work):
-    """What the work gives, and the working time that it took."""
+    """Return the result of an awaitable and the working time that it took."""
     async with WorkingTime() as clock:
         return await work, clock.now
 
 
 def run(test, seconds=20):
-    """Runs a test's coroutine on a loop of its own, for so long at most; nothing of it stays open.
+    """Run a test's coroutine on a new loop with a timeout, then close its connections and stub servers.
 
-    Hazard: where a warning is an error, uvloop hangs as it closes a loop with a listener that is open.
+    Hazard: if warnings are errors, uvloop hangs when it closes a loop that has an open listener.
     """
 
     async def whole():
         try:
             await asyncio.wait_for(test, seconds)
         finally:
-            for writer in _opened:
+            for writer in _client_writers:
                 writer.transport.abort()
-            for stand in _listening:
-                stand.close()
-            _opened.clear()
-            _listening.clear()
-            await asyncio.sleep(0.01)  # transports and servers that were closed end in a later turn
+            for stub in _open_stubs:
+                stub.close()
+            _client_writers.clear()
+            _open_stubs.clear()
+            await asyncio.sleep(0.01)  # the loop closes transports and servers in a later iteration
 
     uvloop.run(whole())
 
@@ -122,6 +123,8 @@
 
 
 class Front:
+    """A gateway's decisions behind the simulator's message protocol, with a clock that the test sets."""
+
     def __init__(self, now=1_000_000 * MS, seed=7, **changes):
         pairs = {**BASE, **{key.replace("__", "."): value for key, value in changes.items()}}
         self.now, self.out = now, []
@@ -135,7 +138,7 @@
         self.inst.handle(codec.Event(message, "g/0", list(values), endpoints))
 
     def roster(self, *entries, kind="whole"):
-        """Entries are (id, state) or (id, state, started)."""
+        """Send a list of backends; entries are (id, state) or (id, state, started)."""
         rows = [(e[0], "ab"[e[0] % 2], "k", e[0] // 2, e[1], 1.0, e[2] if len(e) > 2 else 0) for e in entries]
         self.tell("roster_change", rows, 1, kind, len(rows))
 
@@ -169,7 +172,7 @@
         return [line for line in lines if not messages or line[0] in messages]
 
     def answer_counts(self, store=None, result=Result.SUCCEEDED):
-        """Answer each call to the counter service from `store`; returns the other lines."""
+        """Reply to each call to the counter service from `store`; returns the other lines."""
         rest, store = [], {} if store is None else store
         while lines := self.take():
             for line in lines:
@@ -183,7 +186,7 @@
         return rest
 
     def pass_time(self, ms):
-        """Go on to the next reminder due within `ms`, or by `ms` if there is none."""
+        """Advance the clock to the next timer due within `ms`, or by `ms` if there is none."""
         due = min([due for _, due in self.inst.timers.values()], default=self.now + ms * MS)
         self.now = self.gateway.now = max(self.now, min(due, self.now + ms * MS))
         for handle, (_, due) in list(self.inst.timers.items()):
@@ -191,25 +194,25 @@
                 self.tell("reminder", [], handle)
 
 
-# Stand-ins for what a real gateway speaks to, from the published protocols; `play` is what the next ones do.
+# Stub servers that implement the published protocols; `play` lists what they do with the next requests.
 
 
-class Stand:
-    """A TCP server on loopback with its connections; closed at the end of a test."""
+class StubServer:
+    """A TCP server on loopback with its connections; `run` closes it at the end of a test."""
 
     port = None
 
     async def open(self):
-        """Listens; once closed it may be opened again, at the same address."""
+        """Listen; a closed server can be opened again at the same address."""
         self.writers = set()
         if self.port is None:
             _, self.port = reserve_address(host="127.0.0.1")
         self.address = f"127.0.0.1:{self.port}"
-        self.server = await asyncio.start_server(self.met, "127.0.0.1", self.port)
-        _listening.append(self)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", self.port)
+        _open_stubs.append(self)
         return self
 
-    async def met(self, reader, writer):
+    async def handle_connection(self, reader, writer):
         self.writers.add(writer)
         try:
             await self.talk(reader, writer)
@@ -234,9 +237,9 @@
     return head[0], headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-class StandBackend(Stand):
+class StubBackend(StubServer):
     def __init__(self):
-        self.seen, self.raw, self.play, self.played, self.left = [], [], [], [], 0
+        self.seen, self.raw, self.play, self.played, self.disconnects = [], [], [], [], 0
 
     async def talk(self, reader, writer):
         while True:
@@ -254,9 +257,9 @@
                 return
             if what == "hang":
                 await reader.read()
-                self.left += 1
+                self.disconnects += 1
                 return
-            if what.startswith(b"raw "):  # as it stands, on a connection that stays open
+            if what.startswith(b"raw "):  # sent unchanged; the connection stays open
                 for part in what[4:].split(b"<a moment later>"):
                     writer.write(part)
                     await asyncio.sleep(0.02)
@@ -265,7 +268,7 @@
             writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (head, len(body), body))
 
 
-class StandDiscovery(Stand):
+class StubDiscovery(StubServer):
     def __init__(self, *rows):
         self.rows, self.rev, self.asked, self.changed, self.silent = list(rows), 1, [], asyncio.Event(), False
 
@@ -286,7 +289,7 @@
         self.changed.set()
 
 
-class StandCounter(Stand):
+class StubCounter(StubServer):
     def __init__(self):
         self.totals, self.calls, self.play = {}, [], []
 
@@ -304,17 +307,17 @@
                 if what is None:
                     total = self.totals[name] = self.totals.get(name, 0.0) + float(add)
                     what = b"$%d\r\n%s" % (len(b"%g" % total), b"%g" % total)
-                if what == "stall":  # the whole process stands still with the answer unread
+                if what == "stall":  # blocks the whole process while the reply is unread
                     writer.write(b"$1\r\n9\r\n")
                     time.sleep(0.05)
                 elif what != "silent":
                     writer.write(what + b"\r\n")
 
 
-def row(uid, stand, state="ready", started=0):
+def row(uid, stub, state="ready", started=0):
     return {
         "uid": uid,
-        "endpoint": stand.address,
+        "endpoint": stub.address,
         "az": "a",
         "model": "m",
         "pod_group": 1,
@@ -324,8 +327,8 @@
     }
 
 
-class StandIns:
-    """What a gateway on loopback speaks to, and an address for it to listen at."""
+class StubServices:
+    """Stub servers for a gateway on loopback, and an address for it to listen at."""
 
     def __init__(self, backends=1, **changes):
         self.pairs = {
@@ -334,21 +337,21 @@
             "policyLimits.idleClose": 5000,
             **{key.replace("__", "."): value for key, value in changes.items()},
         }
-        self.backends = [StandBackend() for _ in range(backends)]
+        self.backends = [StubBackend() for _ in range(backends)]
         self.numbers = itertools.count(0x9B1F)
 
     async def __aenter__(self):
-        self.counter = await StandCounter().open()
+        self.counter = await StubCounter().open()
         for backend in self.backends:
             await backend.open()
         self.rows = [row(f"s{n}", backend) for n, backend in enumerate(self.backends)]
-        self.discovery = await StandDiscovery(*self.rows).open()
+        self.discovery = await StubDiscovery(*self.rows).open()
         self.listen = reserve_address()
         return self
 
     async def __aexit__(self, *_):
-        for stand in (self.counter, self.discovery, *self.backends):
-            stand.close()
+        for stub in (self.counter, self.discovery, *self.backends):
+            stub.close()
 
     async def until(self, held, seconds=3.0):
         async with asyncio.timeout(seconds):
@@ -368,7 +371,7 @@
         more="",
         listen=None,
     ):
-        """(status, headers, body) of one request, on a connection of its own unless one is given."""
+        """Send a request, on a new connection unless `on` is given; returns (status, headers, body)."""
         reader, writer = on or await connect(*(listen or self.listen))
         number = next(self.numbers) if number is None else number
         writer.write(
@@ -386,12 +389,12 @@
         return int(line.split()[1]), headers, answer
 
 
-class World(StandIns):
-    """A gateway in this process between its stand-ins."""
+class World(StubServices):
+    """A gateway in this process, connected to stub servers."""
 
     async def __aenter__(self):
         await super().__aenter__()
-        self.told = GatewayConfiguration(
+        self.config = GatewayConfiguration(
             "n0",
             self.listen,
             self.discovery.address,
@@ -402,7 +405,7 @@
             terms.settings({k: str(v) for k, v in self.pairs.items()}),
             reread=lambda: configuration.read(os.environ, prefer_file=True),
         )
-        self.owner, self.serving = await start(self.told)
+        self.owner, self.serving = await start(self.config)
         await self.until(lambda: len(self.owner.listed) == len(self.rows))
         return self
 
@@ -412,7 +415,7 @@
 
     @staticmethod
     async def end(owner, serving):
-        """End a gateway that was started in this process."""
+        """Stop a gateway that was started in this process."""
         for task in (serving, owner.discovery.watch_task, owner.clients.accepting, owner.clients.inspecting):
             task.cancel()
         owner.clients.listener.close()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -19,7 +19,7 @@
 from kestrelbend.gateway.settings.installation import Installation
 from kestrelbend.gateway.net import configuration
 from kestrelbend.gateway.net.accept_queue import read_listen_address
-from tests.helpers import StandIns, run
+from tests.helpers import StubServices, run
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "gateway.toml"
 
@@ -165,7 +165,7 @@
     path = tmp_path / "gateway.toml"
 
     async def test():
-        async with StandIns() as world:
+        async with StubServices() as world:
             text = EXAMPLE.read_text().replace('name = "lookup"', 'name = "op"')
             for key, value in (
                 ("listen", "%s:%d" % world.listen),
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found in a run; the names tell the trouble."""
+"""Regression tests, each for one failure that was found in a run of the laboratory or on sockets."""
 
 import pytest
 
@@ -19,31 +19,31 @@
     return [line[0] for line in lines if line[0] in ("pass_on", "deny", "lose")]
 
 
-def test_no_counter_call_that_could_outlast_the_client():
+def test_no_counter_call_is_made_if_it_could_outlast_the_request():
     f = front()
     f.accept(1, left=25)
     assert [line[0] for line in f.take("incr", "pass_on")] == ["pass_on"]
 
 
-def test_many_gateways_share_a_backends_credits():
+def test_credits_of_a_backend_are_shared_among_many_gateways():
     f = front(instances=12, familyInfo__mayCount="false", contracts__0__storeSize=100)
     for n in range(20):
         f.accept(n)
     assert len(f.take("pass_on")) <= 4
 
 
-def test_a_total_seen_after_a_long_gap_of_even_use_leaves_room():
+def test_total_seen_after_a_long_gap_of_even_usage_admits_a_request():
     f, store = front(), {}
     f.accept(1)
     assert kinds(f.answer_counts(store)) == ["pass_on"]
-    f.now += 6000 * MS  # still in the same window
-    for name in store:  # others used the rate all along: 12 units, more than the burst of 6
+    f.now += 6000 * MS  # still within the window
+    for name in store:  # other gateways used the whole rate: 12 units, more than the burst of 6
         store[name] += 12
     f.accept(2)
     assert kinds(f.answer_counts(store)) == ["pass_on"]
 
 
-def test_a_flood_ends_when_the_counter_is_silent_and_others_are_let_in():
+def test_flood_is_rejected_and_others_are_admitted_while_the_counter_is_silent():
     f = front()
     for n in range(12):
         f.accept(n, customer="flood")
@@ -55,7 +55,7 @@
     assert kinds(f.answer_counts(result=Result.TIMED_OUT)) == ["pass_on"]
 
 
-def test_an_emptied_counter_does_not_refill_a_customer():
+def test_reset_counter_does_not_refill_the_quota_of_a_customer():
     f, store = front(), {}
     for n in range(6):
         f.accept(n)
@@ -70,7 +70,7 @@
     assert kinds(f.answer_counts(store)) == ["deny"]
 
 
-def test_a_turned_away_customer_is_let_in_and_not_called_for_at_once():
+def test_requests_are_admitted_and_the_next_not_counted_after_rejected_counter_calls():
     f = front()
     for n in range(2):
         f.accept(n, units=0.1)
@@ -81,7 +81,7 @@
     assert [line[0] for line in f.take("incr", "pass_on")] == ["pass_on"]
 
 
-def test_a_marked_retry_leaves_part_of_the_burst_to_first_tries():
+def test_marked_retry_leaves_part_of_the_burst_to_first_attempts():
     f, store = front(), {}
     f.accept(1, units=5.0)
     f.answer_counts(store)
@@ -91,7 +91,7 @@
     assert kinds(f.answer_counts(store)) == ["pass_on"]
 
 
-def test_a_delivery_counted_before_the_window_changed_is_not_taken_off_after():
+def test_delivery_counted_in_the_previous_window_is_not_subtracted_in_the_next():
     f, store = front(contracts__0__concurrency=2, contracts__0__refill=0), {}
     f.accept(1)
     f.answer_counts(store)
@@ -102,23 +102,25 @@
     assert sorted(store.values()) == [0.001, 0.001]
 
 
-def test_taking_back_under_a_cap_does_not_bring_the_next_call_at_once():
+def test_refund_under_a_concurrency_cap_does_not_trigger_the_next_call_at_once():
     f, store = front(contracts__0__concurrency=2, contracts__0__refill=0), {}
     f.accept(1)
     f.answer_counts(store)
     for name in store:
-        store[name] += 0.001  # one more is out at another gateway
+        store[name] += 0.001  # one more delivery is in flight at another gateway
     f.accept(2)
     assert kinds(f.answer_counts(store)) == ["deny"] and list(store.values()) == [0.002]
     f.accept(3)
-    assert not f.take("pass_on", "deny", "incr")  # it waits for a place, and calls for one in time
+    assert not f.take("pass_on", "deny", "incr")  # it waits for a free slot and calls the counter later
     f.pass_time(150)
     assert len(f.take("incr")) == 1
 
 
-def test_under_a_cap_invocations_wait_for_a_place_in_turn():
-    """Seen on sockets: with two places, each held for a twentieth of the objective, one in five was refused
-    and came back after a fifth of the objective."""
+def test_invocations_beyond_the_concurrency_cap_wait_in_order():
+    """Two slots, each held for a twentieth of the objective, led to rejections instead of waiting.
+
+    On sockets, one request in five was rejected and was repeated after a fifth of the objective.
+    """
     f, store = front(contracts__0__concurrency=2, contracts__0__refill=0, classes__0__objective=2000), {}
     for n in range(9):
         f.accept(n)
@@ -134,7 +136,7 @@
     assert list(store.values()) == [0] and not next(iter(f.inst.customers.values())).queue
 
 
-def test_a_lost_hall_is_left_after_one_refused_connection():
+def test_unreachable_zone_is_avoided_after_one_refused_connection():
     f = front(familyInfo__mayCount="false", contracts__0__storeSize=100)
     f.accept(1)
     first = int(f.take("pass_on")[0][3])
@@ -148,7 +150,7 @@
             f.returned(n, len(f.inst.invs[n].deliveries) - 1, Result.UNREACHABLE, took=0)
     assert (
         sum(t.ejected_until > f.now for t in f.gateway.pool.order) == 4
-    )  # not a third at most, as by errors
+    )  # not limited to a third, as ejection by errors is
 
 
 @pytest.mark.parametrize(
@@ -165,9 +167,9 @@
         {"contracts__0__refill": 5000, "contracts__0__storeSize": 50000, "contracts__0__concurrency": 900},
     ],
 )
-def test_settings_that_no_site_has_are_decided(changes):
+def test_every_request_is_decided_under_unusual_settings(changes):
     f, store = front(**changes), {}
-    f.roster(*READY, (9, EndpointState.READY, f.now))  # one just started and never heard from
+    f.roster(*READY, (9, EndpointState.READY, f.now))  # just started, without any response so far
     for n in range(10):
         f.accept(n, left=3000 if n % 2 else 6)
         f.answer_counts(store)
@@ -178,7 +180,7 @@
     assert all(inv.done for inv in invs)
 
 
-def test_a_cold_backend_is_asked_and_held_to_its_own_report():
+def test_cold_backend_is_probed_and_limited_by_its_own_report():
     f = Front(
         policyLimits__probing="true",
         feedback__how="probe",
@@ -187,7 +189,7 @@
         contracts__0__storeSize=1000,
     )
     f.roster((1, EndpointState.READY), (2, EndpointState.READY, f.now))
-    for n in range(100):  # a warm neighbour's pace lets the cold one have several in the span
+    for n in range(100):  # the warm backend's rate allows the cold one several requests in the period
         f.accept(n, spread=1)
         f.returned(n, 0, Result.SUCCEEDED, took=10)
         f.now += 10 * MS
@@ -203,16 +205,16 @@
         fresh.slow_start.slot, fresh.slow_start.sent = (
             None,
             0,
-        )  # the least guard starts anew: only the report is in question
+        )  # resets the minimum limit, so that only the report decides
         assert f.gateway.rules.may_send(inv, fresh) is allowed
     fresh.in_flight, fresh.slow_start.sent = 0, 200
     fresh.slow_start.drawn_at, fresh.slow_start.drawn = f.gateway.now, False
-    assert not f.gateway.rules.may_send(inv, fresh)  # a full report opens no way past the least guard
+    assert not f.gateway.rules.may_send(inv, fresh)  # the report does not override the minimum limit
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 220])
-def test_a_cold_backend_is_not_overrun_by_all_gateways_together(gateways):
-    """The sum over gateways that know nothing of each other, each always ready to send."""
+def test_cold_backend_is_not_overloaded_by_all_gateways_together(gateways):
+    """Sums the requests of gateways that do not know of each other and always have a request to send."""
     pace, fall, multiple, cold, cold_from = 40, 2, 2, 10, 0.2
     fronts, sent = [], []
     for n in range(gateways):
@@ -242,24 +244,24 @@
         within = sum(end - fall * 1000 < at <= end for at in sent)
         part = cold_from + (1 - cold_from) * (end - fall * 1000) / (cold * 1000)
         assert within <= multiple * part * pace * fall
-    assert len(sent) > pace * cold * cold_from  # and yet it is warmed
+    assert len(sent) > pace * cold * cold_from  # it still gets enough to warm up
 
 
-def test_a_crowded_counter_and_a_wide_set_leave_the_blameless_alone():
+def test_overloaded_counter_with_many_gateways_does_not_reject_new_customers():
     f = front(instances=200, contracts__0__storeSize=6)
     f.gateway.counter.call_fraction = 0.5
-    for n in range(20):  # each customer's first visit here, calls turned away
+    for n in range(20):  # each customer's first request at this gateway; counter calls are rejected
         f.accept(n, spread=200, customer=f"c{n}")
         assert kinds(f.answer_counts(result=Result.REJECTED)) == ["pass_on"]
         f.returned(n, 0, Result.SUCCEEDED)
-    f.accept(30, spread=200, customer="new", retry=True)  # the budget: no room known for a marked retry
+    f.accept(30, spread=200, customer="new", retry=True)  # the retry budget: nothing is known of its room
     assert kinds(f.answer_counts(result=Result.REJECTED)) == ["deny"]
 
 
-def test_sampled_calls_count_for_all_and_thin_a_flood():
+def test_sampled_counter_calls_count_all_requests_and_limit_a_flood():
     store, sent = {}, 0
     fronts = [front(seed=n, instances=50) for n in range(50)]
-    for n in range(1000):  # ten times the rate, over fifty gateways, for fifty seconds
+    for n in range(1000):  # ten times the rate, at 50 gateways, for 50 seconds
         f = fronts[n * 7 % 50]
         f.now = 1_000_000 * MS + n * 50 * MS
         f.gateway.counter.call_fraction = 0.3
@@ -267,11 +269,11 @@
         if kinds(f.answer_counts(store)) == ["pass_on"]:
             sent += 1
             f.returned(n, 0, Result.SUCCEEDED)
-    assert 700 < sum(store.values()) < 1300  # each call stood for those not called for
-    assert 106 / 3 < sent < 400  # there was room for 106; letting all in would be 1000
+    assert 700 < sum(store.values()) < 1300  # each call counted the requests without a call as well
+    assert 106 / 3 < sent < 400  # the quota allows 106; without limits it would be 1000
 
 
-def test_a_first_total_that_comes_after_its_window_is_harmless():
+def test_first_total_that_arrives_after_its_window_is_ignored():
     f = front()
     f.accept(1, left=60_000)
     f.now += 24_000 * MS
@@ -281,7 +283,7 @@
     assert f.inst.customers["plan", "c"].remaining is None and f.inst.customers["plan", "c"].unreported == 2
 
 
-def test_uncalled_deliveries_out_survive_a_new_window():
+def test_uncounted_deliveries_in_flight_are_kept_in_a_new_window():
     f, store = front(contracts__0__concurrency=8, contracts__0__refill=0), {}
     f.gateway.counter.failures, f.gateway.counter.no_call_before = 9, f.now + 50 * MS
     f.accept(1)
@@ -293,7 +295,7 @@
     assert list(store.values()) == [pytest.approx(0.001)]
 
 
-def test_long_work_does_not_hold_all_credits():
+def test_long_deliveries_do_not_hold_all_credits():
     f = front(familyInfo__mayCount="false", contracts__0__storeSize=1000, policyLimits__mayDuplicate="false")
     room = f.gateway.credits.capacity()
     for n in range(room):
@@ -307,8 +309,8 @@
     assert sum(t.in_flight for t in f.gateway.pool.order) == 0
 
 
-def test_customers_done_with_are_forgotten_but_no_spent_ceiling():
-    """A gateway that runs for weeks meets more customers than its memory holds."""
+def test_idle_customers_are_removed_unless_their_ceiling_is_used_up():
+    """A gateway that runs for weeks has more customers than its memory can hold."""
     front = Front(contracts__0__ceilingRate=1, contracts__0__capDepth=400, familyInfo__mayCount="false")
     front.roster((1, EndpointState.READY))
     front.now += 400_000 * MS
@@ -323,10 +325,10 @@
     assert {name for _, name in front.inst.customers} == {"spent", "out", "new"}
 
 
-def test_a_late_total_is_taken_and_spares_the_counter():
-    """Seen on sockets: one call in five came after the settings' time; its customer was guessed at."""
+def test_late_total_is_applied_and_reduces_counter_calls():
+    """On sockets, one counter reply in five came after the configured timeout, so usage was estimated."""
     f = front(classes__0__objective=500)
-    assert f.gateway.counter.timeout == 75 * MS  # a real gateway's calls may take so long
+    assert f.gateway.counter.timeout == 75 * MS  # for calls on sockets
     f.accept(1, units=2)
     call = f.take("incr")[0]
     f.now += 60 * MS
@@ -340,8 +342,8 @@
     )
 
 
-def test_a_large_invocation_does_not_make_its_customers_set_wide():
-    """Seen on sockets: with the counter crowded, six units wiped out what was known of their customer."""
+def test_large_request_does_not_discard_the_known_quota_of_its_customer():
+    """On sockets, with an overloaded counter, a request of six units discarded its customer's known quota."""
     f = front(contracts__0__storeSize=20, instances=4)
     f.gateway.counter.call_fraction = 0.5
     for n, units in enumerate((2, 6)):
@@ -351,8 +353,8 @@
 
 
 @pytest.mark.parametrize("every, sick", [(0, False), (12, False), (12, True)])
-def test_what_fails_at_all_backends_alike_benches_none_and_the_sick_one_is_told_from_it(every, sick):
-    """Seen on sockets: one answer in thirty lost or spoilt, at all backends, kept a third of them benched."""
+def test_equal_failures_at_all_backends_eject_none_and_a_worse_backend_is_ejected(every, sick):
+    """On sockets, one response in thirty lost or malformed at all backends kept a third of them ejected."""
     f = front(
         familyInfo__mayCount="false",
         contracts__0__storeSize=10**6,
@@ -390,9 +392,11 @@
     return f
 
 
-def test_what_fails_one_operation_keeps_its_credits_and_serves_the_other():
-    """Seen at half of the backends: those that failed one operation lost credits and were benched, and the
-    other operation, served there as usual, was refused."""
+def test_backend_that_fails_one_operation_keeps_its_credits_and_serves_the_other():
+    """Half of the backends failed one operation, lost credits and were ejected.
+
+    Requests for the other operation, which these backends still served, were rejected.
+    """
     f, failed, late, served = two_kinds(), 0, 0, 0
     sick = {1, 2, 3}
     for n in range(400):
@@ -405,20 +409,20 @@
             served += op == "op" and int(line[3]) in sick
             f.returned(n, 0, Result.ERRORED if bad else Result.SUCCEEDED, took=50)
         f.now += 50 * MS
-    assert failed < 40 and late < 10  # without: half of them, 66
+    assert failed < 40 and late < 10  # without the rule half of them would fail: 66
     assert not any(t.ejected_until > f.now for t in f.inst.backends.values()) and served > 80
 
 
-def test_no_advice_is_given_where_none_may_be():
+def test_retry_advice_is_given_only_if_the_settings_allow_it():
     for allowed in ("true", "false"):
         f = Front(familyInfo__mayCount="false", policyLimits__retryAfter=allowed)
-        f.accept(1)  # no backend is listed
+        f.accept(1)  # there is no backend
         f.pass_time(3000)
         ((_, _, _, wait),) = f.take("deny")
         assert (wait == "-") == (allowed == "false")
 
 
-def test_use_told_in_answers_thins_a_flood_without_a_counter_and_lets_go_again():
+def test_usage_in_responses_limits_a_flood_without_a_counter_until_the_flood_ends():
     f = front(instances=50, familyInfo__metering=1000)
     f.gateway.counter.call_fraction, f.gateway.counter.failures, f.gateway.counter.no_call_before = (
         0.5,
@@ -437,13 +441,13 @@
     assert sum(play(n, 1 + 40) for n in range(50)) == 50  # 40% of its rate
     for n in range(50, 150):
         play(n, 1 + 400)
-    assert sum(play(n, 1 + 100) for n in range(150, 250)) < 60  # what is left of four times its rate
+    assert sum(play(n, 1 + 100) for n in range(150, 250)) < 60  # the allowed part of four times its rate
     for n in range(250, 500):
         play(n, 1 + 20)
     assert sum(play(n, 1 + 20) for n in range(500, 550)) == 50
 
 
-def test_the_dearer_operation_waits_in_front():
+def test_operation_of_higher_worth_is_first_in_the_backlog():
     f = two_kinds(classes__0__worth=2, classes__1__worth=3)
     cheap, dear = (f.inst.operations[name] for name in ("op", "other"))
     acc = f.inst.customer_state("plan", "c", 2)
@@ -451,11 +455,11 @@
     assert max(invs, key=f.gateway.credits.backlog.value) is invs[1]
 
 
-def test_pressed_backends_are_spared_by_hundreds_of_gateways_that_hold_less_than_a_credit():
-    """Seen at 369 gateways: each sent one delivery after another, four a core, until they timed out."""
+def test_overloaded_backends_get_few_requests_from_hundreds_of_gateways_with_less_than_a_credit():
+    """With 369 gateways, each sent one delivery after another, four for each core, until they timed out."""
     f = front(instances=400, familyInfo__mayCount="false", contracts__0__storeSize=1e6)
     sent = 0
-    for n in range(200):  # all answers slow; the next invocation is there at once
+    for n in range(200):  # all responses are slow; the next request arrives at once
         f.accept(n)
         if "pass_on" in kinds(f.take()):
             sent += 1
@@ -466,16 +470,16 @@
 
 
 @pytest.mark.parametrize("left", [False, True])
-def test_a_retry_beyond_its_budget_is_let_in_when_those_that_waited_before_its_call_have_gone(left):
+def test_retry_beyond_its_budget_is_admitted_if_the_requests_that_waited_before_it_have_left(left):
     f = Front(contracts__0__storeSize=60, contracts__0__refill=2)
     f.roster((1, EndpointState.READY))
     for n in range(20):
         f.accept(n, left=60_000)
         f.answer_counts({})
         if not f.inst.invs[n].deliveries:
-            break  # no credit is free: it waits
+            break  # it waits for a credit
     f.accept(100, retry=True)
-    for total in (20.0, 10.0):  # of the quota, of marked retries
+    for total in (20.0, 10.0):  # of the quota, then of marked retries
         (call,) = f.take("incr")
         if total == 10.0 and left:
             f.tell("withdrawn", [], n)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,8 +11,8 @@
 
 from kestrelbend.gateway.interface import Result, EndpointState
 
-from .helpers import MS, Front, StandIns, connect, reserve_address, run
-from .test_net import nested
+from .helpers import MS, Front, StubServices, connect, reserve_address, run
+from .test_net import nest_settings
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
@@ -73,7 +73,7 @@
     """Three of four gateways are killed at once and restarted; live gateways answer every request in time."""
 
     async def test():
-        async with StandIns(2) as world:
+        async with StubServices(2) as world:
             addresses, running, answers = [reserve_address(n) for n in range(4)], {}, []
 
             async def start_gateway(n):
@@ -84,7 +84,7 @@
                     "counter": world.counter.address,
                     "seed": str(n),
                     "limits": {"sockets": 256},
-                    "settings": nested(world.pairs | {"instances": 4, "index": n}),
+                    "settings": nest_settings(world.pairs | {"instances": 4, "index": n}),
                     "known": {"rev": 1, "all": True, "targets": world.rows},
                 }
                 path = tmp_path / f"{n}.json"
--- a/tests/test_gateway_races.py
+++ b/tests/test_gateway_races.py
@@ -30,8 +30,8 @@
 from kestrelbend.gateway.net.metrics import counters
 from kestrelbend.gateway.net.connection_reuse import INITIAL_REUSE_DELAYS, REUSE_DELAY_S
 
-from .helpers import StandDiscovery, StandIns, World, connect, read_request, row, run
-from .test_net import asked_for, nested
+from .helpers import StubDiscovery, StubServices, World, connect, read_request, row, run
+from .test_net import build_request, nest_settings
 
 C1 = "/op/00000000000000c1"
 
@@ -85,7 +85,7 @@
 # Endpoint lists.
 
 
-class ScriptedDiscovery(StandDiscovery):
+class ScriptedDiscovery(StubDiscovery):
     """Responds to each call with the next item of `play`, and with the current list after the last one."""
 
     async def open(self):
@@ -322,7 +322,7 @@
                 {"rev": 90, "all": how == "left out", "targets": rows}
             )
             owner.backend_client.queue = sent
-            owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
+            owner.backend_client.deliver(delivery(owner, target), build_request(owner, "c1"))
             await gate.reached.wait()
             actions = [lambda: owner.discovery.apply(endpoint_list), gate.open.set]
             for action in actions if list_first else actions[::-1]:
@@ -345,7 +345,7 @@
             discovery = await ScriptedDiscovery(world.rows[0] | {"state": "draining"}).open()
             discovery.slow = 0.1
             configuration = replace(
-                world.told,
+                world.config,
                 discovery=discovery.address,
                 known_endpoints={"rev": 1, "all": True, "targets": world.rows},
             )
@@ -362,7 +362,7 @@
 def test_startup_uses_the_stored_list_if_discovery_does_not_respond():
     async def test():
         async with World() as world:
-            configuration = world.told
+            configuration = world.config
             configuration.known_endpoints = {"rev": 1, "all": True, "targets": world.rows}
             world.discovery.silent = True
             startup_queue = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
@@ -504,7 +504,7 @@
                 )
             )
             target = owner.backends["s0"]
-            owner.backend_client.deliver(delivery(owner, target), asked_for(owner, "c1"))
+            owner.backend_client.deliver(delivery(owner, target), build_request(owner, "c1"))
             ended = await sent.get()
             assert ended.result is Result.SUCCEEDED and ended.response[0] == b"fine"
             assert len(backend.seen) == 2 and counters["kept_connections_stale"] > stale
@@ -644,7 +644,7 @@
             early, doubtful = counters["answers_early"], counters["answers_doubtful"]
             assert (await world.ask())[2] == b"fine"
             owner.backend_client.queue = sent
-            owner.backend_client.deliver(delivery(owner, owner.backends["s0"]), asked_for(owner, "c1"))
+            owner.backend_client.deliver(delivery(owner, owner.backends["s0"]), build_request(owner, "c1"))
             ended = await sent.get()
             assert ended.result is Result.SUCCEEDED and ended.response[0] == b"fine"
             assert counters["answers_early"] == early + 1 and counters["answers_doubtful"] == doubtful
@@ -707,7 +707,7 @@
             peer, target = owner.backend_client, owner.backends["s0"]
             peer.queue, backend.play = sent, ["hang"]
             d = delivery(owner, target)
-            peer.deliver(d, asked_for(owner, "c1"))
+            peer.deliver(d, build_request(owner, "c1"))
             await world.until(lambda: backend.seen)
             writer = next(iter(backend.writers))
             good = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -746,7 +746,9 @@
         async with World() as world:
             owner, sent, loop = world.owner, asyncio.Queue(), asyncio.get_running_loop()
             peer, backend, accepted = owner.backend_client, world.backends[0], []
-            backend.met = lambda *streams, was=backend.met: accepted.append(1) or was(*streams)
+            backend.handle_connection = lambda *streams, was=backend.handle_connection: (
+                accepted.append(1) or was(*streams)
+            )
             peer.queue = sent
             d = delivery(owner, owner.backends["s0"])
 
@@ -757,7 +759,7 @@
                     peer.cancel(d)
 
             actions.append(later)
-            peer.deliver(d, asked_for(owner, "c1"))
+            peer.deliver(d, build_request(owner, "c1"))
             result = (await sent.get()).result
             assert result is Result.CANCELLED and not peer.connecting and not peer.delivery_tasks
             await world.until(lambda: not backend.writers)
@@ -775,7 +777,7 @@
             owner, sent = world.owner, asyncio.Queue()
             peer, d = owner.backend_client, delivery(owner, owner.backends["s0"])
             peer.queue = sent
-            peer.deliver(d, asked_for(owner, "c1"))
+            peer.deliver(d, build_request(owner, "c1"))
             peer.cancel(d)
             ended = await asyncio.wait_for(sent.get(), 1)
             assert type(ended) is DeliveryEnded and not peer.delivery_tasks
@@ -1109,7 +1111,7 @@
 @contextlib.asynccontextmanager
 async def gateway_process(folder, sockets=1024, known=None, rows=None, **changes):
     """Yields (world, process, log): the fake services, and a gateway process with a descriptor limit."""
-    async with StandIns(**changes) as world:
+    async with StubServices(**changes) as world:
         if rows is not None:
             world.discovery.rows = rows
         config = {
@@ -1119,7 +1121,7 @@
             "counter": world.counter.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": sockets},
-            "settings": nested(world.pairs),
+            "settings": nest_settings(world.pairs),
         }
         if known is not None:
             config["known"] = {"rev": 1, "all": True, "targets": known}
@@ -1271,11 +1273,11 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4096)), hard))
         configurations = [
             replace(
-                world.told,
+                world.config,
                 listen=(world.listen[0], 0),
                 seed=n,
                 descriptor_limit=1 << 16,
-                settings={**world.told.settings, "gateway": n},
+                settings={**world.config.settings, "gateway": n},
             )
             for n in range(1, number)
         ]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -36,9 +36,9 @@
 from kestrelbend.gateway.net import configuration
 from kestrelbend.gateway.net.events import MembershipDue
 from kestrelbend.gateway.net.peers import GatewayMembership
-from tests.helpers import StandIns, World, connect, reserve_address, run
+from tests.helpers import StubServices, World, connect, reserve_address, run
 from tests.test_configuration import EXAMPLE
-from tests.test_net import nested
+from tests.test_net import nest_settings
 
 
 S = 1_000_000
@@ -800,7 +800,7 @@
         "limits": {"sockets": 9},
         "peer_listen": "127.0.0.1:7946",
         "peers": ["127.0.9.1:7946", "127.0.9.2:7946"],
-        "settings": nested(pairs | {"index": 1, "policyLimits.peers": True}),
+        "settings": nest_settings(pairs | {"index": 1, "policyLimits.peers": True}),
     }
     config, keys = tmp_path / "config.json", tmp_path / "members.toml"
     keys.write_text('keys = {1 = "000102030405060708090a0b0c0d0e0f"}\n')
@@ -824,7 +824,7 @@
         self.folder, self.running = folder, {}
 
     async def __aenter__(self):
-        self.world = world = await StandIns(
+        self.world = world = await StubServices(
             2, feedback__how="probe", policyLimits__probing="true", feedback__fields="queue,inflight,util"
         ).__aenter__()
         self.places, self.udp = [reserve_address(n) for n in range(5)], [reserve_address(n) for n in range(5)]
@@ -845,7 +845,7 @@
             "known": {"rev": 1, "all": True, "targets": self.rows},
             "peer_listen": "%s:%d" % self.udp[n],
             "peers": ["%s:%d" % at for at in self.udp],
-            "settings": nested(
+            "settings": nest_settings(
                 self.world.pairs
                 | {
                     "instances": 5,
@@ -916,7 +916,7 @@
         return got
 
     noted.stands = []
-    made = helpers.StandBackend.__init__
+    made = helpers.StubBackend.__init__
 
     def init(self):
         made(self)
@@ -924,7 +924,7 @@
         noted.stands.append(self)
 
     monkeypatch.setattr(helpers, "read_request", noted)
-    monkeypatch.setattr(helpers.StandBackend, "__init__", init)
+    monkeypatch.setattr(helpers.StubBackend, "__init__", init)
 
 
 def test_five_real_gateways_killed_one_at_a_time_miss_no_duty_for_more_than_two_seconds(tmp_path, timed):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The real gateway between stand-ins on loopback sockets."""
+"""Tests of a gateway on loopback sockets, connected to stub servers."""
 
 import asyncio
 import json
@@ -31,15 +31,15 @@
 from kestrelbend.gateway.net.endpoint_discovery import parse_endpoint_list
 from kestrelbend.gateway.net.metrics import counters
 
-from .helpers import BASE, StandCounter, StandDiscovery, StandIns, World, connect, reserve_address, row, run
+from .helpers import BASE, StubCounter, StubDiscovery, StubServices, World, connect, reserve_address, row, run
 
 
-def asked_for(owner, customer):
+def build_request(owner, customer):
     fields = CIMultiDict({"X-Request-ID": "1", "Api-Plan": "plan", "X-Timeout": "1"})
     return Request("GET", f"/op/00000000000000{customer}", fields, b"", owner.clock(), owner.settings)
 
 
-def test_what_goes_on_unchanged_stays_the_bytes_that_came():
+def test_request_and_response_bytes_are_forwarded_unchanged():
     async def test():
         async with World() as world:
             backend, body = world.backends[0], bytes(range(256)) * 16
@@ -55,7 +55,7 @@
     run(test())
 
 
-def test_headers_go_on_but_for_those_of_the_connection():
+def test_all_headers_but_connection_headers_are_forwarded():
     async def test():
         async with World() as world:
             reader, writer = await connect(*world.listen)
@@ -79,7 +79,7 @@
     "first, effect, status, seen",
     [
         (b"500 No\r\n\r\n", "at_most_once", 502, 1),
-        (b"503 Busy\r\n\r\n", "at_most_once", 502, 1),  # not said that it never ran
+        (b"503 Busy\r\n\r\n", "at_most_once", 502, 1),  # does not say that it was not processed
         (b"503 Busy\r\nX-Not-Processed: 1\r\n\r\n", "at_most_once", 200, 2),
         (b"504 Late\r\nX-Not-Processed: 1\r\n\r\n", "at_most_once", 200, 2),
         ("cut", "at_most_once", 502, 1),
@@ -88,12 +88,12 @@
         (b'200 OK\r\nX-Server-Load: {"queue":2}\r\nApi-Charge: 3\r\n\r\n', "at_most_once", 200, 1),
     ],
 )
-def test_each_outcome_is_said_as_it_was_seen(first, effect, status, seen):
-    """The client library would send a GET again by itself when a kept connection breaks."""
+def test_outcome_of_a_delivery_decides_status_and_number_of_attempts(first, effect, status, seen):
+    """aiohttp's client by itself repeats a GET when a reused connection breaks; the gateway must not."""
 
     async def test():
         async with World(classes__0__effect=effect) as world:
-            assert (await world.ask())[0] == 200  # leaves a kept connection
+            assert (await world.ask())[0] == 200  # leaves an idle connection in the pool
             world.backends[0].play = [first]
             assert (await world.ask(wait="0.4"))[0] == status
             assert len(world.backends[0].seen) == 1 + seen
@@ -101,7 +101,7 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran():
+def test_refused_connection_is_retried_even_if_the_operation_is_not_repeatable():
     async def test():
         async with World(2, classes__0__effect="at_most_once") as world:
             world.backends[0].server.close()
@@ -112,11 +112,11 @@
     run(test())
 
 
-def test_nothing_goes_to_a_backend_taken_off_the_list_while_its_connection_is_made():
+def test_nothing_is_sent_to_a_backend_that_starts_draining_while_connecting():
     async def test():
         async with World() as world:
             owner, sent = world.owner, asyncio.Queue()
-            target, request = owner.backends["s0"], asked_for(owner, "c1")
+            target, request = owner.backends["s0"], build_request(owner, "c1")
             inv = Invocation(
                 owner.operations["op"], owner.customer_state("plan", "c1", 1), 0, 1 << 62, 1.0, False
             )
@@ -170,20 +170,20 @@
     run(test())
 
 
-def test_a_client_that_leaves_frees_its_backend():
+def test_client_disconnect_cancels_its_delivery():
     async def test():
         async with World() as world:
             world.backends[0].play = ["hang"]
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(world.ask(wait="3"), 0.2)
-            await world.until(lambda: world.backends[0].left == 1)
+            await world.until(lambda: world.backends[0].disconnects == 1)
             await world.until(lambda: not world.owner.requests and not world.owner.tasks)
             assert len(world.backends[0].seen) == 1
 
     run(test())
 
 
-def test_connections_kept_from_before_a_silence_are_not_used_again():
+def test_idle_connections_are_discarded_after_a_backend_timed_out():
     async def test():
         async with World(classes__0__objective=100) as world:
             target, backend = world.owner.backends["s0"], world.backends[0]
@@ -211,7 +211,7 @@
         ([], Result.SUCCEEDED),
     ],
 )
-def test_each_answer_of_the_counter_is_said_as_it_was_seen(play, result):
+def test_reply_of_the_counter_decides_the_result_of_the_call(play, result):
     async def test():
         async with World() as world:
             service, world.counter.play = world.owner.counter, list(play)
@@ -220,7 +220,7 @@
             total = 1.5 if result is Result.SUCCEEDED else 0.0
             assert await service.queue.get() == CounterReplied(5, result, total)
             if play and type(play[0]) is bytes and not play[0].startswith((b"-BUSY", b"-ERR")):
-                world.counter.play = []  # its connection is not used again
+                world.counter.play = []  # the connection of the failed call is not reused
                 service.add(5, 1, 4_000_000)
                 assert (await service.queue.get()).result is Result.SUCCEEDED
                 assert len(service.connections) == 1
@@ -228,8 +228,11 @@
     run(test())
 
 
-def test_a_gateway_short_of_cpu_counts_from_when_bytes_came_and_ends_earlier():
-    """Seen at 0.15 of a core: answers later than the client's time, and counter answers taken as missing."""
+def test_gateway_short_of_cpu_counts_timeouts_from_arrival_and_shortens_deadlines():
+    """At 0.15 of a core, responses came after the clients' timeouts and counter replies were taken as lost.
+
+    Times must count from the arrival of the bytes, not from their reading, and later deadlines be shortened.
+    """
 
     async def test():
         async with World(policyLimits__tryLimit=1) as world:
@@ -247,7 +250,7 @@
             assert max(inv.arrived_at for inv in world.owner.requests) < stalled - 150_000
             world.owner.timer_lateness, world.owner.gateway.now = 0, world.owner.clock()
             world.owner.on_timer_due(TimerDue(Task(None), world.owner.gateway.now - 80_000))
-            request = asked_for(world.owner, "c3")
+            request = build_request(world.owner, "c3")
             world.owner.on_request_taken(RequestTaken(request))
             assert request.inv.deadline - request.inv.arrived_at == 920_000
             writer.close()
@@ -260,7 +263,7 @@
     run(test())
 
 
-def test_a_counter_fallen_silent_is_called_anew_and_in_order():
+def test_silent_counter_connection_is_replaced_and_calls_stay_in_order():
     async def test():
         async with World() as world:
             service, counter = world.owner.counter, world.counter
@@ -269,7 +272,7 @@
             for _ in range(2):
                 service.add(5, 1, 4_000_000)
             assert [(await service.queue.get()).result for _ in range(2)] == [Result.TIMED_OUT] * 2
-            service.add(6, 1, 4_000_000)  # at once, on a line that is not in doubt
+            service.add(6, 1, 4_000_000)  # called at once, on a new connection
             assert (await service.queue.get()).result is Result.SUCCEEDED and len(service.connections) == 2
             await asyncio.sleep(2 * service.call_timeout)
             for _ in range(2):
@@ -282,7 +285,7 @@
     run(test())
 
 
-def test_invocations_go_on_with_counter_and_discovery_silent():
+def test_requests_succeed_while_counter_and_discovery_are_silent():
     async def test():
         async with World() as world:
             world.counter.play, world.discovery.silent = ["silent"] * 9, True
@@ -292,7 +295,7 @@
     run(test())
 
 
-def test_the_list_is_watched_on():
+def test_changes_to_the_endpoint_list_are_applied_even_after_discovery_restarts():
     async def test():
         async with World(2) as world:
             owner, rows = world.owner, world.rows
@@ -301,12 +304,12 @@
             world.discovery.tell(rows[1] | {"boot_ms": 5})
             await world.until(lambda: owner.backends["s0"].state is EndpointState.GONE)
             assert owner.backends["s1"].started == 5000 and len(owner.backend_client.endpoints) == 1
-            owner.departed_at["s0"] -= owner.settings["cold"]  # it went long ago: nothing of it is kept
+            owner.departed_at["s0"] -= owner.settings["cold"]  # departed long ago: its state is removed
             world.discovery.tell(rows[1] | {"boot_ms": 5})
             await world.until(lambda: "s0" not in owner.backends)
             assert len(owner.backend_ids) == 1 and not owner.departed_at
             assert "since=2&" in world.discovery.asked[2]
-            world.discovery.close()  # the agent is gone, then back
+            world.discovery.close()  # discovery stops and comes back
             await world.until(lambda: counters["discovery_failed"])
             world.discovery.rows = rows
             await world.discovery.open()
@@ -316,8 +319,8 @@
     run(test())
 
 
-def test_a_watch_that_fell_silent_is_asked_for_anew_before_its_news_count_as_told():
-    """Its wait is 2 s: what it missed counts 6 s after it fell silent, or 2 s after that wait."""
+def test_silent_watch_is_renewed_before_its_changes_must_be_known():
+    """The watch waits 2 s; a missed change must be known 6 s after its silence, or 2 s after the wait."""
 
     async def test():
         async with World(2) as world:
@@ -326,23 +329,23 @@
             began, world.discovery.silent = loop.time(), True
             world.discovery.rows, world.discovery.rev = [rows[0] | {"state": "draining"}, rows[1]], 2
             await asyncio.sleep(2.5)
-            world.discovery.silent = False  # back before the watch is given up, on others' calls
+            world.discovery.silent = False  # responds to new calls before the watch times out
             await world.until(lambda: owner.backends["s0"].state is EndpointState.DRAINING, 4)
             assert loop.time() - began < 4
 
     run(test())
 
 
-def test_the_first_seconds_after_a_switch_go_by_the_known_list_and_start_afresh():
-    """New settings hold from a new process: it has the last list and nothing else, least of all units."""
+def test_new_process_starts_with_the_known_endpoints_and_no_other_state():
+    """New settings take effect in a new process, which has the last endpoint list but no quota units."""
 
     async def test():
         async with World(2, contracts__0__ceilingRate=2, contracts__0__capDepth=8) as world:
-            told, rows = world.told, world.rows
-            assert (await world.ask())[0] == 429  # its part of the ceiling starts empty
+            told, rows = world.config, world.rows
+            assert (await world.ask())[0] == 429  # its share of the ceiling starts empty
             await asyncio.sleep(1.6)
             assert (await world.ask())[0] == 200
-            world.discovery.silent = True  # the new one hears nothing
+            world.discovery.silent = True  # the new process gets no list
             known = {"rev": 1, "all": True, "targets": [rows[0] | {"state": "draining"}, rows[1]]}
             settings = terms.settings(
                 {
@@ -363,7 +366,7 @@
             )  # its start took a while; none was dealt since
             on = await connect(*listen)
             status, headers, _ = await world.ask(on=on)
-            assert status == 429 and "retry-after" not in headers  # no unit of the ceiling comes along
+            assert status == 429 and "retry-after" not in headers  # no units of the ceiling are carried over
             owner.gateway.context.started_at -= 10_000_000
             for customer in owner.customers.values():
                 customer.limit_allocated = None
@@ -379,7 +382,7 @@
 
 @pytest.mark.parametrize("used, asked", [("400", True), ("x", False), ("-1", False), ("inf", False)])
 @pytest.mark.parametrize("metering", [1000, 0])
-def test_use_told_in_an_answer_reaches_the_module_where_it_is_told(used, asked, metering):
+def test_usage_in_a_response_is_applied_if_valid_and_metering_is_on(used, asked, metering):
     async def test():
         async with World(familyInfo__metering=metering) as world:
             world.backends[0].play = [b"200 OK\r\nApi-Used: %s\r\n\r\n" % used.encode()]
@@ -390,14 +393,14 @@
     run(test())
 
 
-C1 = "/op/00000000000000c1"
+CUSTOMER_PATH = "/op/00000000000000c1"
 
 
 @pytest.mark.parametrize(
     "given",
     [
         {"path": "/op"},
-        {"path": "http://x" + C1},
+        {"path": "http://x" + CUSTOMER_PATH},
         {"path": "/op/c1"},
         {"path": "/op/00000002000000c1"},
         {"path": "/nothing/00000000000000c1"},
@@ -431,20 +434,20 @@
         ),
     ],
 )
-def test_requests_not_in_the_protocols_form_are_errored_at_once(given):
-    """Seen: infinite and foreign units under a usual customer's name shut it out."""
+def test_malformed_request_gets_400_and_its_connection_is_closed(given):
+    """Requests with infinite or invalid units in a customer's name once blocked this customer."""
 
     async def test():
         async with World(familyInfo__mostUnits=6) as world:
             on = await connect(*world.listen)
             assert (await world.ask(**given, on=on))[0] == 400
-            assert await asyncio.wait_for(on[0].read(), 1) == b""  # and its connection ends
+            assert await asyncio.wait_for(on[0].read(), 1) == b""  # the connection is closed
             assert not world.backends[0].seen and not world.owner.customers
 
     run(test())
 
 
-def test_the_id_of_an_open_request_is_not_taken_twice():
+def test_duplicate_id_of_an_open_request_gets_400():
     async def test():
         async with World() as world:
             world.backends[0].play = ["hang"]
@@ -456,16 +459,17 @@
     run(test())
 
 
-def test_what_comes_behind_an_open_request_is_left_alone():
+def test_pipelined_requests_are_dropped_and_the_connection_closes_after_the_response():
     async def test():
         async with World() as world:
             for later in (False, True):
                 reader, writer = await connect(*world.listen)
                 asked = [
-                    f"GET {C1} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {n}{later}\r\nApi-Plan: plan\r\n\r\n"
+                    f"GET {CUSTOMER_PATH} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {n}{later}\r\n"
+                    "Api-Plan: plan\r\n\r\n"
                     for n in range(9)
                 ]
-                world.backends[0].play = [b"raw <a moment later>" + GOOD]
+                world.backends[0].play = [b"raw <a moment later>" + VALID_RESPONSE]
                 writer.write(asked[0].encode())
                 if later:
                     await world.until(lambda: world.owner.clients.server.busy)
@@ -477,7 +481,7 @@
     run(test())
 
 
-def test_connections_that_never_ask_or_never_finish_end_soon(monkeypatch):
+def test_inactive_connections_and_incomplete_requests_time_out(monkeypatch):
     monkeypatch.setattr(connections, "IDLE_TIMEOUT_S", 0.2)
 
     async def test():
@@ -486,18 +490,18 @@
             assert (await world.ask(on=kept))[0] == 200
             for said in (
                 b"",
-                b"GET " + C1.encode() + b" HTTP/1.1\r\nX-Pad: ",
-                b"POST " + C1.encode() + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf",
+                b"GET " + CUSTOMER_PATH.encode() + b" HTTP/1.1\r\nX-Pad: ",
+                b"POST " + CUSTOMER_PATH.encode() + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf",
             ):
                 reader, writer = await connect(*world.listen)
                 writer.write(said)
                 came = await asyncio.wait_for(reader.read(), 1)
                 assert came.startswith(b"HTTP/1.1 408 ") if said else came == b""
             assert not world.owner.clients.server.busy and (await world.ask(on=kept))[0] == 200
-            await asyncio.sleep(0.3)  # idle for longer than a request may take to come
+            await asyncio.sleep(0.3)  # idle for longer than a request may take to arrive
             reader, writer = kept
             for part in (
-                b"GET " + C1.encode() + b" HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\n",
+                b"GET " + CUSTOMER_PATH.encode() + b" HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\n",
                 b"Api-Plan: plan\r\n\r\n",
             ):
                 writer.write(part)
@@ -510,7 +514,7 @@
     run(test())
 
 
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+VALID_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
 @pytest.mark.parametrize(
@@ -527,12 +531,12 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nodd!\r\nzz\r\n",
     ],
 )
-def test_spoilt_answers_are_failed_deliveries_and_found_at_once(spoilt):
+def test_malformed_response_fails_its_delivery_at_once(spoilt):
     async def test():
         async with World() as world:
             for status, effect in ((200, "idempotent"), (502, "at_most_once")):
                 world.owner.operations["op"].effect = model.IDEMPOTENCY_BY_NAME[terms.EFFECT_NAMES[effect]]
-                world.backends[0].play, at = [b"raw " + spoilt, b"raw " + GOOD], time.monotonic()
+                world.backends[0].play, at = [b"raw " + spoilt, b"raw " + VALID_RESPONSE], time.monotonic()
                 assert (await world.ask())[::2] == (status, b"good" if status == 200 else b"")
                 assert time.monotonic() - at < 0.5
             assert len(world.backends[0].seen) == 3
@@ -543,17 +547,17 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        GOOD + GOOD,
-        GOOD + b"noise\r\n\r\n",
-        GOOD + b"<a moment later>" + GOOD,
-        GOOD + b"<a moment later>noise",
-        GOOD[:30] + b"<a moment later>" + GOOD[30:] + GOOD,
-        b"HTTP/1.1 102 Wait\r\n\r\n" + GOOD,
-        b"HTTP/1.1 103 Soon\r\nLink: x\r\n\r\n<a moment later>" + GOOD + b"n",
+        VALID_RESPONSE + VALID_RESPONSE,
+        VALID_RESPONSE + b"noise\r\n\r\n",
+        VALID_RESPONSE + b"<a moment later>" + VALID_RESPONSE,
+        VALID_RESPONSE + b"<a moment later>noise",
+        VALID_RESPONSE[:30] + b"<a moment later>" + VALID_RESPONSE[30:] + VALID_RESPONSE,
+        b"HTTP/1.1 102 Wait\r\n\r\n" + VALID_RESPONSE,
+        b"HTTP/1.1 103 Soon\r\nLink: x\r\n\r\n<a moment later>" + VALID_RESPONSE + b"n",
     ],
 )
-def test_what_comes_around_a_good_answer_is_nobodys(answer):
-    """aiohttp's client would take what came behind it for the next request's answer."""
+def test_extra_data_around_a_valid_response_is_discarded(answer):
+    """aiohttp's client would take data after a response as the response to the next request."""
 
     async def test():
         async with World() as world:
@@ -567,7 +571,7 @@
 
 
 @pytest.mark.parametrize("told", ["inf", "1e300", "nan", "-2", "x", "7"])
-def test_charges_that_cannot_be_are_not_believed(told):
+def test_invalid_charges_are_ignored(told):
     async def test():
         async with World(familyInfo__mostUnits=6) as world:
             world.backends[0].play = [b"200 OK\r\nApi-Charge: %s\r\n\r\n" % told.encode()]
@@ -577,7 +581,7 @@
     run(test())
 
 
-def test_bodies_that_never_end_or_never_come_hold_nothing_up(caplog):
+def test_oversized_and_endless_bodies_and_garbage_are_rejected(caplog):
     async def test():
         async with World(classes__0__deadline=300) as world:
             assert (await world.ask(method="POST", body=bytes(1 << 17)))[0] == 413
@@ -594,7 +598,7 @@
     assert counters["malformed"] > before and not [r for r in caplog.records if r.name == "aiohttp.server"]
 
 
-def test_a_fault_of_the_program_leaves_nobody_waiting(monkeypatch):
+def test_exception_in_the_decisions_ends_its_request_with_an_error(monkeypatch):
     async def test():
         async with World() as world:
 
@@ -607,13 +611,13 @@
             assert (await world.ask())[0] == 502
             await world.until(lambda: not world.owner.tasks)
             monkeypatch.undo()
-            monkeypatch.setattr(Outcomes, "wake_waiting", broken)  # on behalf of one, by another
+            monkeypatch.setattr(Outcomes, "wake_waiting", broken)  # one request resumes another
             assert (await world.ask())[0] == 200 and counters["faults"] >= 3
 
     run(test())
 
 
-def test_beyond_its_sockets_the_oldest_connection_ends_with_its_answer():
+def test_longest_idle_connection_is_closed_at_the_descriptor_limit():
     async def test():
         async with World() as world:
             world.owner.clients.sockets.max_descriptors = 2 * 2
@@ -627,9 +631,11 @@
     run(test())
 
 
-def test_what_crosses_the_closing_of_an_idle_connection_is_read_and_dropped():
-    """Its client sees the end with nothing before it, and sends it again; a reset could take the answer
-    before with it."""
+def test_request_sent_while_an_idle_connection_closes_is_read_and_dropped():
+    """The client sees the connection close without a response and repeats the request.
+
+    A reset instead could lose the previous response.
+    """
 
     async def test():
         async with World() as world:
@@ -648,7 +654,7 @@
     run(test())
 
 
-def test_no_connection_is_made_beyond_the_limit_on_descriptors():
+def test_no_backend_connection_is_made_beyond_the_descriptor_limit():
     async def test():
         async with World() as world:
             peer, target = world.owner.backend_client, world.owner.backends["s0"]
@@ -660,27 +666,27 @@
                 lambda: 39,
             )
             assert (await world.ask(wait="0.3", on=on))[0] == 429 and not world.backends[0].seen
-            assert not target.failure_evidence and not target.ejected_until  # it is not the backend's doing
+            assert not target.failure_evidence and not target.ejected_until  # not the backend's failure
             peer.descriptor_limits.max_descriptors, peer.descriptor_limits.open_descriptors = allowed, held
             assert (await world.ask(on=on))[0] == 200 and not peer.connecting
-            peer.descriptor_limits.max_descriptors = 40  # a kept connection still serves
+            peer.descriptor_limits.max_descriptors = 40  # an idle connection is still usable
             assert (await world.ask(on=on))[0] == 200
 
     run(test())
 
 
-def test_sigterm_serves_what_came_and_what_still_comes(tmp_path):
-    """In a process of its own, as the operators start it."""
+def test_sigterm_serves_open_requests_and_new_connections_before_the_exit(tmp_path):
+    """Runs the gateway in its own process, as operators start it."""
 
     async def test():
-        async with Started(tmp_path) as (world, process, given):
-            idle = await connected(world)
-            # Until it is loaded the accept queue refuses what waits so short: 0.4 s to a whole one.
+        async with GatewayProcess(tmp_path) as (world, process, given):
+            idle = await connect_when_listening(world)
+            # Until the gateway is loaded, it rejects a request with a timeout of 1 s after 0.4 s.
             await world.until(lambda: world.discovery.asked, 10)
             world.backends[0].play = ["hang"]
             out = asyncio.create_task(world.ask(wait="1.2"))
             await world.until(lambda: world.backends[0].seen)
-            moved = await StandDiscovery(*world.rows).open()
+            moved = await StubDiscovery(*world.rows).open()
             (tmp_path / "config.json").write_text(json.dumps(given | {"discovery": moved.address}))
             process.send_signal(signal.SIGHUP)
             await world.until(lambda: moved.asked)
@@ -697,14 +703,14 @@
     run(test())
 
 
-class Started:
-    """A gateway in a process of its own between the stand-ins of a world."""
+class GatewayProcess:
+    """A gateway in its own process, connected to stub servers."""
 
     def __init__(self, folder):
         self.folder = folder
 
     async def __aenter__(self):
-        self.world = world = await StandIns().__aenter__()
+        self.world = world = await StubServices().__aenter__()
         given = {
             "name": "n0",
             "listen": "%s:%d" % world.listen,
@@ -712,7 +718,7 @@
             "counter": world.counter.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 1024},
-            "settings": nested(world.pairs),
+            "settings": nest_settings(world.pairs),
             "known": {"rev": 1, "all": True, "targets": world.rows},
         }
         (self.folder / "config.json").write_text(json.dumps(given))
@@ -732,7 +738,7 @@
             await self.process.communicate()
 
 
-async def connected(world):
+async def connect_when_listening(world):
     for _ in range(400):
         try:
             return await connect(*world.listen)
@@ -741,18 +747,18 @@
     raise TimeoutError
 
 
-def test_what_comes_while_the_gateway_is_loaded_is_answered_in_its_time(tmp_path):
-    """Seen: four lost at the return of 144 gateways at once; their time began while it was loaded."""
+def test_requests_during_startup_are_answered_within_their_timeouts(tmp_path):
+    """Four requests were lost when 144 gateways restarted at once: their timeouts ran during the startup."""
 
     async def test():
-        async with Started(tmp_path) as (world, process, _):
-            on = [await connected(world)]
-            on += [await connected(world) for _ in range(3)]
-            assert not world.discovery.asked  # it is being loaded
+        async with GatewayProcess(tmp_path) as (world, process, _):
+            on = [await connect_when_listening(world)]
+            on += [await connect_when_listening(world) for _ in range(3)]
+            assert not world.discovery.asked  # it is still starting up
             hasty, at = asyncio.create_task(world.ask(wait="0.05", on=on[0])), time.monotonic()
             patient = asyncio.create_task(world.ask(wait="9", on=on[1]))
             on[2][1].close()
-            process.send_signal(signal.SIGTERM)  # not before it has answered
+            process.send_signal(signal.SIGTERM)  # takes effect only after the responses
             status, headers, _ = await hasty
             assert status == 503 and headers["retry-after"] and time.monotonic() - at < 0.1
             assert (await patient)[0] == 200 and (await world.ask(on=on[3]))[0] == 200
@@ -762,8 +768,8 @@
     run(test())
 
 
-def test_the_accept_queue_counts_a_clients_time_from_when_its_bytes_came():
-    """Its thread may get no CPU while the rest is being loaded."""
+def test_accept_queue_counts_timeouts_from_arrival():
+    """The accept queue's thread may get no CPU time during the imports, so it reads bytes late."""
     with (
         socket.create_server(("127.0.0.1", 0)) as server,
         socket.create_connection(server.getsockname()) as client,
@@ -775,7 +781,7 @@
         held.socket.close()
 
 
-def test_the_accept_queue_hands_over_what_came_and_when():
+def test_accept_queue_hands_over_received_bytes_and_their_times():
     async def test():
         accept_queue = AcceptQueue(socket.create_server(("127.0.0.1", 0)))
         at, on = accept_queue.listener.getsockname(), []
@@ -789,7 +795,7 @@
             on[-1][1].write(said)
         refused = await connect(*at)
         refused[1].write(b"GET / HTTP/1.1\r\nX-Timeout: 1.0\r\n\r\n")
-        assert b" 503 " in await asyncio.wait_for(refused[0].readline(), 1)  # well before its time is over
+        assert b" 503 " in await asyncio.wait_for(refused[0].readline(), 1)  # well before its timeout
         more = [await connect(*at) for _ in range(100)]
         before = time.monotonic_ns()
         await asyncio.sleep(0.1)
@@ -807,13 +813,16 @@
 
 
 @pytest.mark.parametrize("most", [64, 1])
-def test_what_waited_while_the_gateway_was_loading_counts_from_then(most, monkeypatch):
-    """Seen on the whole fleet's herd day: the accept queue's thread got no turn while others loaded, requests
-    waited unread for 0.4 s, the machine told no age, and an end as much later left one without its answer."""
+def test_timeouts_of_requests_that_waited_during_startup_count_from_then(most, monkeypatch):
+    """When many gateways started at once, the accept queue's thread got no CPU time.
+
+    Requests stayed unread for 0.4 s and the system did not report their age, so a deadline was that much too
+    late and its client got no response.
+    """
     monkeypatch.setattr(accept_queue, "microseconds_since_last_data", lambda _: 0)
     monkeypatch.setattr(clients, "microseconds_since_last_data", lambda _: 0)
     monkeypatch.setattr(accept_queue, "MAX_HELD", most)
-    # It gets no turn.
+    # The thread accepts nothing.
     monkeypatch.setattr(AcceptQueue, "serve", lambda self: select.select([self.wake_read], [], []))
 
     async def test():
@@ -831,7 +840,7 @@
 
             for n in range(3):
                 await ask(n)
-            silent = await connect(*at)  # waits as long, and asks later
+            silent = await connect(*at)  # waits as long and sends its request later
             await asyncio.sleep(0.3)
             owner, queue = world.owner, asyncio.Queue()
             server = clients.Clients(
@@ -853,13 +862,13 @@
     run(test())
 
 
-def test_sighup_moves_discovery_and_counter_under_load(tmp_path, monkeypatch):
+def test_sighup_changes_discovery_and_counter_addresses_under_load(tmp_path, monkeypatch):
     async def test():
         async with World() as world:
             path, owner = tmp_path / "config.json", world.owner
             monkeypatch.setenv("ROUTER_CONFIG", str(path))
-            monkeypatch.setenv("ROUTER_DISCOVERY", world.discovery.address)  # as at the start
-            discovery, counter = await StandDiscovery().open(), await StandCounter().open()
+            monkeypatch.setenv("ROUTER_DISCOVERY", world.discovery.address)  # the address at startup
+            discovery, counter = await StubDiscovery().open(), await StubCounter().open()
             discovery.rows = [world.rows[0], row("s9", world.backends[0])]
             given = {
                 "name": "n0",
@@ -867,16 +876,16 @@
                 "discovery": discovery.address,
                 "counter": counter.address,
                 "limits": {"sockets": 99},
-                "settings": nested(world.pairs),
+                "settings": nest_settings(world.pairs),
             }
             path.write_text(json.dumps(given)[:-9])
-            reload(world.told, owner)  # half written: nothing changes
+            reload(world.config, owner)  # an incomplete file changes nothing
             assert (await world.ask())[0] == 200 and owner.counter.address[1] == world.counter.port
             path.write_text(json.dumps(given))
             owner.counter.queue = asyncio.Queue()
-            owner.counter.add(5, 1, 4_000_000)  # out while the service moves
-            reload(world.told, owner)
-            owner.counter.add(5, 1, 4_000_000)  # in order with the one before
+            owner.counter.add(5, 1, 4_000_000)  # in flight while the address changes
+            reload(world.config, owner)
+            owner.counter.add(5, 1, 4_000_000)  # ordered after the previous call
             owner.counter.add(6, 1, 4_000_000)
             ended = [await owner.counter.queue.get() for _ in range(3)]
             assert [e.total for e in ended if e.name == 5] == [1.0, 2.0]
@@ -893,26 +902,26 @@
     run(test())
 
 
-def test_sighup_names_each_changed_key_that_holds_only_from_the_next_start(caplog):
+def test_sighup_logs_each_changed_key_that_applies_only_at_the_next_start(caplog):
     async def test():
         async with World() as world:
-            told = replace(world.told)
+            told = replace(world.config)
             others = {"listen": ("127.0.0.1", 9), "logs": ("json", "debug"), "authorisers": ("another",)}
-            told.reread = lambda: replace(world.told, **others)
+            told.reread = lambda: replace(world.config, **others)
             with caplog.at_level(logging.WARNING):
                 reload(told, world.owner)
                 named = [record.key for record in caplog.records]
-                told.reread = lambda: world.told
+                told.reread = lambda: world.config
                 reload(told, world.owner)
             assert named == [record.key for record in caplog.records] == ["listen", "logs", "authorisers"]
 
     run(test())
 
 
-def test_a_gateway_waits_for_the_address_that_its_former_life_still_holds():
+def test_gateway_waits_for_an_address_that_its_previous_process_still_uses():
     async def test():
         async with World() as world:
-            later = asyncio.create_task(start(world.told))
+            later = asyncio.create_task(start(world.config))
             await asyncio.sleep(0.2)
             assert not later.done()
             world.owner.clients.accepting.cancel()
@@ -927,8 +936,8 @@
     run(test())
 
 
-def nested(pairs):
-    """The settings as a configuration has them."""
+def nest_settings(pairs):
+    """Convert path=value settings to the nested form of a configuration file."""
     tree = {}
     for path, value in pairs.items():
         *way, last = path.split(".")
@@ -943,9 +952,9 @@
     return tree
 
 
-def test_settings_are_read_alike_from_the_wire_and_from_a_configuration():
+def test_settings_are_equal_from_the_wire_and_from_a_configuration():
     pairs = {k: str(v) for k, v in BASE.items()} | {"feedback.fields": "pending,cpu_share"}
-    given = nested(pairs) | {"feedback": {"fields": ["pending", "cpu_share"]}, "new": None}
+    given = nest_settings(pairs) | {"feedback": {"fields": ["pending", "cpu_share"]}, "new": None}
     assert repr(terms.settings(dict(terms.flatten(given)))) == repr(terms.settings(pairs))
 
 
@@ -959,14 +968,14 @@
         ('{"settings": {}, "name": "n", "listen": "here", "discovery": "b:2"}', "listen"),
     ],
 )
-def test_wrong_configurations_end_in_one_plain_message(given, what, tmp_path):
+def test_invalid_configuration_is_rejected_with_a_message_that_names_the_error(given, what, tmp_path):
     path = tmp_path / "config.json"
     path.write_text(given or "")
     with pytest.raises(terms.Malformed, match=what):
         configuration.read({"ROUTER_CONFIG": str(path)} if given else {})
 
 
-def test_a_list_that_cannot_be_read_is_named_and_an_entry_left_out():
+def test_invalid_endpoint_list_is_rejected_and_invalid_entries_are_dropped():
     with pytest.raises(terms.Malformed, match="discovery"):
         parse_endpoint_list({"rev": 1, "all": True})
     good = {"uid": "s1", "state": "ready", "endpoint": "127.0.0.1:80"}
