--- a/kestrelbend/gateway/settings/model.py
+++ b/kestrelbend/gateway/settings/model.py
@@ -99,7 +99,7 @@
     number: NonNegativeInt = 0  # of this one, from 0
     zone: str = ""
     discovery: Literal["pushed", "asked"] = "pushed"  # asked: a gateway has to request changes
-    ask_within: Microseconds = Microseconds(10 * SECOND)
+    ask_within: Microseconds = Microseconds(10 * SECOND)  # asked: time that a gateway has to subscribe
     tick: Microseconds = Microseconds(1 * MILLISECOND)  # resolution of the gateway's clock
     answer_slack: Microseconds = Microseconds(0)  # how long after a client's deadline a response still counts
 
@@ -118,7 +118,7 @@
     connect_timeout: Microseconds = Microseconds(250 * MILLISECOND)
     cold: Microseconds = Microseconds(0)  # warm-up time after a start
     cold_from: Fraction = Fraction(1)  # minimum fraction of its capacity that a backend has at its start
-    drain_grace: Microseconds = Microseconds(0)  # rule 3
+    drain_grace: Microseconds = Microseconds(0)  # rule 3: after this, a draining backend gets no new request
     # rule 4: a backend that receives fall_multiple times its capacity for this long fails
     fall: Microseconds = Microseconds(0)
     fall_multiple: PositiveFloat = 1.0
--- a/kestrelbend/gateway/settings/toml_files.py
+++ b/kestrelbend/gateway/settings/toml_files.py
@@ -147,7 +147,7 @@
     if origin is dict and holds_structs(arguments[1]) and isinstance(raw, dict):
         return _convert_mapping(arguments[1], raw, path, validate)
     if origin in (typing.Union, types.UnionType) and any(map(is_struct, arguments)):
-        return _convert_tagged([raw_item for raw_item in arguments if is_struct(raw_item)], raw, path)
+        return _convert_tagged([argument for argument in arguments if is_struct(argument)], raw, path)
     try:
         return msgspec.convert(raw, expected, dec_hook=_read_unit), []
     except (msgspec.ValidationError, ValueError) as error:
