--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -79,12 +79,12 @@
 
 
 def test_invalid_settings_raise_gateway_errors_with_codes():
-    for error, fail, code in (
+    for error, cause_error, code in (
         (toml_files.InvalidFile, lambda: toml_files.parse_toml("x", Installation), "settings.invalid_file"),
         (platform.Malformed, lambda: platform.settings({"tick": "soon"}), "settings.malformed"),
     ):
         with pytest.raises(error) as caught:
-            fail()
+            cause_error()
         assert isinstance(caught.value, GatewayError) and caught.value.code == code
 
 
--- a/tests/tier/budget_fleet.py
+++ b/tests/tier/budget_fleet.py
@@ -62,7 +62,7 @@
         outcomes = self.shard_state.apply(command)
         self.pending_results.pop(index, _ignore_result)(outcomes)
 
-    def fail_pending(self) -> None:
+    def drop_pending(self) -> None:
         for done in self.pending_results.values():
             done(None)
         self.pending_results.clear()
@@ -102,7 +102,7 @@
 
     def change_owner(self, address: str) -> None:
         """Makes another replica the owner; a random number of the last proposed entries is lost."""
-        self.hosts[self.owner].fail_pending()
+        self.hosts[self.owner].drop_pending()
         kept_count = self.rng.randint(0, len(self._proposed))
         del self._proposed[kept_count:]
         self._commit(self._committed + kept_count)
