--- a/kestrelbend/gateway/net/accept_queue.py
+++ b/kestrelbend/gateway/net/accept_queue.py
@@ -106,11 +106,11 @@
         self.timeout_s: float | None = None
         self.rejected_at: int | None = None
 
-    def read(self, last_polled_at: int) -> bool:
+    def read(self, earliest_at: int) -> bool:
         """Read the available bytes; return False once the client has disconnected.
 
-        `last_polled_at`: monotonic nanoseconds, the earliest time at which the bytes may have arrived; it is
-        used where the system does not report their age.
+        `earliest_at`: the earliest time, in monotonic nanoseconds, at which the bytes may have arrived;
+        it is used where the system does not report their age.
         """
         try:
             more = self.socket.recv(MAX_HEAD_BYTES)
@@ -122,7 +122,7 @@
             return bool(more)
         waited = NANOSECONDS_PER_MICROSECOND * microseconds_since_last_data(self.socket)
         self.data += more
-        self.received_at = time.monotonic_ns() - waited if waited else last_polled_at
+        self.received_at = time.monotonic_ns() - waited if waited else earliest_at
         if self.timeout_s is None and b"\r\n\r\n" in self.data:
             self.timeout_s = self._read_timeout()
         return bool(more)
--- a/kestrelbend/gateway/net/configuration.py
+++ b/kestrelbend/gateway/net/configuration.py
@@ -142,9 +142,9 @@
 
     It is on if the settings allow messages between gateways and no membership uses those messages.
     """
-    stated = document["settings"]
-    limits = stated.get("policyLimits", {})
-    max_datagrams_per_s = stated.get("familyInfo", {}).get("peerInPerS", 0)
+    platform_settings = document["settings"]
+    limits = platform_settings.get("policyLimits", {})
+    max_datagrams_per_s = platform_settings.get("familyInfo", {}).get("peerInPerS", 0)
     is_off = env.get("KESTRELBEND_MEMBERS") or env.get("KESTRELBEND_NEWS") == "off"
     has_addresses = all(document.get(name) for name in ("peer_listen", "peers", "peers_all"))
     if is_off or not limits.get("peers") or not max_datagrams_per_s or not has_addresses:
@@ -177,14 +177,14 @@
 
     try:
         with open(path, "rb") as file:
-            stated = tomllib.load(file)
-        number = int(document["settings"].get("index", 0))
-        stated |= {
+            members_table = tomllib.load(file)
+        gateway_number = int(document["settings"].get("index", 0))
+        members_table |= {
             "listen": document["peer_listen"],
             "peers": list(document["peers"]),
-            "seen_at": document["peers"][number],
+            "seen_at": document["peers"][gateway_number],
         }
-        members, faults = convert(Members, stated)
+        members, faults = convert(Members, members_table)
         if faults:
             raise InvalidFile(path, faults)
     except (OSError, ValueError, IndexError, InvalidFile) as error:
@@ -199,21 +199,23 @@
     from ..settings.toml_files import InvalidFile, read_toml
 
     try:
-        stated = read_toml(path, Installation)
+        installation = read_toml(path, Installation)
     except InvalidFile as error:
         raise Malformed(str(error)) from None
     return GatewayConfiguration(
-        name=stated.name,
-        listen=stated.listen.host_and_port,
-        discovery=str(stated.discovery),
-        counter=stated.counter_at.host_and_port if stated.counter_at else None,
-        seed=int(stated.seed, HEXADECIMAL),
-        descriptor_limit=stated.limits.sockets,
+        name=installation.name,
+        listen=installation.listen.host_and_port,
+        discovery=str(installation.discovery),
+        counter=installation.counter_at.host_and_port if installation.counter_at else None,
+        seed=int(installation.seed, HEXADECIMAL),
+        descriptor_limit=installation.limits.sockets,
         known_endpoints=None,
-        settings=stated.settings(),
+        settings=installation.settings(),
         reread=lambda: read_file(path),
-        logs=(stated.logs.form, stated.logs.level),
-        members=stated.members.to_membership_settings(stated.name) if stated.members else None,
-        checks=stated.checks,
-        authorisers=stated.authorisers,
+        logs=(installation.logs.form, installation.logs.level),
+        members=installation.members.to_membership_settings(installation.name)
+        if installation.members
+        else None,
+        checks=installation.checks,
+        authorisers=installation.authorisers,
     )
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -212,19 +212,19 @@
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    replaced = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, replaced.set)
+    reload_event = asyncio.Event()
+    loop.add_signal_handler(signal.SIGHUP, reload_event.set)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGUSR1, metrics.log_counters)
     if early.stop_requested:
         stop.set()
     if early.reload_requested:
-        replaced.set()
+        reload_event.set()
     loading_us = (time.monotonic_ns() - early.started_at) // NANOSECONDS_PER_MICROSECOND
     owner, serving = await start(config, accept_queue, loading_us)
     loop.add_signal_handler(signal.SIGHUP, reload, config, owner)
-    if replaced.is_set():
+    if reload_event.is_set():
         reload(config, owner)
     loop.add_signal_handler(signal.SIGUSR1, report, owner)
     gc.freeze()
--- a/kestrelbend/gateway/net/owner.py
+++ b/kestrelbend/gateway/net/owner.py
@@ -287,8 +287,8 @@
         """
         client = self.backend_client
         ready = {row.uid for row in received.rows if row.state is EndpointState.READY}
-        concerned: Set[Any] = self.listed.keys() if received.complete else {row.uid for row in received.rows}
-        for uid in concerned & self.backends.keys():
+        affected: Set[Any] = self.listed.keys() if received.complete else {row.uid for row in received.rows}
+        for uid in affected & self.backends.keys():
             backend = self.backends[uid]
             is_moved = uid in received.endpoints and client.endpoints.get(backend) != received.endpoints[uid]
             if uid not in ready or is_moved:
@@ -321,8 +321,8 @@
 
         The state matters if a backend returns while it is still warming up; kept longer, it only uses memory.
         """
-        for uid, since in list(self.departed_at.items()):
-            if uid not in self.listed and self.gateway.now - since <= self.settings["cold"]:
+        for uid, removed_at in list(self.departed_at.items()):
+            if uid not in self.listed and self.gateway.now - removed_at <= self.settings["cold"]:
                 continue
             del self.departed_at[uid]
             if uid not in self.listed:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -166,7 +166,7 @@
         self.tell("counter_reply", [], name, 2 * MS, result, total)
 
     def take(self, *messages):
-        """Wire lines written since the last call, split, of these messages."""
+        """Return the lines written since the last call, split into words, of the given messages only."""
         lines = [line.split() for line in self.out]
         self.out.clear()
         return [line for line in lines if not messages or line[0] in messages]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -333,10 +333,10 @@
     call = f.take("incr")[0]
     f.now += 60 * MS
     f.counted(int(call[4]), 4.0)
-    acc = next(iter(f.inst.customers.values()))
+    quota_state = next(iter(f.inst.customers.values()))
     assert (
-        acc.total == 4.0
-        and acc.unreported == 0
+        quota_state.total == 4.0
+        and quota_state.unreported == 0
         and f.gateway.counter.call_fraction < 1
         and not f.gateway.counter.failures
     )
@@ -352,8 +352,8 @@
     assert next(iter(f.inst.customers.values())).remaining is not None
 
 
-@pytest.mark.parametrize("every, sick", [(0, False), (12, False), (12, True)])
-def test_equal_failures_at_all_backends_eject_none_and_a_worse_backend_is_ejected(every, sick):
+@pytest.mark.parametrize("every, faulty", [(0, False), (12, False), (12, True)])
+def test_equal_failures_at_all_backends_eject_none_and_a_worse_backend_is_ejected(every, faulty):
     """On sockets, one response in thirty lost or malformed at all backends kept a third of them ejected."""
     f = front(
         familyInfo__mayCount="false",
@@ -361,22 +361,22 @@
         contracts__0__refill=10**5,
         policyLimits__tryLimit=1,
     )
-    benched = 0
+    ejected_count = 0
     for n in range(1200):
         inv, f.now = f.accept(n, spread=1), f.now + 10 * MS
         if inv is None or not inv.deliveries:
             continue
         target = inv.deliveries[0].backend
-        bad = every and n % every in (0, 1) or sick and target is f.inst.backends[1] and n > 800
+        bad = every and n % every in (0, 1) or faulty and target is f.inst.backends[1] and n > 800
         f.returned(n, 0, Result.BROKEN if bad else Result.SUCCEEDED, took=20, ended=not bad)
         if n > 400:
-            benched += sum(
-                t.ejected_until > f.now for t in ([f.inst.backends[1]] if sick else f.gateway.pool.order)
+            ejected_count += sum(
+                t.ejected_until > f.now for t in ([f.inst.backends[1]] if faulty else f.gateway.pool.order)
             )
-    assert bool(benched) == sick
+    assert bool(ejected_count) == faulty
 
 
-def two_kinds(**more):
+def front_with_two_operations(**more):
     f = Front(
         instances=12,
         familyInfo__mayCount="false",
@@ -397,16 +397,16 @@
 
     Requests for the other operation, which these backends still served, were rejected.
     """
-    f, failed, late, served = two_kinds(), 0, 0, 0
-    sick = {1, 2, 3}
+    f, failed, late, served = front_with_two_operations(), 0, 0, 0
+    faulty = {1, 2, 3}
     for n in range(400):
         op = "other" if n % 3 == 0 else "op"
         f.tell("accept", [], n, op, "plan", "c", f.now + 3000 * MS, 1.0, 2, 0, 0)
         for line in f.take("pass_on"):
-            bad = op == "other" and int(line[3]) in sick
+            bad = op == "other" and int(line[3]) in faulty
             failed += bad
             late += bad and n >= 200
-            served += op == "op" and int(line[3]) in sick
+            served += op == "op" and int(line[3]) in faulty
             f.returned(n, 0, Result.ERRORED if bad else Result.SUCCEEDED, took=50)
         f.now += 50 * MS
     assert failed < 40 and late < 10  # without the rule half of them would fail: 66
@@ -448,10 +448,10 @@
 
 
 def test_operation_of_higher_worth_is_first_in_the_backlog():
-    f = two_kinds(classes__0__worth=2, classes__1__worth=3)
+    f = front_with_two_operations(classes__0__worth=2, classes__1__worth=3)
     cheap, dear = (f.inst.operations[name] for name in ("op", "other"))
-    acc = f.inst.customer_state("plan", "c", 2)
-    invs = [Invocation(op, acc, f.now, f.now + 9, 1.0, False) for op in (cheap, dear)]
+    quota_state = f.inst.customer_state("plan", "c", 2)
+    invs = [Invocation(op, quota_state, f.now, f.now + 9, 1.0, False) for op in (cheap, dear)]
     assert max(invs, key=f.gateway.credits.backlog.value) is invs[1]
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -47,8 +47,8 @@
             path = "/op/%2e%2E/a//b;c=%zz/00000000000000c1?x=%20+&y=/../"
             status, headers, answer = await world.ask(path, "POST", body)
             assert (status, headers["content-type"], answer) == (200, "x/y", body[::-1])
-            line, headers, came = backend.seen[0]
-            assert line == f"POST {path} HTTP/1.1" and came == body
+            line, headers, received = backend.seen[0]
+            assert line == f"POST {path} HTTP/1.1" and received == body
             assert headers["x-request-id"] == "39711" and headers["x-odd"] == "\u00e9 b"
             assert 0.5 < float(headers["x-timeout"]) < 1.0 and len(world.counter.calls) == 1
 
@@ -341,7 +341,7 @@
 
     async def test():
         async with World(2, contracts__0__ceilingRate=2, contracts__0__capDepth=8) as world:
-            told, rows = world.config, world.rows
+            config, rows = world.config, world.rows
             assert (await world.ask())[0] == 429  # its share of the ceiling starts empty
             await asyncio.sleep(1.6)
             assert (await world.ask())[0] == 200
@@ -359,11 +359,11 @@
             )
             listen = reserve_address()
             owner, serving = await start(
-                replace(told, listen=listen, known_endpoints=known, settings=settings)
+                replace(config, listen=listen, known_endpoints=known, settings=settings)
             )
             owner.gateway.context.started_at = (
                 owner.clock() + 100_000
-            )  # its start took a while; none was dealt since
+            )  # as if its start had taken a while, with no units allocated since
             on = await connect(*listen)
             status, headers, _ = await world.ask(on=on)
             assert status == 429 and "retry-after" not in headers  # no units of the ceiling are carried over
@@ -495,8 +495,8 @@
             ):
                 reader, writer = await connect(*world.listen)
                 writer.write(said)
-                came = await asyncio.wait_for(reader.read(), 1)
-                assert came.startswith(b"HTTP/1.1 408 ") if said else came == b""
+                received = await asyncio.wait_for(reader.read(), 1)
+                assert received.startswith(b"HTTP/1.1 408 ") if said else received == b""
             assert not world.owner.clients.server.busy and (await world.ask(on=kept))[0] == 200
             await asyncio.sleep(0.3)  # idle for longer than a request may take to arrive
             reader, writer = kept
@@ -518,7 +518,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed_response",
     [
         b"ICY 200 OK\r\nContent-Length: 4\r\n\r\nodd!",
         b"\x00\x01noise\r\n\r\n",
@@ -531,12 +531,15 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nodd!\r\nzz\r\n",
     ],
 )
-def test_malformed_response_fails_its_delivery_at_once(spoilt):
+def test_malformed_response_fails_its_delivery_at_once(malformed_response):
     async def test():
         async with World() as world:
             for status, effect in ((200, "idempotent"), (502, "at_most_once")):
                 world.owner.operations["op"].effect = model.IDEMPOTENCY_BY_NAME[terms.EFFECT_NAMES[effect]]
-                world.backends[0].play, at = [b"raw " + spoilt, b"raw " + VALID_RESPONSE], time.monotonic()
+                world.backends[0].play, at = (
+                    [b"raw " + malformed_response, b"raw " + VALID_RESPONSE],
+                    time.monotonic(),
+                )
                 assert (await world.ask())[::2] == (status, b"good" if status == 200 else b"")
                 assert time.monotonic() - at < 0.5
             assert len(world.backends[0].seen) == 3
@@ -570,11 +573,11 @@
     run(test())
 
 
-@pytest.mark.parametrize("told", ["inf", "1e300", "nan", "-2", "x", "7"])
-def test_invalid_charges_are_ignored(told):
+@pytest.mark.parametrize("charge", ["inf", "1e300", "nan", "-2", "x", "7"])
+def test_invalid_charges_are_ignored(charge):
     async def test():
         async with World(familyInfo__mostUnits=6) as world:
-            world.backends[0].play = [b"200 OK\r\nApi-Charge: %s\r\n\r\n" % told.encode()]
+            world.backends[0].play = [b"200 OK\r\nApi-Charge: %s\r\n\r\n" % charge.encode()]
             assert [(await world.ask())[0] for _ in range(2)] == [200] * 2
             assert next(iter(world.owner.customers.values())).unreported == 0.0
 
@@ -755,13 +758,13 @@
             on = [await connect_when_listening(world)]
             on += [await connect_when_listening(world) for _ in range(3)]
             assert not world.discovery.asked  # it is still starting up
-            hasty, at = asyncio.create_task(world.ask(wait="0.05", on=on[0])), time.monotonic()
-            patient = asyncio.create_task(world.ask(wait="9", on=on[1]))
+            short_timeout, at = asyncio.create_task(world.ask(wait="0.05", on=on[0])), time.monotonic()
+            long_timeout = asyncio.create_task(world.ask(wait="9", on=on[1]))
             on[2][1].close()
             process.send_signal(signal.SIGTERM)  # takes effect only after the responses
-            status, headers, _ = await hasty
+            status, headers, _ = await short_timeout
             assert status == 503 and headers["retry-after"] and time.monotonic() - at < 0.1
-            assert (await patient)[0] == 200 and (await world.ask(on=on[3]))[0] == 200
+            assert (await long_timeout)[0] == 200 and (await world.ask(on=on[3]))[0] == 200
             log = (await process.communicate())[1].decode()
             assert process.returncode == 0 and "refused_while_loading=1" in log and "taken=2" in log
 
@@ -905,14 +908,14 @@
 def test_sighup_logs_each_changed_key_that_applies_only_at_the_next_start(caplog):
     async def test():
         async with World() as world:
-            told = replace(world.config)
+            config = replace(world.config)
             others = {"listen": ("127.0.0.1", 9), "logs": ("json", "debug"), "authorisers": ("another",)}
-            told.reread = lambda: replace(world.config, **others)
+            config.reread = lambda: replace(world.config, **others)
             with caplog.at_level(logging.WARNING):
-                reload(told, world.owner)
+                reload(config, world.owner)
                 named = [record.key for record in caplog.records]
-                told.reread = lambda: world.config
-                reload(told, world.owner)
+                config.reread = lambda: world.config
+                reload(config, world.owner)
             assert named == [record.key for record in caplog.records] == ["listen", "logs", "authorisers"]
 
     run(test())
