--- a/kestrelbend/gateway/net/clients.py
+++ b/kestrelbend/gateway/net/clients.py
@@ -46,13 +46,14 @@
 class Clients:
     """The clients' listener and all open requests.
 
-    `queue`: the owner's events. `clock`: returns the current time in microseconds. `sockets`: the limits on
-    descriptors. `free_connections`: closes the idle connections to backends. `max_duration_s`: maximum
-    duration of an invocation. `open_requests`: by request id. `draining`: connections are closed after their
-    next response. `accepts_only_waiting`: only connections that already wait are accepted.
-    `connection_ready`: a future, done once a connection waits. `backlog_since`: when the listen queue was
-    last empty during the startup, in monotonic nanoseconds; None once the connections that arrived since then
-    are accepted. `member_view`: returns the members as this gateway knows them; None without a membership.
+    `queue`: the owner's events. `clock`: returns the current time in microseconds. `descriptor_limits`: the
+    limits on open file descriptors. `free_connections`: closes the idle connections to backends.
+    `max_duration_s`: maximum duration of an invocation. `open_requests`: by request id. `draining`:
+    connections are closed after their next response. `accepts_only_waiting`: only connections that already
+    wait are accepted. `connection_ready`: a future, done once a connection waits. `backlog_since`: when the
+    listen queue was last empty during the startup, in monotonic nanoseconds; None once the connections that
+    arrived since then are accepted. `member_view`: returns the members as this gateway knows them; None
+    without a membership.
     """
 
     server: Server
@@ -65,13 +66,13 @@
         queue: asyncio.Queue[Any],
         clock: Callable[[], int],
         settings: Mapping[str, Any],
-        sockets: DescriptorLimits,
+        descriptor_limits: DescriptorLimits,
         free_connections: Callable[[], object],
         max_duration_s: float,
     ) -> None:
         self.queue = queue
         self.clock = clock
-        self.sockets = sockets
+        self.descriptor_limits = descriptor_limits
         self.free_connections = free_connections
         self.settings = settings
         self.open_requests: dict[str, Request] = {}
@@ -90,7 +91,7 @@
         Waits while the address is in use, as this gateway's previous process may still be draining. Raises
         `OSError` if the address is not available after that.
         """
-        self.server = Server(self.handle, self.sockets)
+        self.server = Server(self.handle, self.descriptor_limits)
         if accept_queue is None:
             self.listener = await self._listen(listen)
         else:
@@ -135,7 +136,7 @@
             await asyncio.sleep(INSPECTION_INTERVAL_S)
             try:
                 self.server.close_inactive()
-                for _ in range(self.sockets.excess_clients()):  # a reload may have lowered the limit
+                for _ in range(self.descriptor_limits.excess_clients()):  # a reload may lower the limit
                     self.server.make_room()
             except Exception:  # noqa: BLE001  a bug must not end the checks
                 self._log_fault("look")
@@ -150,8 +151,8 @@
         while True:
             try:
                 connection, held = self._accept_connection()
-                if not self.sockets.has_room_for_client(
-                    pending=self.sockets.max_descriptors // RESERVED_DIVISOR
+                if not self.descriptor_limits.has_room_for_client(
+                    pending=self.descriptor_limits.max_descriptors // RESERVED_DIVISOR
                 ):
                     await self._make_room()
                 await self.serve_connection(connection, held)
@@ -178,11 +179,11 @@
     async def _make_room(self) -> None:
         """Free descriptors until one more client may be accepted."""
         made_room = self.server.make_room()
-        while not self.sockets.has_room_for_client():
+        while not self.descriptor_limits.has_room_for_client():
             if not made_room:
                 self.free_connections()
             await asyncio.sleep(SETTLE_S / 5 if made_room else 2 * SETTLE_S)
-            made_room = self.sockets.has_room_for_client() or self.server.make_room()
+            made_room = self.descriptor_limits.has_room_for_client() or self.server.make_room()
 
     async def _wait_for_connection(self) -> None:
         """Wait until a connection can be accepted or the listener is to be closed.
--- a/kestrelbend/gateway/net/closing.py
+++ b/kestrelbend/gateway/net/closing.py
@@ -30,15 +30,18 @@
     """A client's transport whose `close` shuts down the sending side first.
 
     All other attributes are those of the wrapped `transport`. `half_closed`: the sending side is shut down,
-    and the client has not closed its side yet. `sockets.half_closed_clients` counts these connections.
+    and the client has not closed its side yet; `descriptor_limits.half_closed_clients` counts them.
     """
 
     def __init__(
-        self, transport: asyncio.Transport, loop: asyncio.AbstractEventLoop, sockets: DescriptorLimits
+        self,
+        transport: asyncio.Transport,
+        loop: asyncio.AbstractEventLoop,
+        descriptor_limits: DescriptorLimits,
     ) -> None:
         self.transport = transport
         self.loop = loop
-        self.sockets = sockets
+        self.descriptor_limits = descriptor_limits
         self.timer: asyncio.TimerHandle | None = None
         self.half_closed = False
 
@@ -54,7 +57,7 @@
         if self.is_closing():
             return
         self.half_closed = True
-        self.sockets.half_closed_clients += 1
+        self.descriptor_limits.half_closed_clients += 1
         try:
             self.transport.resume_reading()  # the client's close is detected only by reading
             self.transport.write_eof()
@@ -72,7 +75,7 @@
 
     def connection_lost(self) -> None:
         """Stop counting the connection as half closed; called by its handler."""
-        self.sockets.half_closed_clients -= self.half_closed
+        self.descriptor_limits.half_closed_clients -= self.half_closed
         self.half_closed = False
         if self.timer is not None:
             self.timer.cancel()
--- a/kestrelbend/gateway/net/connections.py
+++ b/kestrelbend/gateway/net/connections.py
@@ -63,7 +63,7 @@
         """
         assert self._manager is not None  # until the connection is lost
         self.client_transport = HalfClosingTransport(
-            cast(asyncio.Transport, transport), self._loop, self._manager.sockets
+            cast(asyncio.Transport, transport), self._loop, self._manager.descriptor_limits
         )
         super().connection_made(cast(asyncio.Transport, self.client_transport))
         held = self.held
@@ -118,7 +118,7 @@
     connection is in at most one of the latter three.
     """
 
-    def __init__(self, handle: Handler, sockets: DescriptorLimits) -> None:
+    def __init__(self, handle: Handler, descriptor_limits: DescriptorLimits) -> None:
         super().__init__(
             handle,
             request_factory=self.make_request,
@@ -127,7 +127,7 @@
             auto_decompress=False,
             lingering_time=0,
         )
-        self.sockets = sockets
+        self.descriptor_limits = descriptor_limits
         self.all_connections: set[Connection] = set()
         self.busy: set[Connection] = set()
         self.idle: dict[Connection, None] = {}
@@ -156,7 +156,7 @@
         connection = cast(Connection, handler)
         self.all_connections.add(connection)
         self.unused[connection] = None
-        self.sockets.client_connections = len(self.all_connections)
+        self.descriptor_limits.client_connections = len(self.all_connections)
         counters["connections"] += 1
 
     @staticmethod
@@ -176,7 +176,7 @@
         self.all_connections.discard(connection)
         self.unused.pop(connection, None)
         self.idle.pop(connection, None)
-        self.sockets.client_connections = len(self.all_connections)
+        self.descriptor_limits.client_connections = len(self.all_connections)
 
     def request_started(self, handler: Connection) -> None:
         """Mark a connection as busy."""
@@ -208,7 +208,7 @@
         half_closed_handler = next(
             (handler for handler in self.all_connections if handler.client_transport.half_closed), None
         )
-        if half_closed_handler is not None and self.sockets.excess_clients() < 0:
+        if half_closed_handler is not None and self.descriptor_limits.excess_clients() < 0:
             half_closed_handler.client_transport.transport.close()  # this makes room without closing others
             return True
         if silent is not None and (now - silent.inactive_since > 4 * SETTLE_S or longest_idle is None):
--- a/kestrelbend/gateway/net/gateway.py
+++ b/kestrelbend/gateway/net/gateway.py
@@ -188,7 +188,7 @@
         return
     owner.discovery.set_address(new_config.discovery)
     owner.counter.set_address(new_config.counter)
-    owner.clients.sockets.max_descriptors = new_config.descriptor_limit
+    owner.clients.descriptor_limits.max_descriptors = new_config.descriptor_limit
     for key in APPLIED_AT_NEXT_START:
         if repr(getattr(new_config, key)) != repr(getattr(config, key)):
             logging.warning("changed, holds from the next start", extra={"key": key})
--- a/tests/test_gateway_races.py
+++ b/tests/test_gateway_races.py
@@ -657,7 +657,7 @@
     async def test():
         async with World(1) as world:
             backend, accepted = world.backends[0], []
-            on, sockets = await connect(*world.listen), world.owner.clients.sockets
+            on, sockets = await connect(*world.listen), world.owner.clients.descriptor_limits
             for n in range(4):
                 sockets.max_descriptors, sockets.open_descriptors = (
                     (256, lambda: 0) if n == 0 else (40, lambda: 39)
@@ -847,7 +847,7 @@
         async with World() as world:
             client, loop = connect_blocking(world.listen), asyncio.get_running_loop()
             client.send(bad)
-            await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
+            await world.until(lambda: world.owner.clients.descriptor_limits.half_closed_clients)
             for _ in range(4):
                 await loop.sock_sendall(client, bytes(1 << 14))
                 await asyncio.sleep(0.01)
@@ -868,9 +868,13 @@
             )
             await world.until(lambda: server.all_connections)
             server.close_gracefully(next(iter(server.all_connections)))
-            assert clients_.sockets.half_closed_clients == 1
+            assert clients_.descriptor_limits.half_closed_clients == 1
             await world.until(lambda: not server.all_connections, 2)
-            assert clients_.sockets.half_closed_clients == clients_.sockets.client_connections == 0
+            assert (
+                clients_.descriptor_limits.half_closed_clients
+                == clients_.descriptor_limits.client_connections
+                == 0
+            )
             client.close()
 
     run(test())
@@ -1035,7 +1039,7 @@
             server, rests = world.owner.clients.server, connect_blocking(world.listen)
             await world.until(lambda: server.all_connections)
             drained = asyncio.create_task(world.owner.clients.drain(0))
-            await world.until(lambda: world.owner.clients.sockets.half_closed_clients)
+            await world.until(lambda: world.owner.clients.descriptor_limits.half_closed_clients)
             rests.send(request(1))
             assert await read_until_closed(rests) == b"" and not world.backends[0].seen
             rests.close()
@@ -1067,7 +1071,7 @@
 def test_lowered_descriptor_limit_closes_only_idle_connections():
     async def test():
         async with World() as world:
-            server, sockets = world.owner.clients.server, world.owner.clients.sockets
+            server, sockets = world.owner.clients.server, world.owner.clients.descriptor_limits
             idle = [await connect(*world.listen) for _ in range(12)]
             for n, on in enumerate(idle):
                 assert (await world.ask(f"/op/{n:016x}", on=on))[0] == 200
@@ -1088,7 +1092,7 @@
 def test_requests_beyond_the_descriptor_limit_are_answered_without_a_reset():
     async def test():
         async with World() as world:
-            sockets, loop = world.owner.clients.sockets, asyncio.get_running_loop()
+            sockets, loop = world.owner.clients.descriptor_limits, asyncio.get_running_loop()
             sockets.max_descriptors, sockets.open_descriptors = 24, lambda: 0
             client_sockets = [connect_blocking(world.listen) for _ in range(80)]
             for n, client_socket in enumerate(client_sockets):
@@ -1268,7 +1272,7 @@
     """Several gateways on one event loop with the same fake services; each is configured with its number."""
     async with World(backends_, instances=number, **changes) as world:
         # They share the descriptors of one process.
-        world.owner.clients.sockets.max_descriptors = 1 << 16
+        world.owner.clients.descriptor_limits.max_descriptors = 1 << 16
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4096)), hard))
         configurations = [
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -623,8 +623,8 @@
 def test_longest_idle_connection_is_closed_at_the_descriptor_limit():
     async def test():
         async with World() as world:
-            world.owner.clients.sockets.max_descriptors = 2 * 2
-            world.owner.clients.sockets.open_descriptors = lambda: 0
+            world.owner.clients.descriptor_limits.max_descriptors = 2 * 2
+            world.owner.clients.descriptor_limits.open_descriptors = lambda: 0
             first = await connect(*world.listen)
             assert (await world.ask(on=first))[0] == 200
             others = [await connect(*world.listen) for _ in range(2)]
@@ -651,7 +651,10 @@
             assert counters["bytes_after_the_shutdown"]
             on[1].close()
             await world.until(
-                lambda: not server.all_connections and not world.owner.clients.sockets.half_closed_clients
+                lambda: (
+                    not server.all_connections
+                    and not world.owner.clients.descriptor_limits.half_closed_clients
+                )
             )
 
     run(test())
@@ -847,7 +850,7 @@
             await asyncio.sleep(0.3)
             owner, queue = world.owner, asyncio.Queue()
             server = clients.Clients(
-                queue, owner.clock, owner.settings, owner.clients.sockets, lambda: None, 9
+                queue, owner.clock, owner.settings, owner.clients.descriptor_limits, lambda: None, 9
             )
             await server.start(None, waits)
             taken = [(await queue.get()).request for _ in on]
@@ -892,7 +895,7 @@
             owner.counter.add(6, 1, 4_000_000)
             ended = [await owner.counter.queue.get() for _ in range(3)]
             assert [e.total for e in ended if e.name == 5] == [1.0, 2.0]
-            assert counter.calls == ["6"] and owner.clients.sockets.max_descriptors == 99
+            assert counter.calls == ["6"] and owner.clients.descriptor_limits.max_descriptors == 99
             owner.counter.queue = owner.queue
             await world.until(lambda: set(owner.listed) == {"s0", "s9"})
             assert "since" not in discovery.asked[0]
