--- a/kestrelbend/gateway/net/peers.py
+++ b/kestrelbend/gateway/net/peers.py
@@ -221,7 +221,7 @@
     def _request_lease(self, holder: LeaseHolder[bytes]) -> None:
         """Request a lease or its renewal from the voters, if a request is due."""
         now = self.now()
-        holder.identify(self._identity())
+        holder.set_identity(self._identity())
         if not holder.voters or not holder.is_request_due(now):
             return
         token = holder.begin_request(now, time.time_ns() // NANOSECONDS_PER_MS)
--- a/kestrelbend/gateway/singleton_tasks/probing.py
+++ b/kestrelbend/gateway/singleton_tasks/probing.py
@@ -1,7 +1,8 @@
-"""Probes of backends that warm up, as singleton tasks: one gateway probes, all use the reported load.
+"""Shared probes of backends that warm up: one gateway probes a backend, and all use the reported load.
 
-Two owners cost one probe, so a task is taken over as soon as its owner is suspected. A report is as good as
-it is fresh: what is older than `MAX_REPORT_AGE_US` is neither used nor sent on.
+Each backend's probing is a singleton task. Two owners at once only cost a second probe, so a task is taken
+over as soon as its owner is suspected of having failed. Old reports are misleading: a report older than
+`MAX_REPORT_AGE_US` is neither used nor forwarded.
 """
 
 from __future__ import annotations
@@ -16,44 +17,47 @@
 from .rendezvous import RendezvousAssignment
 
 MILLISECOND_US = 1000
-PROBE_INTERVAL_US = 500 * MILLISECOND_US  # between probes of one backend, by all gateways together
+PROBE_INTERVAL_US = 500 * MILLISECOND_US  # between probes of one backend, over all gateways
 MAX_REPORT_AGE_US = 2 * PROBE_INTERVAL_US
 RESULT_KIND = "probe"
 
 BackendT = TypeVar("BackendT")
-Load = Mapping[str, float]  # by the report's fields
+Load = Mapping[str, float]  # values by the field names of a load report
 
 
 class BackendLoad(NamedTuple, Generic[BackendT]):
-    """What another gateway's probe reported."""
+    """Load of a backend as reported by another gateway's probe."""
 
     backend: BackendT
     load: Load
 
 
 class SharedProbing(Generic[BackendT]):
-    """Which backends this gateway probes, and what others' probes report. Times in microseconds."""
+    """Selects the backends that this gateway probes and reads the reports of other gateways' probes.
+
+    `name`: the membership name of this gateway. Times are in microseconds.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.assignment = RendezvousAssignment()
         self.assignment.set_members({name: 1.0})
-        self.backends: dict[str, BackendT] = {}  # that warm up, by id
+        self.backends: dict[str, BackendT] = {}  # backends that warm up, by id
         self._probed_at_us: dict[str, int] = {}
-        self._reported_at_us: dict[str, int] = {}  # by others
-        self._view_version: int | None = None  # of the view that the tasks are assigned by
+        self._reported_at_us: dict[str, int] = {}  # latest probe by another gateway
+        self._view_version: int | None = None  # of the membership view that the assignment follows
 
     def rename(self, name: str) -> None:
-        """This gateway goes on under another name, with another membership core."""
+        """Set this gateway's new name; its membership core has been replaced too."""
         self.name = name
         self._view_version = None
 
     def set_members(self, names: Iterable[str]) -> None:
-        """Those that live and are not suspected; this one always counts itself."""
+        """Set the members that are alive and not suspected; this gateway always counts as one."""
         self.assignment.set_members({**dict.fromkeys(names, 1.0), self.name: 1.0})
 
     def set_backends(self, warming_up: Mapping[str, BackendT]) -> None:
-        """The backends that have to be probed now, by their ids."""
+        """Set the backends that need probes, by id."""
         for backend_id in self.backends.keys() - warming_up.keys():
             self.assignment.remove(backend_id)
             self._probed_at_us.pop(backend_id, None)
@@ -65,13 +69,16 @@
     def due_backends(
         self, listed: Mapping[str, BackendT], is_warming_up: Callable[[BackendT], bool], now_us: int
     ) -> list[BackendT]:
-        """Of the listed backends, by their ids, those that warm up and that this gateway probes now."""
+        """Return the backends among `listed`, by id, that warm up and are due for a probe by this gateway."""
         warming_up = {key: backend for key, backend in listed.items() if is_warming_up(backend)}
         self.set_backends(warming_up)
         return [self.backends[backend_id] for backend_id in self.due_ids(now_us)]
 
     def due_ids(self, now_us: int) -> list[str]:
-        """Ids of the backends that this gateway probes now. A new owner waits after another's last report."""
+        """Return the ids of the backends that are due for a probe by this gateway, and count them as probed.
+
+        The interval also counts from another gateway's last report, so that a new owner does not probe early.
+        """
         due = []
         for backend_id in self.backends:
             if self.assignment.owner(backend_id) != self.name:
@@ -83,7 +90,10 @@
         return due
 
     def receive(self, node: SwimNode, load_reported: Callable[[BackendT, Load], object]) -> int:
-        """Takes over what the core has learned: who lives, and loads for `load_reported`; their number."""
+        """Apply the core's live members and shared results; returns the number of loads used.
+
+        `node`: the membership core. `load_reported`: called with each usable load.
+        """
         if self._view_version != node.view.version:
             self._view_version = node.view.version
             self.set_members(m.name for m in node.members.values() if m.state == MemberState.ALIVE)
@@ -97,7 +107,7 @@
         return used
 
     def publish(self, node: SwimNode, now_us: int, backend_id: str | None, load: Load | None) -> None:
-        """Sends the others the load that this gateway's probe reported."""
+        """Send the load that this gateway's probe reported to the other gateways."""
         body = self.encode_load(load)
         if backend_id is not None and body is not None:
             node.publish_result(now_us, RESULT_KIND, backend_id, body)
@@ -105,16 +115,19 @@
 
     @staticmethod
     def encode_load(load: Load | None) -> bytes | None:
-        """A load as others are sent it; None where there is none."""
+        """Encode a load for the other gateways; None if there is no load."""
         return (
             msgspec.msgpack.encode({name: round(value, 3) for name, value in load.items()}) if load else None
         )
 
     def read(self, result: SharedResult, made_at_us: int, now_us: int) -> BackendLoad[BackendT] | None:
-        """Another's report; None where it is too old, not the latest, or of a backend that is not known."""
+        """Decode another gateway's report.
+
+        None if it is of another kind, invalid, too old, not newer than the last, or its backend unknown.
+        """
         backend = self.backends.get(result.subject)
-        is_old = now_us - made_at_us > MAX_REPORT_AGE_US
-        if result.kind != RESULT_KIND or backend is None or is_old:
+        is_stale = now_us - made_at_us > MAX_REPORT_AGE_US
+        if result.kind != RESULT_KIND or backend is None or is_stale:
             return None
         if made_at_us <= self._reported_at_us.get(result.subject, 0):
             return None
--- a/kestrelbend/gateway/singleton_tasks/rendezvous.py
+++ b/kestrelbend/gateway/singleton_tasks/rendezvous.py
@@ -1,7 +1,8 @@
-"""Who does what: weighted rendezvous hashing (Thaler and Ravishankar 1998; weights by logarithms).
+"""Assigns tasks to members by weighted rendezvous hashing.
 
-Invariant: every member works out the same owner for a task from the same members. When one comes or goes,
-only the tasks that it had, or gets, move.
+After Thaler and Ravishankar (1998), with the logarithmic method for weights. Invariant: members that know the
+same member list compute the same owner for each task. When a member joins or leaves, only the tasks that it
+gains or had owned change their owner.
 """
 
 from __future__ import annotations
@@ -12,59 +13,62 @@
 
 from ..keys import stable_hash
 
-HASH_RANGE = 1 << 63  # of `stable_hash`
+HASH_RANGE = 1 << 63  # `stable_hash` returns values below this
 
 
 def score(member: str, task: str, weight: float = 1.0) -> float:
-    """The member with the highest score owns the task; each is as likely to as its part of all weights."""
+    """Return a member's score for a task; the member with the highest score owns the task.
+
+    The probability that a member owns a task is its share of the total weight.
+    """
     return -weight / math.log((stable_hash(f"{member} {task}") + 0.5) / HASH_RANGE)
 
 
 class Assignment(NamedTuple):
-    """A task's owner and its score, by which two compare."""
+    """The owner of a task; assignments are ordered by score."""
 
     score: float
     owner: str
 
 
 class RendezvousAssignment:
-    """Tasks and members by name, and the owner of each task, kept up as both change."""
+    """Keeps the owner of each task up to date as tasks and members change; both are known by name."""
 
     def __init__(self) -> None:
-        self.members: dict[str, float] = {}  # by name: weight
-        self.assignments: dict[str, Assignment | None] = {}  # by task; None while there are no members
+        self.members: dict[str, float] = {}  # weights by name
+        self.assignments: dict[str, Assignment | None] = {}  # by task name; None while there are no members
 
     def add(self, task: str) -> None:
-        """A task that has to be done from now on."""
+        """Add a task and assign it; has no effect on a known task."""
         if task not in self.assignments:
             self._assign(task)
 
     def remove(self, task: str) -> None:
-        """A task that is over, if it was known."""
+        """Remove a task; has no effect on an unknown one."""
         self.assignments.pop(task, None)
 
     def owner(self, task: str) -> str | None:
-        """Who does a task; None where it is not known, or nobody is there."""
+        """Return the owner of a task; None if the task is unknown or there are no members."""
         assignment = self.assignments.get(task)
         return None if assignment is None else assignment.owner
 
     def tasks_of(self, member: str) -> list[str]:
-        """The tasks that a member owns."""
+        """Return the tasks that a member owns."""
         return [task for task in self.assignments if self.owner(task) == member]
 
     def set_members(self, members: Mapping[str, float]) -> int:
-        """All members with their weights; how many tasks moved to another owner."""
+        """Replace the members, given as weights by name; returns how many tasks changed their owner."""
         changed = {name for name, weight in self.members.items() if members.get(name) != weight}
         added = {name: weight for name, weight in members.items() if self.members.get(name) != weight}
         self.members = dict(members)
         moved = 0
-        for task, old in list(self.assignments.items()):
-            if old is None or old.owner in changed:
+        for task, previous in list(self.assignments.items()):
+            if previous is None or previous.owner in changed:
                 self._assign(task)
             else:
                 candidates = [Assignment(score(name, task, weight), name) for name, weight in added.items()]
-                self.assignments[task] = max([old, *candidates])
-            moved += self.owner(task) != (None if old is None else old.owner)
+                self.assignments[task] = max([previous, *candidates])
+            moved += self.owner(task) != (None if previous is None else previous.owner)
         return moved
 
     def _assign(self, task: str) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -519,7 +519,7 @@
         return (
             tuple(
                 (
-                    ahead(v.mute_until_us),
+                    ahead(v.no_grants_before_us),
                     v.highest_tokens.get("d", 0),
                     (g.fencing_token, g.holder, ahead(g.expires_at_us)) if (g := v.grants.get("d")) else None,
                 )
@@ -600,7 +600,7 @@
 
         def talkative(self, now, length=leases.LEASE_US):
             made(self, now, length)
-            self.mute_until_us = 0
+            self.no_grants_before_us = 0
 
         monkeypatch.setattr(leases.Voter, "__init__", talkative)
     elif what == "no wait":
@@ -664,9 +664,9 @@
     token = holder.begin_request(0, 1)
     for voter in range(3):
         holder.record_grant(voter, token, 0)
-    holder.identify(first)
+    holder.set_identity(first)
     assert holder.holds(1)
-    holder.identify(second)
+    holder.set_identity(second)
     assert not holder.holds(1) and holder.identity == second and holder.is_request_due(1)
 
 
@@ -709,7 +709,7 @@
                 most_per_s=40.0,
             )
             self.peers.append(GatewayMembership(given, self.queues[n], owner, str(n), True))
-            self.peers[n].voter.mute_until_us = 0  # as if all had run for longer than a lease
+            self.peers[n].voter.no_grants_before_us = 0  # as if all had run for longer than a lease
 
     async def __aenter__(self):
         for n, peer in enumerate(self.peers):
