--- a/kestrelbend/gateway/usage_sharing/__init__.py
+++ b/kestrelbend/gateway/usage_sharing/__init__.py
@@ -1,5 +1,9 @@
-"""What customers use over all gateways: usage reports to a meter, and the quota shares that it announces.
+"""Sharing of customers' usage between gateways.
 
-`messages` are the datagrams, `pending` is the use that one gateway has not reported yet, `meter` sums all
-reports, `exchange.MeteredUsageExchange` is one gateway's end, `errors` the typed errors.
+Each gateway reports the usage that it has seen to one elected gateway, the meter. The meter sums the reports
+and announces the share of each customer's requests that its quota allows.
+
+`messages` defines the datagrams, `pending` accumulates the usage that a gateway has not reported yet, `meter`
+sums the reports, `exchange.MeteredUsageExchange` runs the protocol on one gateway, `errors` defines the
+exceptions.
 """
--- a/kestrelbend/gateway/usage_sharing/errors.py
+++ b/kestrelbend/gateway/usage_sharing/errors.py
@@ -1,4 +1,4 @@
-"""The typed errors of usage sharing; each has a `code` that does not change."""
+"""Exceptions of usage sharing; the `code` of each is stable across releases."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class UsageSharingError(GatewayError):
-    """An error of the usage sharing between gateways."""
+    """Base class of the errors of usage sharing between gateways."""
 
     code = "usage_sharing"
 
 
 class UnreadableUsageDatagram(UsageSharingError, ValueError):
-    """A datagram that is not of this protocol, is of another version of it, or comes from no gateway.
+    """A datagram is malformed, has another protocol version, or comes from an unknown sender.
 
-    `reason` says in a word or two which; the datagram is dropped.
+    `reason` names the failed check in one or two words. The receiver drops the datagram.
     """
 
     code = "usage_sharing_unreadable_datagram"
 
     def __init__(self, reason: str) -> None:
         self.reason = reason
-        super().__init__(f"not a datagram of usage sharing: {reason}")
+        super().__init__(f"invalid usage sharing datagram: {reason}")
--- a/kestrelbend/gateway/usage_sharing/messages.py
+++ b/kestrelbend/gateway/usage_sharing/messages.py
@@ -1,7 +1,8 @@
-"""The datagrams: a report of one gateway's usage to the meter, and the meter's announcement to all.
+"""Datagrams of usage sharing: a gateway's usage report to the meter, and the meter's announcement to all.
 
-Each fits the platform's 256 bytes. A customer goes by 32 bits of a stable hash, so that sender and receiver
-need not both have met it. Who sent a datagram is known by its source address, which the carrier checks.
+Each datagram fits into the 256 bytes that the platform allows. A customer is identified by 32 bits of a
+stable hash, so that the receiver need not know the customer's name. A datagram does not name its sender: the
+transport identifies the sender by the source address.
 """
 
 from __future__ import annotations
@@ -16,19 +17,20 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 256
-HEADER = struct.Struct("<BBHBB")  # version, kind, number of the period, part of so many parts
-USAGE_ROW = struct.Struct("<IBBBB")  # customer, plan, units requested, units admitted, marked retries
-SHARE_ROW = struct.Struct("<IB")  # customer, share of its first attempts in 1/127; the high bit: no retries
+HEADER = struct.Struct("<BBHBB")  # version, kind, period number, index of this part, number of parts
+USAGE_ROW = struct.Struct("<IBBBB")  # customer key, plan, units requested, units admitted, marked retries
+# Customer key, and one byte: the admitted share of its first attempts in 1/127; the high bit forbids retries.
+SHARE_ROW = struct.Struct("<IB")
 MAX_USAGE_ROWS = (MAX_DATAGRAM_BYTES - HEADER.size) // USAGE_ROW.size
 MAX_SHARE_ROWS = (MAX_DATAGRAM_BYTES - HEADER.size) // SHARE_ROW.size
 MAX_BYTE = 255
 PERIOD_MASK = 0xFFFF
-FULL_SHARE = 127
-NO_RETRIES = 128
+SHARE_SCALE = 127  # encoding of the share 1.0, and the mask of the share in its byte
+NO_RETRIES_BIT = 128  # bit mask
 
 
 class DatagramKind(IntEnum):
-    """The numbers are the wire's."""
+    """Kind of a datagram; the values are those of the wire format."""
 
     REPORT = 1
     ANNOUNCEMENT = 2
@@ -36,25 +38,25 @@
 
 @dataclass(slots=True)
 class CustomerUsage:
-    """What one gateway saw of a customer since its last report, in units and in marked retries."""
+    """Usage of one customer that one gateway has seen since its last report."""
 
-    plan: int  # its number in the settings
-    requested: float = 0.0  # by first attempts
-    admitted: float = 0.0
-    retries: int = 0
+    plan: int  # index in the list of configured plans
+    requested: float = 0.0  # units requested by first attempts
+    admitted: float = 0.0  # units of the attempts sent to a backend
+    retries: int = 0  # attempts that the client marked as retries
 
 
 @dataclass(slots=True)
 class QuotaShare:
-    """What there is room for over all gateways."""
+    """The part of a customer's requests that its quota allows, over all gateways."""
 
-    fraction: float  # of the customer's first attempts
-    retries_in_budget: bool  # whether its marked retries are within their budget
+    fraction: float  # share of first attempts to admit
+    retries_in_budget: bool  # whether marked retries are within the retry budget
 
 
 @dataclass(slots=True)
 class UsageReport:
-    """Of one gateway, by customer."""
+    """Usage report of one gateway; `rows` by customer key."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.REPORT
 
@@ -66,7 +68,10 @@
 
 @dataclass(slots=True)
 class UsageAnnouncement:
-    """Of the meter, by customer; one that no part of a period names has room for all."""
+    """Announcement of the meter; `rows` by customer key.
+
+    A customer that is in no part of a period's announcement has the full share.
+    """
 
     kind: ClassVar[DatagramKind] = DatagramKind.ANNOUNCEMENT
 
@@ -77,7 +82,10 @@
 
 
 def encode_report(period: int, usage: Mapping[int, CustomerUsage]) -> bytes:
-    """At most MAX_USAGE_ROWS customers; fractions of a unit are the caller's to keep."""
+    """Encode a report of at most `MAX_USAGE_ROWS` customers.
+
+    Units are rounded down and capped at `MAX_BYTE`; the caller keeps the fractions for its next report.
+    """
     rows = [
         USAGE_ROW.pack(
             key,
@@ -92,9 +100,11 @@
 
 
 def encode_announcement(period: int, shares: Mapping[int, QuotaShare]) -> list[bytes]:
-    """The datagrams, at least one, that announce these shares by customer."""
+    """Encode an announcement of shares by customer key as one or more datagrams."""
     rows = [
-        SHARE_ROW.pack(key, int(FULL_SHARE * share.fraction) | (0 if share.retries_in_budget else NO_RETRIES))
+        SHARE_ROW.pack(
+            key, int(SHARE_SCALE * share.fraction) | (0 if share.retries_in_budget else NO_RETRIES_BIT)
+        )
         for key, share in shares.items()
     ]
     parts = [rows[start : start + MAX_SHARE_ROWS] for start in range(0, len(rows), MAX_SHARE_ROWS)] or [[]]
@@ -106,7 +116,7 @@
 
 
 def decode(data: bytes) -> UsageReport | UsageAnnouncement:
-    """The report or announcement that a datagram is; raises UnreadableUsageDatagram."""
+    """Decode a datagram; raises `UnreadableUsageDatagram` if it is invalid."""
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         raise UnreadableUsageDatagram("length")
     version, kind, period, part, parts = HEADER.unpack_from(data)
@@ -120,7 +130,7 @@
         usage = {key: CustomerUsage(*values) for key, *values in USAGE_ROW.iter_unpack(body)}
         return UsageReport(period, part, parts, usage)
     shares = {
-        key: QuotaShare((value & FULL_SHARE) / FULL_SHARE, not value & NO_RETRIES)
+        key: QuotaShare((value & SHARE_SCALE) / SHARE_SCALE, not value & NO_RETRIES_BIT)
         for key, value in SHARE_ROW.iter_unpack(body)
     }
     return UsageAnnouncement(period, part, parts, shares)
