--- a/kestrelbend/tier/configuration/backend_calls.py
+++ b/kestrelbend/tier/configuration/backend_calls.py
@@ -30,7 +30,7 @@
         """Processes a heartbeat; the response may contain a URL for later heartbeats."""
         report = decode_object(call.body)
         if report is None:
-            return error_response(INVALID, "the report is not a JSON object")
+            return error_response(INVALID, "the report is no JSON object")
         outcome = await self._port.backend_heartbeat(call.name, report)
         url = self._port.heartbeat_url()
         if outcome is ReportOutcome.ACCEPTED and url:
--- a/kestrelbend/tier/configuration/checks.py
+++ b/kestrelbend/tier/configuration/checks.py
@@ -129,7 +129,7 @@
             name = abbreviated(route["Name"])
             yield DocumentRejection(
                 RejectionCode.SAME_HOST_AND_PREFIX,
-                f"route {name}: another route has the same host and prefix",
+                f"route {name}: another route has its host and prefix",
             )
         used.add(host_and_prefix)
         yield from _target_errors(route, services)
@@ -151,7 +151,7 @@
     if split is not None and math.fsum(target["Weight"] for target in split) <= 0:
         yield DocumentRejection(RejectionCode.NO_WEIGHT, f"route {name}: its weights add up to 0")
     if not service_names:
-        yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: has no service")
+        yield DocumentRejection(RejectionCode.NO_SERVICE, f"route {name}: names no service")
 
 
 def item_name(item: Any) -> str | None:
@@ -167,7 +167,7 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     values = dict(pairs)
     if len(values) != len(pairs):
-        raise ValueError("an object contains a duplicate key")
+        raise ValueError("an object names a key twice")
     return values
 
 
@@ -185,7 +185,7 @@
         level = [inner for outer in level for inner in _containers(outer)]
         if not level:
             return
-    raise invalid_document(RejectionCode.TOO_DEEP, f"objects are nested more than {MAX_DEPTH} levels deep")
+    raise invalid_document(RejectionCode.TOO_DEEP, f"objects lie more than {MAX_DEPTH} deep in one another")
 
 
 def _containers(outer: dict[str, Any] | list[Any]) -> list[Any]:
--- a/kestrelbend/tier/configuration/config_calls.py
+++ b/kestrelbend/tier/configuration/config_calls.py
@@ -35,13 +35,13 @@
         if not reply.owner:
             return unavailable_response()
         if not reply.body:
-            return error_response(NOT_FOUND, "no configuration exists yet")
+            return error_response(NOT_FOUND, "there is no configuration yet")
         return ApiResponse(OK, bytes(reply.body))
 
     async def _submit(self, kind: OrderKind, call: Call) -> ApiResponse:
         base = _base_version(call.base_version_header)
         if base is None:
-            return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or not an integer")
+            return error_response(INVALID, "X-Kestrelbend-Base-Version is missing or no whole number")
         outcome = await self._port.submit_order(ConfigOrder(int(kind), base, call.body))
         if outcome.status == OK:
             return json_response(OK, {"Ver": outcome.version})
--- a/kestrelbend/tier/configuration/document.py
+++ b/kestrelbend/tier/configuration/document.py
@@ -137,7 +137,7 @@
         return []
     if not isinstance(items, list):
         raise invalid_document(
-            RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is not a list of items"
+            RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is no list of items"
         )
     return items
 
@@ -146,7 +146,7 @@
     """Returns a section's object with fields replaced; raises `InvalidDocument` if it is not an object."""
     present = values.get(section) or {}
     if not isinstance(present, dict):
-        raise invalid_document(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is not an object")
+        raise invalid_document(RejectionCode.WRONG_SCHEMA, f"patch: {abbreviated(section)} is no object")
     return {**present, **changes}
 
 
--- a/kestrelbend/tier/configuration/http_answers.py
+++ b/kestrelbend/tier/configuration/http_answers.py
@@ -31,7 +31,7 @@
 
 def unavailable_response() -> ApiResponse:
     """Returns a 503, which says nothing about the call's effect: the caller may retry on any node."""
-    return error_response(UNAVAILABLE, "this node cannot process the call now; retry on any node")
+    return error_response(UNAVAILABLE, "can't be answered here now")
 
 
 def status_response(status: int) -> ApiResponse:
--- a/kestrelbend/tier/configuration/operator_api.py
+++ b/kestrelbend/tier/configuration/operator_api.py
@@ -94,7 +94,7 @@
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await _read_body(receive, max_bytes)
         except TimeoutError:
-            await _send(send, error_response(BODY_TIMEOUT, "the request body was not received in time"))
+            await _send(send, error_response(BODY_TIMEOUT, "the body did not come in time"))
             return
         except _Disconnected:
             return
@@ -109,17 +109,17 @@
         handler = self._handlers.get(match["call"]) if match else None
         name = (match["name"] or "") if match else ""
         if handler is None or handler.takes_name != bool(name) or len(name) > MAX_NAME:
-            return error_response(NOT_FOUND, "unknown call")
+            return error_response(NOT_FOUND, "no such call")
         if scope["method"] != handler.method:
             return attrs.evolve(
-                error_response(METHOD_NOT_ALLOWED, f"the call requires method {handler.method}"),
+                error_response(METHOD_NOT_ALLOWED, f"the call takes {handler.method}"),
                 allow=handler.method,
             )
         return _Match(handler, name)
 
     async def _respond(self, found: _Match, scope: dict[str, Any], body: bytes | None) -> ApiResponse:
         if body is None:
-            return error_response(BODY_TOO_LARGE, "the request body is too large")
+            return error_response(BODY_TOO_LARGE, "the body is too large")
         base_versions = [value for key, value in scope["headers"] if key.lower() == BASE_VERSION_HEADER]
         call = Call(found.name, base_versions[0] if len(base_versions) == 1 else None, body)
         return _allowed(found.handler.call_name, await found.handler.run(call))
--- a/kestrelbend/tier/configuration/retirement_calls.py
+++ b/kestrelbend/tier/configuration/retirement_calls.py
@@ -36,7 +36,7 @@
         order = decode_object(call.body)
         deadline_s: Any = order.get("DeadlineS") if order is not None else None
         if not is_positive(deadline_s):
-            return error_response(INVALID, "DeadlineS is not a positive number")
+            return error_response(INVALID, "DeadlineS is no positive number of seconds")
         return status_response(RETIRE_STATUS[await self._port.retire_start(call.name, float(deadline_s))])
 
     async def get(self, call: Call) -> ApiResponse:
@@ -45,5 +45,5 @@
         if state is RetireState.UNAVAILABLE:
             return unavailable_response()
         if state is RetireState.NOT_ORDERED:
-            return error_response(NOT_FOUND, "no retirement of the node was requested")
+            return error_response(NOT_FOUND, "nobody asked for the node to be emptied")
         return json_response(OK, {"State": state.value})
--- a/kestrelbend/tier/control/retirement.py
+++ b/kestrelbend/tier/control/retirement.py
@@ -73,9 +73,9 @@
         if not state.stores.is_store(node):
             if any(member.node == node and member.serves_storage for member in self._members.members(now)):
                 return NOT_OWNER  # the store is live but not recorded yet
-            return ConfigOutcome(NOT_FOUND, state.version, "no store with this name has been recorded")
+            return ConfigOutcome(NOT_FOUND, state.version, "no store of this name was ever here")
         if len(self._remaining_without(node, now)) < self._group_size:
-            return ConfigOutcome(CONFLICT, state.version, "too few nodes would remain")
+            return ConfigOutcome(CONFLICT, state.version, "too few would be left")
         return None
 
     def _remaining_without(self, node: str, now: float) -> set[str]:
--- a/kestrelbend/tier/dataplane/reading.py
+++ b/kestrelbend/tier/dataplane/reading.py
@@ -39,7 +39,7 @@
         if name == b"content-length" and int(value) > limits.max_body_bytes:
             return TOO_LARGE
     if length_headers > 1:
-        return LocalResponse(400, "more than one Content-Length or Transfer-Encoding header", closes=True)
+        return LocalResponse(400, "the body's end is told twice", closes=True)
     if size > limits.max_header_bytes:
         return LocalResponse(431, "the headers are too large", closes=True)
     return None
@@ -60,7 +60,7 @@
         async with asyncio.timeout(min(limits.header_timeout_ms / 1000, timeout_s)):
             return await _read_chunks(message, receive, limits.max_body_bytes)
     except TimeoutError:
-        return LocalResponse(408, "the body was not received in time", closes=True)
+        return LocalResponse(408, "the body did not come in time", closes=True)
 
 
 async def _read_chunks(message: dict[str, Any], receive: Receive, max_bytes: int) -> bytes | LocalResponse:
@@ -127,10 +127,10 @@
     """
     fields = head.fields
     if not head.path.startswith("/"):
-        return LocalResponse(400, "the request target is not a path")
+        return LocalResponse(400, "the target is not a path")
     if head.method == "CONNECT":
         # A 2xx response to CONNECT has no body, so that a backend's response could not be forwarded.
-        return LocalResponse(501, "CONNECT is not supported")
+        return LocalResponse(501, "no tunnels here")
     if route is None:
         return LocalResponse(404, "no route")
     if not fields.get(REQUEST_ID):
--- a/kestrelbend/tier/discovery/registry.py
+++ b/kestrelbend/tier/discovery/registry.py
@@ -84,7 +84,7 @@
         if isinstance(backend, HeartbeatRejected):
             return backend
         if self._is_full_for(backend):
-            return HeartbeatRejected(RejectionCode.REGISTRY_FULL, "the registry is full")
+            return HeartbeatRejected(RejectionCode.REGISTRY_FULL, "too many backends are known")
         if self._apply(backend, now):
             self._displace_others(backend, now)
         return self._entries[identity].backend
@@ -92,7 +92,7 @@
     def leave(self, identity: str, now: float) -> Backend | HeartbeatRejected:
         """Applies a backend's report that it has ended; an unknown backend is recorded as departed."""
         if not is_name(identity):
-            return HeartbeatRejected(RejectionCode.IDENTITY, "id is not a valid name")
+            return HeartbeatRejected(RejectionCode.IDENTITY, "the id is no short text")
         entry = self._entries.get(identity)
         known = entry.backend if entry else _unknown_backend(identity)
         self._apply(as_departed(known), now)
--- a/kestrelbend/tier/discovery/report.py
+++ b/kestrelbend/tier/discovery/report.py
@@ -91,11 +91,11 @@
 def read_report(identity: str, report: object) -> Backend | HeartbeatRejected:
     """Returns the backend that a heartbeat describes; unknown fields are ignored."""
     if not is_name(identity):
-        return HeartbeatRejected(RejectionCode.IDENTITY, "id is not a valid name")
+        return HeartbeatRejected(RejectionCode.IDENTITY, "the id is no short text")
     try:
         fields = REPORT_SCHEMA.validate(report)
     except schema.SchemaError as error:
-        return HeartbeatRejected(RejectionCode.FORM, f"invalid report: {error.code}")
+        return HeartbeatRejected(RejectionCode.FORM, f"the report: {error.code}")
     models = _models_text(fields.get("Models"))
     if models is None:
         return HeartbeatRejected(RejectionCode.MODELS, "Models is too large")
--- a/tests/tier/test_configuration_document.py
+++ b/tests/tier/test_configuration_document.py
@@ -197,7 +197,7 @@
                 "configuration: Limits: MaxBodyBytes: -1 is not allowed",
                 "'Routes': two items share the name 'one'",
                 "route 'one': service 'red' is unknown",
-                "route 'one': another route has the same host and prefix",
+                "route 'one': another route has its host and prefix",
                 "route 'three': service 'grey' is unknown",
                 "route 'three': its weights add up to 0",
             ],
