--- a/tests/test_gateway_races.py
+++ b/tests/test_gateway_races.py
@@ -1009,7 +1009,7 @@
 # Shutdown.
 
 
-def test_connections_in_the_startup_queueare_served_during_shutdown():
+def test_connections_in_the_accept_queue_are_served_during_shutdown():
     """Closing the listener resets queued connections; a cancelled accept drops a connection it took."""
 
     async def test():
