--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Build, test, lint and run; the environment is .venv in this folder.
+# Builds, tests, lints and runs the software; the virtual environment is .venv in this directory.
 PYTHON ?= python3
 BENCH ?= ../given/kit/real/bin/lbreal
 SITE ?= ../given/kit/sites/ain-ghazal-main.toml
@@ -7,7 +7,8 @@
 
 build: .venv/developing.txt
 
-# The command, the laboratory, tests and lint; the operators' build (deploy/balancer.toml) takes requirements.txt alone.
+# Installs what the command, the laboratory, the tests and lint need.  The build of the operators
+# (deploy/balancer.toml) installs only requirements.txt.
 .venv/developing.txt: requirements.txt requirements-dev.txt requirements-tier.txt constraints.txt pyproject.toml
 	test -x .venv/bin/python || $(PYTHON) -m venv .venv
 	.venv/bin/pip -q install -c constraints.txt -r requirements-dev.txt -r requirements-tier.txt
@@ -24,18 +25,19 @@
 
 check: lint test
 
-# Told by ROUTER_CONFIG and the other ROUTER_ variables, see README.md.
+# Configured by ROUTER_CONFIG and the other ROUTER_ variables, see README.md.
 run: build
 	exec .venv/bin/python -O -m kestrelbend
 
-# Four real gateways on loopback, a retry storm by one customer and a backend lost in the middle; within a minute.
+# Runs four real gateways on loopback through a retry storm of one customer and the loss of a backend; takes less
+# than a minute.
 demo: build
 	.venv/bin/kestrelbend lab emulate --sockets examples/storm.toml --report demo.html
 
-# The decoder of datagrams and the membership core behind it, for minutes instead of a second.
+# Fuzzes the datagram decoder and the membership core for minutes; the normal test run does it for a second.
 fuzz: build
 	FUZZ=200000 .venv/bin/python -m pytest -q tests/test_members.py -k "whatever_comes or TestMembers"
 
-# Needs the users' bench beside this folder: make score WHY="what was changed"
+# Scores this tree with the bench of the users, expected beside this directory: make score WHY="what was changed"
 score: build
 	$(BENCH) score $(SITE) --why "$(WHY)"
--- a/benchmarks/paired_days.py
+++ b/benchmarks/paired_days.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class PlayedDay:
-    """The result of a play.  Times are in seconds; `load` is the mean load average before and after the play."""
+    """The result of a play.  Times are in seconds; `load` is the mean load average around the play."""
 
     site: str
     day: str
--- a/tools/prove_packages.py
+++ b/tools/prove_packages.py
@@ -1,14 +1,14 @@
-"""Proves a deploy file's list of system packages by a run with nothing else.
+"""Checks that the system packages of a deploy file suffice to build the software and start its roles.
 
 python3 tools/prove_packages.py deploy/system.toml
 python3 tools/prove_packages.py deploy/balancer.toml
 
-In a clean clone the build line runs with a PATH and an LD_LIBRARY_PATH made of links to what the listed
-packages, and what they depend on, hold (`dpkg -L`); nothing else of the machine's programs is found.  Then
-each role of a serving tier starts once and ends by SIGTERM.  A program that is missing is named by the shell
-that looks for it.  Needs Debian 12 with the packages installed.
+Runs the build command in a clean clone.  PATH and LD_LIBRARY_PATH hold only links to the files of the listed
+packages and their dependencies (`dpkg -L`), so no other program of the machine is found.  Then starts each
+role of a serving tier once and stops it with SIGTERM.  If a program is missing, the shell that looks for it
+names it in its output.  Requires Debian 12 with the packages installed.
 
-Not covered: files that are found by an absolute path, such as Python's standard library.
+Not covered: files that are opened by an absolute path, such as Python's standard library.
 """
 
 from __future__ import annotations
@@ -31,48 +31,48 @@
 STOP_TIMEOUT_S = 30.0
 PROGRAM_FOLDERS = ("/bin/", "/sbin/")
 SHARED_LIBRARY = re.compile(r"\.so(\.|$)")
-MISSING_PROGRAM = re.compile(r": not found$", re.MULTILINE)  # as the shell says it, also where it goes on
-STARTED = "serves at"  # in the line that a role writes once it listens
+MISSING_PROGRAM = re.compile(r": not found$", re.MULTILINE)  # the shell prints this even if it continues
+STARTED = "serves at"  # part of the log line that a role writes once it listens
 
 
 class NotProven(Exception):
-    """A package, a program or a start is missing; the text says which."""
+    """A package or a program is missing, or the build or a role failed; the message says which."""
 
 
 def is_installed(package: str) -> bool:
-    """Whether dpkg knows the package as installed."""
-    asked = ["dpkg-query", "-W", "-f=${db:Status-Status}", package]
-    return subprocess.run(asked, capture_output=True, text=True, check=False).stdout == "installed"
+    """Returns whether dpkg lists the package as installed."""
+    command = ["dpkg-query", "-W", "-f=${db:Status-Status}", package]
+    return subprocess.run(command, capture_output=True, text=True, check=False).stdout == "installed"
 
 
 def dependencies_of(package: str) -> list[str]:
-    """The packages that it depends on, of alternatives the first that is installed."""
-    asked = ["dpkg-query", "-W", "-f=${Pre-Depends}, ${Depends}", package]
-    said = subprocess.run(asked, capture_output=True, text=True, check=True).stdout
+    """Returns the direct dependencies of a package; of alternatives, the first that is installed."""
+    command = ["dpkg-query", "-W", "-f=${Pre-Depends}, ${Depends}", package]
+    output = subprocess.run(command, capture_output=True, text=True, check=True).stdout
     found = []
-    for clause in filter(None, (part.strip() for part in said.split(","))):
+    for clause in filter(None, (part.strip() for part in output.split(","))):
         names = [alternative.split("(")[0].split(":")[0].strip() for alternative in clause.split("|")]
         found += [name for name in names if is_installed(name)][:1]
     return found
 
 
 def closure_of(packages: Iterable[str]) -> list[str]:
-    """The packages with all that they depend on; raises `NotProven` where one is not installed."""
+    """Returns the packages with all their dependencies; raises `NotProven` if one is not installed."""
     found: dict[str, None] = {}
-    waiting = list(packages)
-    while waiting:
-        package = waiting.pop()
+    pending = list(packages)
+    while pending:
+        package = pending.pop()
         if package in found:
             continue
         if not is_installed(package):
             raise NotProven(f"{package} is not installed on this machine")
         found[package] = None
-        waiting += dependencies_of(package)
+        pending += dependencies_of(package)
     return sorted(found)
 
 
 def link_files(packages: Iterable[str], programs: Path, libraries: Path) -> None:
-    """Links the programs and the shared libraries that the packages hold."""
+    """Creates links to the programs and the shared libraries of the packages."""
     for package in packages:
         listed = subprocess.run(["dpkg", "-L", package], capture_output=True, text=True, check=True).stdout
         for name in listed.splitlines():
@@ -85,26 +85,26 @@
                 link(libraries / path.name, path)
 
 
-def link(at: Path, target: Path) -> None:
-    """A link, unless an earlier package has one of that name."""
-    if not at.is_symlink():
-        at.symlink_to(target)
+def link(path: Path, target: Path) -> None:
+    """Creates a link, unless an earlier package already provided a file of that name."""
+    if not path.is_symlink():
+        path.symlink_to(target)
 
 
-def environment_of(folder: Path, **more: str) -> dict[str, str]:
-    """What processes get: the links, and none of this process's variables."""
+def environment_of(folder: Path, **extra: str) -> dict[str, str]:
+    """Returns the environment of child processes: the links, and no variables of this process."""
     home = folder / "home"
     home.mkdir(exist_ok=True)
-    named = {"PATH": folder / "bin", "LD_LIBRARY_PATH": folder / "lib", "HOME": home}
-    return {**{name: str(path) for name, path in named.items()}, "LANG": "C.UTF-8", **more}
+    paths = {"PATH": folder / "bin", "LD_LIBRARY_PATH": folder / "lib", "HOME": home}
+    return {**{name: str(path) for name, path in paths.items()}, "LANG": "C.UTF-8", **extra}
 
 
 def run_build(line: str, clone: Path, folder: Path) -> None:
-    """The build line by the shell of the links; raises `NotProven` with what it said where it fails."""
+    """Runs the build command with the linked shell; raises `NotProven` with its output if it fails."""
     shell = folder / "bin" / "sh"
     if not shell.exists():
-        raise NotProven("no listed package holds sh")
-    begun = time.monotonic()
+        raise NotProven("no listed package contains sh")
+    started_at = time.monotonic()
     built = subprocess.run(
         [str(shell), "-c", line],
         cwd=clone,
@@ -115,12 +115,14 @@
         check=False,
     )
     if built.returncode or MISSING_PROGRAM.search(built.stderr):
-        raise NotProven(f"the build ends with {built.returncode}:\n{built.stdout}{built.stderr}")
-    print(f"built in {time.monotonic() - begun:.0f} s")
+        raise NotProven(
+            f"the build failed with exit status {built.returncode}:\n{built.stdout}{built.stderr}"
+        )
+    print(f"build finished in {time.monotonic() - started_at:.0f} s")
 
 
 def settings_text(role: str, folder: Path) -> str:
-    """Settings of one process that is alone on loopback."""
+    """Returns the settings of a single process on the loopback interface."""
     data = folder / f"data-{role}"
     data.mkdir()
     return f"""
@@ -139,7 +141,7 @@
 
 
 def start_role(role: str, command: str, clone: Path, folder: Path) -> None:
-    """One start and a stop by SIGTERM; raises `NotProven` where it does not come up or ends otherwise."""
+    """Starts a role and stops it with SIGTERM; raises `NotProven` if either fails."""
     settings = folder / f"{role}.yaml"
     settings.write_text(settings_text(role, folder))
     dependencies = str(clone / "target" / "deps")
@@ -150,21 +152,21 @@
         process = subprocess.Popen(
             [str(folder / "bin" / program), *arguments], cwd=clone, env=environment, stderr=output
         )
-        end = time.monotonic() + START_TIMEOUT_S
-        while STARTED not in log.read_text() and process.poll() is None and time.monotonic() < end:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while STARTED not in log.read_text() and process.poll() is None and time.monotonic() < deadline:
             time.sleep(0.1)
         process.send_signal(signal.SIGTERM)
         code = process.wait(STOP_TIMEOUT_S)
     if STARTED not in log.read_text() or code != 0:
-        raise NotProven(f"{role} ends with {code}:\n{log.read_text()}")
-    print(f"{role} started and ended")
+        raise NotProven(f"{role} failed with exit status {code}:\n{log.read_text()}")
+    print(f"{role} started and stopped")
 
 
 def prove(deploy_file: Path) -> None:
-    """The whole run; raises `NotProven`."""
+    """Checks all packages of a deploy file; raises `NotProven`."""
     deployment = tomllib.loads(deploy_file.read_text())
     packages = closure_of(deployment["packages"])
-    print(f"{len(packages)} packages with what they depend on")
+    print(f"{len(packages)} packages with their dependencies")
     with tempfile.TemporaryDirectory(dir=ROOT.parent) as name:
         folder = Path(name)
         (folder / "bin").mkdir()
@@ -178,14 +180,14 @@
 
 
 def main() -> int:
-    """Reads the command line; 1 where the list is not proven."""
+    """Runs the command; returns 1 if the list is not proven."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("deploy_file", type=Path)
-    given = parser.parse_args()
+    options = parser.parse_args()
     try:
-        prove(given.deploy_file)
-    except NotProven as reason:
-        print(f"not proven: {reason}", file=sys.stderr)
+        prove(options.deploy_file)
+    except NotProven as error:
+        print(f"not proven: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tools/typecheck.sh
+++ b/tools/typecheck.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Types: mypy, strictly, over the packages that [tool.mypy] in pyproject.toml lists as finished.
+# Checks types with mypy in strict mode, for the packages that [tool.mypy] in pyproject.toml lists.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 exec .venv/bin/mypy "$@"
